--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,4 +1,4 @@
-//! Decisions: pure functions of what is known of the fleet, the rules and the present time.
+//! Decisions: pure functions of a fleet view, the rules and the current time.
 
 pub(crate) mod apply;
 pub(crate) mod baseline;
--- a/src/decide/apply.rs
+++ b/src/decide/apply.rs
@@ -1,4 +1,4 @@
-//! Whether a wanted configuration may be accepted. All that is wrong with it is told at once.
+//! Validation of a requested configuration. All problems are reported at once.
 
 use crate::{
     decide::{budget, rules::Rules},
@@ -10,7 +10,7 @@
     },
 };
 
-/// The change that leads to `wanted`, or every reason against it.
+/// Returns the change from the current configuration to `wanted`, or every reason against it.
 pub(crate) fn check(
     fleet: &Fleet,
     wanted: &Config,
@@ -28,28 +28,29 @@
         reasons.extend(check_names(&next, id, service));
         reasons.extend(check_budget(fleet, id, service, now, rules));
     }
-    reasons.extend(check_room(fleet, &next));
+    reasons.extend(check_capacity(fleet, &next));
     if reasons.is_empty() { Ok(change) } else { Err(reasons) }
 }
 
 fn check_names(next: &Config, id: &ServiceId, service: &Service) -> Vec<String> {
     let mut reasons = Vec::new();
     if !next.pools.contains_key(&service.pool) {
-        reasons.push(format!("service {id}: there is no pool {}", service.pool));
+        reasons.push(format!("service {id}: pool {} does not exist", service.pool));
     }
     if !next.teams.contains_key(&service.team) {
-        reasons.push(format!("service {id}: there is no team {}", service.team));
+        reasons.push(format!("service {id}: team {} does not exist", service.team));
     }
     if service.tasks <= service.max_down {
         reasons.push(format!(
-            "service {id}: the budget of {} unavailable tasks leaves none of {} available",
+            "service {id}: a budget of {} unavailable tasks would allow all {} tasks to be down",
             service.max_down, service.tasks
         ));
     }
     reasons
 }
 
-/// Refuses a change that by itself takes available tasks out, or a budget that is broken now.
+/// Rejects a pool change, which would take available tasks down, and a lower budget that is
+/// already exceeded.
 fn check_budget(
     fleet: &Fleet,
     id: &ServiceId,
@@ -63,8 +64,8 @@
     let mut reasons = Vec::new();
     if old.pool != service.pool {
         reasons.push(format!(
-            "service {id}: moving it from pool {} to {} would take all of its tasks out at once; \
-             move hosts instead",
+            "service {id}: moving it from pool {} to {} would take all of its tasks down at \
+             once; move hosts instead",
             old.pool, service.pool
         ));
     }
@@ -78,8 +79,8 @@
     reasons
 }
 
-/// Refuses what the hosts of a pool, as far as they are known, cannot hold.
-fn check_room(fleet: &Fleet, next: &Config) -> Vec<String> {
+/// Rejects services that the known hosts of a pool cannot hold.
+fn check_capacity(fleet: &Fleet, next: &Config) -> Vec<String> {
     let mut reasons = Vec::new();
     for pool in next.pools.keys() {
         let hosts: Vec<_> =
@@ -87,16 +88,16 @@
         if hosts.is_empty() {
             continue;
         }
-        let mut has = Resources::default();
+        let mut total = Resources::default();
         for host in &hosts {
-            has = has.plus(host.capacity);
+            total = total.plus(host.capacity);
         }
         let services: Vec<_> = next.services.iter().filter(|(_, s)| s.pool == *pool).collect();
         for (id, service) in &services {
             if !hosts.iter().any(|host| host.capacity.fits(service.need)) {
                 reasons.push(format!(
-                    "service {id}: a task needs {} of processor, {} and {} accelerators, which no \
-                     host of pool {pool} has",
+                    "service {id}: a task needs {} of CPU, {} of memory and {} accelerators, which \
+                     no host of pool {pool} has",
                     service.need.cores, service.need.memory, service.need.accelerators
                 ));
             }
@@ -105,13 +106,13 @@
             services.iter().map(|(_, s)| u64::from(s.tasks) * u64::from(s.need.cores.0)).sum();
         let memory: u64 =
             services.iter().map(|(_, s)| u64::from(s.tasks) * u64::from(s.need.memory.0)).sum();
-        if u64::from(has.cores.0) < cores || u64::from(has.memory.0) < memory {
+        if u64::from(total.cores.0) < cores || u64::from(total.memory.0) < memory {
             reasons.push(format!(
-                "pool {pool}: its services need {cores}m of processor and {memory}MB, but its {} \
-                 hosts have {} and {}",
+                "pool {pool}: its services need {cores}m of CPU and {memory}MB of memory, but its \
+                 {} hosts have {} and {}",
                 hosts.len(),
-                Millicores(has.cores.0),
-                Megabytes(has.memory.0)
+                Millicores(total.cores.0),
+                Megabytes(total.memory.0)
             ));
         }
     }
--- a/src/decide/pools.rs
+++ b/src/decide/pools.rs
@@ -1,4 +1,4 @@
-//! Pools: which pool a host without one joins.
+//! Pools: selects the pool that a host without one joins.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,8 +7,8 @@
     id::{HostId, PoolId, RackId},
 };
 
-/// A pool for each live host that has none: the pool that lacks the largest share of its hosts,
-/// and in it the rack that it has the fewest hosts of. Hosts that have a pool stay there.
+/// Assigns each live host without a pool. The pool that lacks the largest share of its hosts comes
+/// first, and gets a host in the rack of which it has the fewest. Hosts with a pool keep it.
 pub(crate) fn assign(fleet: &Fleet) -> Vec<(HostId, PoolId)> {
     let mut sizes: BTreeMap<&PoolId, u32> = fleet.config.pools.keys().map(|id| (id, 0)).collect();
     let mut racks: HashMap<(&PoolId, &RackId), u32> = HashMap::new();
@@ -22,17 +22,17 @@
         fleet.reports.values().filter(|r| r.live && !fleet.hosts.contains_key(&r.host)).collect();
     let mut assigned = Vec::new();
     while !free.is_empty() {
-        let Some(pool) = neediest(fleet, &sizes) else {
+        let Some(pool) = largest_shortfall(fleet, &sizes) else {
             break;
         };
-        let fewest = |at: &usize| {
-            let report = free[*at];
+        let fewest = |index: &usize| {
+            let report = free[*index];
             (racks.get(&(pool, &report.rack)).copied().unwrap_or(0), &report.host)
         };
-        let Some(at) = (0..free.len()).min_by_key(fewest) else {
+        let Some(index) = (0..free.len()).min_by_key(fewest) else {
             break;
         };
-        let report = free.swap_remove(at);
+        let report = free.swap_remove(index);
         *sizes.entry(pool).or_default() += 1;
         *racks.entry((pool, &report.rack)).or_default() += 1;
         assigned.push((report.host.clone(), pool.clone()));
@@ -40,18 +40,18 @@
     assigned
 }
 
-/// The pool that lacks the largest share of the hosts that it should have.
-fn neediest<'a>(fleet: &'a Fleet, sizes: &BTreeMap<&PoolId, u32>) -> Option<&'a PoolId> {
-    let lacking = fleet.config.pools.iter().filter_map(|(id, pool)| {
-        let has = sizes.get(id).copied().unwrap_or(0);
-        let lacks = pool.hosts.checked_sub(has).filter(|lacks| *lacks != 0)?;
-        // Compared in millionths, which is exact enough and keeps an order that is total.
-        Some((u64::from(lacks) * 1_000_000 / u64::from(pool.hosts), id))
+/// The pool that lacks the largest share of its configured hosts.
+fn largest_shortfall<'a>(fleet: &'a Fleet, sizes: &BTreeMap<&PoolId, u32>) -> Option<&'a PoolId> {
+    let shortfalls = fleet.config.pools.iter().filter_map(|(id, pool)| {
+        let present = sizes.get(id).copied().unwrap_or(0);
+        let missing = pool.hosts.checked_sub(present).filter(|missing| *missing != 0)?;
+        // In millionths: integers have a total order, and the precision suffices.
+        Some((u64::from(missing) * 1_000_000 / u64::from(pool.hosts), id))
     });
-    lacking.max_by_key(|(share, id)| (*share, std::cmp::Reverse(*id))).map(|(_, id)| id)
+    shortfalls.max_by_key(|(share, id)| (*share, std::cmp::Reverse(*id))).map(|(_, id)| id)
 }
 
-/// Whether a pool lacks hosts that are there and will join it.
+/// Whether a pool lacks hosts and live hosts without a pool are available to join it.
 pub(crate) fn is_filling(fleet: &Fleet, pool: &PoolId) -> bool {
     if fleet.reports.len() <= fleet.hosts.len() {
         return false;
--- a/src/decide/rules.rs
+++ b/src/decide/rules.rs
@@ -1,54 +1,54 @@
-//! The settings that decisions read.
+//! Settings of the decisions.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What a plan weighs: each weight multiplies one of the users' three measures.
+/// Weights of the three cost measures of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Weights {
-    /// Weight of spare capacity held back, for each thousandth of the pool's cores.
+    /// Weight of each thousandth of the pool's cores that is held back as spare capacity.
     pub(crate) buffer: f64,
-    /// Weight of roll-out time, for each second a host of the plan.
+    /// Weight of roll-out time, in seconds per host of the plan.
     pub(crate) time: f64,
-    /// Weight of moves, for each move a host of the plan.
+    /// Weight of task moves, in moves per host of the plan.
     pub(crate) moves: f64,
 }
 
 impl Weights {
-    /// Buffer first: for thin margins.
+    /// Prioritizes little spare capacity: for sites with thin margins.
     pub(crate) const BUFFER_FIRST: Weights = Weights { buffer: 3.0, time: 1.0, moves: 60.0 };
-    /// Moves and roll-out time first: for poor links and no staff on watch.
+    /// Prioritizes few moves and a short roll-out: for sites with poor links and no staff on duty.
     pub(crate) const TIME_FIRST: Weights = Weights { buffer: 0.25, time: 4.0, moves: 240.0 };
 }
 
-/// Bounds that decisions keep to.
+/// Limits that decisions observe.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Rules {
-    /// A list of hosts that is older is not believed: every host in it is unknown.
+    /// A host list of this age or older is ignored: the state of every host is then unknown.
     pub(crate) list_limit: Duration,
-    /// A task that is not ready so long after its start is placed elsewhere.
+    /// A task that is not ready this long after its start is placed elsewhere.
     pub(crate) start_limit: Duration,
-    /// A host that has not become quiet so long after its leave is given back.
+    /// A host that is not quiet this long after its leave is returned to service.
     pub(crate) leave_limit: Duration,
-    /// A host that has not come back from its reboot by then is quarantined.
+    /// A host that has not come back from its reboot within this time is quarantined.
     pub(crate) away_limit: Duration,
     pub(crate) weights: Weights,
-    /// Whether the spare that failures need and the spare that maintenance needs are one and the
-    /// same: a host that is out for a plan comes back in bounded time, and counts as spare.
+    /// Whether failures and maintenance share their spare capacity: a host that is out for a plan
+    /// comes back in bounded time, and counts as spare.
     pub(crate) share_spare: bool,
-    /// How long a leave, a start and a reboot are expected to take, for the estimate of a plan.
+    /// Expected durations, for the cost estimate of a plan.
     pub(crate) expected: Expected,
 }
 
-/// Times that a plan's estimate is made from.
+/// Expected durations that a plan's cost estimate is based on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Expected {
-    /// From a leave until the host is quiet.
+    /// From a leave until the host is quiet, i.e. has no requests in flight.
     pub(crate) quiet: Duration,
-    /// From a move until the task is ready.
+    /// From the placement of a task until it is ready.
     pub(crate) start: Duration,
-    /// From a reboot's command until the host is back.
+    /// From the reboot command until the host is back.
     pub(crate) reboot: Duration,
 }
 
