--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -1,9 +1,8 @@
 //! Availability budgets: which tasks count as unavailable, and whether a host may leave.
 //!
-//! A host may leave only if each service that it carries would stay within its budget even if the
-//! service's worst single failure domain were lost on top of all that is unavailable then. Spare
-//! for random failures and spare for maintenance are one and the same: what a failure takes, no
-//! permit gets.
+//! A host may leave only if every service with tasks on it would stay within its budget even if
+//! the service's largest failure domain were lost in addition. Failures and maintenance draw on the
+//! same budget: tasks lost to a failure leave less of it for permits.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,10 +17,10 @@
     },
 };
 
-/// How a service stands against its budget.
+/// Availability of a service, compared with its budget.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Standing {
-    /// Tasks that count as unavailable, by index.
+    /// Indexes of the tasks that count as unavailable.
     pub(crate) down: BTreeSet<u32>,
     up_by_rack: BTreeMap<RackId, u32>,
     up_by_zone: BTreeMap<ZoneId, u32>,
@@ -29,22 +28,22 @@
     pub(crate) max_down: u32,
 }
 
-/// Why a permit is refused.
+/// A permit would exceed the availability budget.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
-    "service {service}: {out} of its tasks would be out and {reserve} more could be lost with one \
-     failure domain, but its budget is {max_down}"
+    "service {service}: {out} of its tasks would be unavailable and {reserve} more could be lost \
+     with one failure domain, but its budget is {max_down}"
 )]
 pub(crate) struct OverBudget {
     pub(crate) service: ServiceId,
     /// Tasks that would be unavailable.
     pub(crate) out: u32,
-    /// Available tasks in the worst failure domain.
+    /// Available tasks in the largest failure domain.
     pub(crate) reserve: u32,
     pub(crate) max_down: u32,
 }
 
-/// Whether a task is available now. Whatever is not known for certain is not available.
+/// Whether a task is available now. A task whose state is unknown is not.
 pub(crate) fn is_up(fleet: &Fleet, task: &TaskRef, now: Time, rules: &Rules) -> bool {
     let Some(assigned) = fleet.assigned(task) else {
         return false;
@@ -54,7 +53,7 @@
     serving && live && fleet.reported(task).is_some_and(|report| report.ready)
 }
 
-/// How a service stands now.
+/// Computes the current availability of a service.
 pub(crate) fn standing(
     fleet: &Fleet,
     id: &ServiceId,
@@ -62,7 +61,7 @@
     now: Time,
     rules: &Rules,
 ) -> Standing {
-    let mut standing = Standing {
+    let mut status = Standing {
         max_down: service.max_down,
         by_zone: service.survive == Domain::Zone,
         ..Standing::default()
@@ -77,34 +76,35 @@
         let report = fleet.assigned(&task).and_then(|a| fleet.reports.get(&a.host));
         match report {
             Some(report) if up => {
-                *standing.up_by_rack.entry(report.rack.clone()).or_default() += 1;
-                *standing.up_by_zone.entry(report.zone.clone()).or_default() += 1;
+                *status.up_by_rack.entry(report.rack.clone()).or_default() += 1;
+                *status.up_by_zone.entry(report.zone.clone()).or_default() += 1;
             }
             _ => {
-                standing.down.insert(index);
+                status.down.insert(index);
             }
         }
     }
-    standing
+    status
 }
 
 impl Standing {
-    /// Available tasks in the failure domain that holds the most of them.
+    /// Available tasks in the failure domain that holds the most of them: the reserve that the
+    /// budget must cover.
     pub(crate) fn reserve(&self) -> u32 {
         let rack = self.up_by_rack.values().copied().max().unwrap_or(0);
         let zone = self.up_by_zone.values().copied().max().unwrap_or(0);
         if self.by_zone { zone.max(rack) } else { rack }
     }
 
-    /// Whether a rack or zone is the failure domain that the reserve is for.
-    pub(crate) fn is_worst(&self, rack: &RackId, zone: &ZoneId) -> bool {
+    /// Whether a rack or zone is the failure domain that determines the reserve.
+    pub(crate) fn is_worst_domain(&self, rack: &RackId, zone: &ZoneId) -> bool {
         let reserve = self.reserve();
         let rack = self.up_by_rack.get(rack).copied().unwrap_or(0);
         let zone = self.up_by_zone.get(zone).copied().unwrap_or(0);
         rack == reserve || (self.by_zone && zone == reserve)
     }
 
-    /// Available tasks in the domain of a rack and zone if one more were there.
+    /// Available tasks in the failure domain of a rack and zone if one more task were placed there.
     pub(crate) fn reserve_with(&self, rack: &RackId, zone: &ZoneId) -> u32 {
         let rack = self.up_by_rack.get(rack).copied().unwrap_or(0) + 1;
         let zone = self.up_by_zone.get(zone).copied().unwrap_or(0) + 1;
@@ -116,7 +116,8 @@
         self.down.len() as u32 <= self.max_down
     }
 
-    /// How the service would stand if its tasks on a host left, and whether that is allowed.
+    /// Returns the status without the tasks on a host, or an error if the budget does not allow
+    /// that.
     pub(crate) fn without(
         &self,
         fleet: &Fleet,
@@ -126,11 +127,11 @@
         rules: &Rules,
     ) -> Result<Standing, OverBudget> {
         let mut next = self.clone();
-        let mut taken = false;
+        let mut was_up = false;
         for task in fleet.tasks_on(host).iter().filter(|task| task.service == *id) {
-            next.take(fleet, host, task.index);
-            // A task with a permit counts as down already, but is really taken only now.
-            taken |= is_up(fleet, task, now, rules);
+            next.mark_down(fleet, host, task.index);
+            // A task with a permit already counts as down, but may still be up.
+            was_up |= is_up(fleet, task, now, rules);
         }
         let over = OverBudget {
             service: id.clone(),
@@ -138,14 +139,14 @@
             reserve: next.reserve(),
             max_down: self.max_down,
         };
-        // A host whose tasks are all down already takes nothing from the budget.
-        if taken && over.max_down < over.out + over.reserve {
+        // A host whose tasks are all down already does not use any budget.
+        if was_up && over.max_down < over.out + over.reserve {
             return Err(over);
         }
         Ok(next)
     }
 
-    fn take(&mut self, fleet: &Fleet, host: &HostId, index: u32) {
+    fn mark_down(&mut self, fleet: &Fleet, host: &HostId, index: u32) {
         if !self.down.insert(index) {
             return;
         }
@@ -159,7 +160,7 @@
     }
 }
 
-/// The services that have tasks on a host, in sorted order.
+/// The services that have tasks on a host, sorted.
 pub(crate) fn services_on(fleet: &Fleet, host: &HostId) -> BTreeSet<ServiceId> {
     fleet.tasks_on(host).iter().map(|task| task.service.clone()).collect()
 }
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -1,4 +1,4 @@
-//! Placement: the host that a task should run on.
+//! Placement: selects the host for a task.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -18,54 +18,53 @@
 pub(crate) enum NoHost {
     #[error("no host of pool {pool} is large enough even when empty: a task needs {need}")]
     NeverFits { pool: String, need: String },
-    #[error("no serving host of pool {pool} has room now: a task needs {need}")]
-    NoRoom { pool: String, need: String },
+    #[error("no serving host of pool {pool} has enough free capacity now: a task needs {need}")]
+    NoCapacity { pool: String, need: String },
 }
 
-/// The state of placement while several tasks are placed at one time: what the fleet holds, and
-/// what was placed since.
+/// Places several tasks against one state of the fleet, and counts those that it has placed.
 pub(crate) struct Placer<'a> {
     fleet: &'a Fleet,
     now: Time,
     rules: &'a Rules,
-    added: HashMap<HostId, Resources>,
-    placed: HashMap<(ServiceId, RackId), i64>,
-    zoned: HashMap<(ServiceId, ZoneId), i64>,
-    avoid: BTreeSet<HostId>,
+    added_load: HashMap<HostId, Resources>,
+    added_by_rack: HashMap<(ServiceId, RackId), i64>,
+    added_by_zone: HashMap<(ServiceId, ZoneId), i64>,
+    excluded: BTreeSet<HostId>,
 }
 
 impl<'a> Placer<'a> {
-    /// Starts from what the fleet holds.
+    /// Creates a placer that has placed nothing yet.
     pub(crate) fn new(fleet: &'a Fleet, now: Time, rules: &'a Rules) -> Placer<'a> {
         Placer {
             fleet,
             now,
             rules,
-            added: HashMap::new(),
-            placed: HashMap::new(),
-            zoned: HashMap::new(),
-            avoid: BTreeSet::new(),
+            added_load: HashMap::new(),
+            added_by_rack: HashMap::new(),
+            added_by_zone: HashMap::new(),
+            excluded: BTreeSet::new(),
         }
     }
 
-    /// Places no task on this host from now on.
-    pub(crate) fn avoid(&mut self, host: &HostId) {
-        self.avoid.insert(host.clone());
+    /// Excludes a host from later placements.
+    pub(crate) fn exclude(&mut self, host: &HostId) {
+        self.excluded.insert(host.clone());
     }
 
-    /// The best host for a task of a service, other than `from`, and counts the task there.
+    /// Selects the best host other than `from` for a task of a service, and counts the task there.
     pub(crate) fn place(
         &mut self,
         id: &ServiceId,
         service: &Service,
         from: Option<&HostId>,
     ) -> Result<HostId, NoHost> {
-        let by_rack = self.spread(id, from);
-        // One failure domain's tasks, and one more that is out, must stay within the budget.
-        let most_a_rack = i64::from(service.max_down.saturating_sub(1).max(1));
+        let counts = self.spread(id, from);
+        // The loss of one rack and one more unavailable task must stay within the budget.
+        let max_per_rack = i64::from(service.max_down.saturating_sub(1).max(1));
         let mut best = None;
         for host in self.fleet.hosts_of(&service.pool) {
-            if from == Some(host) || self.avoid.contains(host) {
+            if from == Some(host) || self.excluded.contains(host) {
                 continue;
             }
             let Some(free) = self.free(host) else {
@@ -75,14 +74,14 @@
                 continue;
             }
             let report = &self.fleet.reports[host];
-            let rack = by_rack.0.get(&report.rack).copied().unwrap_or(0);
-            let zone = by_rack.1.get(&report.zone).copied().unwrap_or(0);
-            let left = free.less(service.need).cores;
-            // What the budget survives comes first, then no second move, then spread, then the
-            // most room left.
-            let crowded = most_a_rack < rack + 1;
+            let rack = counts.0.get(&report.rack).copied().unwrap_or(0);
+            let zone = counts.1.get(&report.zone).copied().unwrap_or(0);
+            let remaining = free.less(service.need).cores;
+            // In order of preference: the rack limit holds, the task need not move again for a
+            // running plan, the service is spread over racks and zones, the most CPU remains free.
+            let crowded = max_per_rack < rack + 1;
             let pending = self.fleet.is_pending(host);
-            let rank = (crowded, pending, rack, zone, std::cmp::Reverse(left), host);
+            let rank = (crowded, pending, rack, zone, std::cmp::Reverse(remaining), host);
             if best.as_ref().is_none_or(|best| rank < *best) {
                 best = Some(rank);
             }
@@ -97,24 +96,24 @@
 
     fn count(&mut self, id: &ServiceId, service: &Service, host: &HostId) {
         let report = &self.fleet.reports[host];
-        let added = self.added.entry(host.clone()).or_default();
+        let added = self.added_load.entry(host.clone()).or_default();
         *added = added.plus(service.need);
-        *self.placed.entry((id.clone(), report.rack.clone())).or_default() += 1;
-        *self.zoned.entry((id.clone(), report.zone.clone())).or_default() += 1;
+        *self.added_by_rack.entry((id.clone(), report.rack.clone())).or_default() += 1;
+        *self.added_by_zone.entry((id.clone(), report.zone.clone())).or_default() += 1;
     }
 
-    /// Room on a host that may take tasks; nothing if it may not.
+    /// Free resources of a host, or `None` if it may not take tasks.
     fn free(&self, host: &HostId) -> Option<Resources> {
         let record = self.fleet.hosts.get(host)?;
         let report = self.fleet.reports.get(host)?;
-        let open = record.state == HostState::Serving
+        let eligible = record.state == HostState::Serving
             && self.fleet.is_live(host, self.now, self.rules.list_limit)
             && !self.fleet.is_permitted(host);
-        let added = self.added.get(host).copied().unwrap_or_default();
-        open.then(|| report.capacity.less(self.fleet.used(host)).less(added))
+        let added = self.added_load.get(host).copied().unwrap_or_default();
+        eligible.then(|| report.capacity.less(self.fleet.used(host)).less(added))
     }
 
-    /// How many tasks of the service each rack and zone holds, without the one on `from`.
+    /// Tasks of the service per rack and zone, without those on `from`.
     fn spread(
         &self,
         id: &ServiceId,
@@ -133,12 +132,12 @@
             *racks.entry(report.rack.clone()).or_default() += 1;
             *zones.entry(report.zone.clone()).or_default() += 1;
         }
-        for ((service, rack), count) in &self.placed {
+        for ((service, rack), count) in &self.added_by_rack {
             if service == id {
                 *racks.entry(rack.clone()).or_default() += count;
             }
         }
-        for ((service, zone), count) in &self.zoned {
+        for ((service, zone), count) in &self.added_by_zone {
             if service == id {
                 *zones.entry(zone.clone()).or_default() += count;
             }
@@ -149,16 +148,16 @@
     fn no_host(&self, service: &Service) -> NoHost {
         let pool = service.pool.to_string();
         let Resources { cores, memory, accelerators } = service.need;
-        let need = format!("{cores} of processor, {memory}, {accelerators} accelerators");
+        let need = format!("{cores} of CPU, {memory} of memory, {accelerators} accelerators");
         if fits_some_empty_host(self.fleet, service) {
-            NoHost::NoRoom { pool, need }
+            NoHost::NoCapacity { pool, need }
         } else {
             NoHost::NeverFits { pool, need }
         }
     }
 }
 
-/// Whether any host of a service's pool could hold one of its tasks if it were empty.
+/// Whether any host of a service's pool could hold one of its tasks if the host were empty.
 pub(crate) fn fits_some_empty_host(fleet: &Fleet, service: &Service) -> bool {
     let mut capacities = fleet.hosts_of(&service.pool).filter_map(|host| fleet.reports.get(host));
     capacities.any(|report| report.capacity.fits(service.need))
--- a/src/decide/repair.rs
+++ b/src/decide/repair.rs
@@ -1,7 +1,7 @@
-//! Care for one service's tasks: those that have no host, or whose host or start failed, are placed
-//! elsewhere; successors that are ready take their tasks' places; and a service that could not
-//! survive the loss of a failure domain is spread, by successors. Nothing here takes an available
-//! task out.
+//! Repair of one service's tasks. Tasks without a host, or whose host or start has failed, are
+//! placed elsewhere; ready successors replace their tasks; and a service whose budget does not
+//! cover the loss of its largest failure domain is spread out by successors. Repair never takes an
+//! available task down.
 
 use std::collections::BTreeMap;
 
@@ -17,24 +17,25 @@
     },
 };
 
-/// New hosts for tasks of one service, by index.
+/// New hosts of one service's tasks, by task index.
 pub(crate) type Moves = BTreeMap<u32, HostId>;
 
-/// What one service needs now.
+/// Changes that one service needs now.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Repair {
-    /// Tasks to be placed on new hosts, because they run nowhere.
+    /// Tasks to place on new hosts, because they run nowhere.
     pub(crate) moves: Moves,
-    /// Tasks whose successors take their places.
+    /// Tasks to replace by their successors.
     pub(crate) swaps: Vec<u32>,
-    /// Tasks of which a successor is to start, in place of one that failed or to spread.
+    /// Tasks that need a new successor, to replace one that failed or to spread the service.
     pub(crate) successors: Moves,
-    /// Why tasks found no host.
+    /// Why tasks could not be placed.
     pub(crate) refused: Vec<String>,
 }
 
 impl Repair {
-    /// The hosts at which tasks are to run by it, which must take tasks still.
+    /// The hosts on which tasks are to run after the repair: these must still accept tasks when it
+    /// is written.
     pub(crate) fn targets<'a>(
         &'a self,
         fleet: &'a Fleet,
@@ -46,40 +47,45 @@
         placed.chain(swapped.map(|successor| &successor.to.host))
     }
 
-    /// Whether nothing is to be written.
+    /// Whether there is nothing to write.
     pub(crate) fn is_empty(&self) -> bool {
         self.moves.is_empty() && self.swaps.is_empty() && self.successors.is_empty()
     }
 }
 
-/// What one service needs now.
+/// Computes the changes that one service needs now.
 pub(crate) fn repair(fleet: &Fleet, id: &ServiceId, now: Time, rules: &Rules) -> Repair {
     let mut repair = Repair::default();
     let Some(service) = fleet.service(id) else { return repair };
     let mut placer = None;
     for index in 0..service.tasks {
         let task = TaskRef { service: id.clone(), index };
-        let broken = is_broken(fleet, &task, service, now, rules);
+        let failed = has_failed(fleet, &task, service, now, rules);
         let successor = fleet.successor(&task).map(|successor| &successor.to);
         match successor {
-            // A successor that is no worse takes the place of what is broken at once.
+            // A successor replaces its task when it is ready, unless its host is closing. A failed
+            // task is replaced at once, also by a successor that is still starting.
             Some(to)
-                if is_ready(fleet, &task, to, now, rules) && (broken || !leaves(fleet, to)) =>
+                if is_ready(fleet, &task, to, now, rules)
+                    && (failed || !is_on_closing_host(fleet, to)) =>
             {
                 repair.swaps.push(index);
             }
-            Some(to) if broken && !is_lost(fleet, &task, to, now, rules) => {
+            Some(to) if failed && !start_has_failed(fleet, &task, to, now, rules) => {
                 repair.swaps.push(index);
             }
-            // One that is to start on a host that leaves would have to move on with it.
-            Some(to) if !broken && !is_lost(fleet, &task, to, now, rules) && !leaves(fleet, to) => {
-            }
-            None if !broken => {}
+            // Wait for a starting successor, unless its host is closing: it would have to move
+            // again.
+            Some(to)
+                if !failed
+                    && !start_has_failed(fleet, &task, to, now, rules)
+                    && !is_on_closing_host(fleet, to) => {}
+            None if !failed => {}
             _ => {
                 let placer = placer.get_or_insert_with(|| Placer::new(fleet, now, rules));
                 let from = fleet.assigned(&task).map(|assigned| &assigned.host);
                 match placer.place(id, service, from) {
-                    Ok(host) if broken => drop(repair.moves.insert(index, host)),
+                    Ok(host) if failed => drop(repair.moves.insert(index, host)),
                     Ok(host) => drop(repair.successors.insert(index, host)),
                     Err(error) => repair.refused.push(format!("task {id}/{index}: {error}")),
                 }
@@ -92,71 +98,78 @@
     repair
 }
 
-/// Whether a start of a task is on a host that a plan is about to take away.
-fn leaves(fleet: &Fleet, at: &Assigned) -> bool {
+/// Whether a start of a task is on a host that a plan is closing.
+fn is_on_closing_host(fleet: &Fleet, at: &Assigned) -> bool {
     fleet.hosts.get(&at.host).is_some_and(|host| host.state == HostState::Closing)
 }
 
-/// Whether a start of a task answers, where it may.
+/// Whether a start of a task is ready on a live host that serves.
 fn is_ready(fleet: &Fleet, task: &TaskRef, at: &Assigned, now: Time, rules: &Rules) -> bool {
     let serves = fleet.hosts.get(&at.host).is_some_and(|host| host.state.serves());
     let live = fleet.is_live(&at.host, now, rules.list_limit);
     serves && live && fleet.reported_at(task, at).is_some_and(|report| report.ready)
 }
 
-/// Whether a start of a task has failed for good.
-fn is_lost(fleet: &Fleet, task: &TaskRef, at: &Assigned, now: Time, rules: &Rules) -> bool {
+/// Whether a start of a task has failed: its host is dead or out, or it is not ready in time.
+fn start_has_failed(
+    fleet: &Fleet,
+    task: &TaskRef,
+    at: &Assigned,
+    now: Time,
+    rules: &Rules,
+) -> bool {
     let Some(record) = fleet.hosts.get(&at.host) else { return true };
     if fleet.is_dead(&at.host, now, rules.list_limit) || !record.state.serves() {
         return true;
     }
-    // A list that cannot be read says nothing of a task.
+    // Without a current host list, the state of the task is unknown.
     let live = fleet.is_live(&at.host, now, rules.list_limit);
-    let late = rules.start_limit < now.since(at.since);
-    live && late && !fleet.reported_at(task, at).is_some_and(|report| report.ready)
+    let overdue = rules.start_limit < now.since(at.since);
+    live && overdue && !fleet.reported_at(task, at).is_some_and(|report| report.ready)
 }
 
-/// Whether a task must be placed elsewhere for a failure's sake.
-fn is_broken(fleet: &Fleet, task: &TaskRef, service: &Service, now: Time, rules: &Rules) -> bool {
+/// Whether a task has no host, or must be replaced because of a failure.
+fn has_failed(fleet: &Fleet, task: &TaskRef, service: &Service, now: Time, rules: &Rules) -> bool {
     let Some(assigned) = fleet.assigned(task) else {
-        // While hosts still join the pool, the first ones would get all of the tasks.
+        // While hosts are still joining the pool, the first ones would get all of the tasks.
         return !pools::is_filling(fleet, &service.pool);
     };
     let state = fleet.hosts.get(&assigned.host).map(|record| record.state);
     let dead = fleet.is_dead(&assigned.host, now, rules.list_limit);
-    // The plan that holds a leaving host moves its tasks when it is quiet.
+    // The plan that holds a leaving host moves its tasks once the host is quiet.
     if state == Some(HostState::Leaving) && !dead {
         return false;
     }
-    is_lost(fleet, task, assigned, now, rules)
+    start_has_failed(fleet, task, assigned, now, rules)
 }
 
-/// One successor, if a service could not survive its worst failure domain and another place is
-/// better. One at a time: each changes what the next should be.
+/// Returns one successor to start if a service's budget does not cover the loss of its largest
+/// failure domain and another host would reduce that loss. One at a time, because each changes
+/// which task should move next.
 fn spread(fleet: &Fleet, id: &ServiceId, service: &Service, now: Time, rules: &Rules) -> Moves {
     let none = Moves::new();
-    let standing = budget::standing(fleet, id, service, now, rules);
-    // Services without successors also need room for a permit.
+    let status = budget::standing(fleet, id, service, now, rules);
+    // Services without successors also need budget for one permit.
     let permit = u32::from(!service.surge);
-    let needed = standing.down.len() as u32 + standing.reserve() + permit;
-    let moving = fleet.placements.get(id).is_some_and(|p| !p.successors.is_empty());
-    if needed <= standing.max_down || moving || pools::is_filling(fleet, &service.pool) {
+    let needed = status.down.len() as u32 + status.reserve() + permit;
+    let has_successors = fleet.placements.get(id).is_some_and(|p| !p.successors.is_empty());
+    if needed <= status.max_down || has_successors || pools::is_filling(fleet, &service.pool) {
         return none;
     }
-    let in_worst = |index: &u32| {
+    let in_worst_domain = |index: &u32| {
         let assigned = fleet.assigned(&TaskRef { service: id.clone(), index: *index });
         let report = assigned.and_then(|assigned| fleet.reports.get(&assigned.host));
-        report.is_some_and(|report| standing.is_worst(&report.rack, &report.zone))
+        report.is_some_and(|report| status.is_worst_domain(&report.rack, &report.zone))
     };
-    let mut up = (0..service.tasks).filter(|index| !standing.down.contains(index));
-    let Some(index) = up.rfind(in_worst) else { return none };
+    let mut up = (0..service.tasks).filter(|index| !status.down.contains(index));
+    let Some(index) = up.rfind(in_worst_domain) else { return none };
     let task = TaskRef { service: id.clone(), index };
     let Some(from) = fleet.assigned(&task).map(|assigned| &assigned.host) else { return none };
     let Ok(to) = Placer::new(fleet, now, rules).place(id, service, Some(from)) else {
         return none;
     };
     let Some(report) = fleet.reports.get(&to) else { return none };
-    if standing.reserve() <= standing.reserve_with(&report.rack, &report.zone) {
+    if status.reserve() <= status.reserve_with(&report.rack, &report.zone) {
         return none;
     }
     Moves::from([(index, to)])
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -1,12 +1,13 @@
-//! Waves: the next steps of a plan. Each step is one conditional write, so that a step done twice,
-//! or by a node that was away, is refused by the store.
+//! Waves: computes the next steps of a plan. Each step is one conditional write, so the store
+//! rejects a step that is repeated, or that a node with a stale view takes.
 //!
-//! A host closes when there is room for its tasks elsewhere: it gets no new ones, and successors
-//! of those that it has start on other hosts and take their places when they are ready. Tasks
-//! whose service allows no successor need a permit of its budget, and move when the host is quiet.
-//! A host leaves when it holds no other tasks, reboots when it is quiet and empty, and serves
-//! again when its worker reports the reboot. Where a host is, its own record says: the plan's
-//! record is written only when its state changes.
+//! A host closes when other hosts have capacity for its tasks: it gets no new tasks, and successors
+//! of its tasks start on other hosts and replace them when ready. Tasks whose service does not
+//! allow successors need a permit from the service's budget, and move once the host is quiet, i.e.
+//! no node has requests in flight there. A host leaves when it holds no other tasks, reboots when
+//! it is quiet and empty, and serves again when its worker reports the reboot. The progress of a
+//! host is stored in its own record; the plan's record is written only when the plan's state
+//! changes.
 
 mod scene;
 mod step;
@@ -22,7 +23,7 @@
         place::NoHost,
         repair::Moves,
         rules::Rules,
-        wave::scene::Scene,
+        wave::scene::RoundCapacity,
     },
     model::{
         fleet::Fleet,
@@ -40,77 +41,77 @@
 
 /// Why a host makes no progress now.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub(crate) enum Wait {
-    #[error("the plan has as many hosts out as it may")]
-    Others,
+pub(crate) enum WaitReason {
+    #[error("the plan already has the maximum number of hosts out")]
+    MaxOut,
     #[error("an earlier batch is not finished")]
-    Batch,
+    EarlierBatch,
     #[error("the platform's list of hosts cannot be read")]
-    Unheard,
+    StaleHostList,
     #[error("its worker does not report")]
-    Silent,
+    NotReporting,
     #[error("another plan holds it")]
-    Held,
+    OtherPlan,
     #[error(transparent)]
     Budget(#[from] OverBudget),
     #[error(transparent)]
-    Room(#[from] NoHost),
-    #[error("successors of other tasks are to start on it")]
-    Coming,
+    Placement(#[from] NoHost),
+    #[error("successors of other tasks are assigned to it")]
+    IncomingTasks,
     #[error("its tasks would have to move twice")]
-    Twice,
-    #[error("too little room would be left to take in the worst rack of the pool")]
-    Reserve,
+    SecondMove,
+    #[error("too little free capacity would remain to absorb the loss of a rack of the pool")]
+    RackReserve,
 }
 
-/// A frugal plan's first batch is one in so many of its hosts.
-const FIRST_BATCH: u32 = 10;
+/// The first batch of a frugal plan has one in this many of its hosts.
+const FIRST_BATCH_DIVISOR: u32 = 10;
 
-/// What is known when a plan's next steps are worked out.
+/// Inputs for computing a plan's next steps.
 pub(crate) struct Outlook<'a> {
     pub(crate) fleet: &'a Fleet,
-    /// Whether every node has acknowledged that it sends nothing to a host of that epoch and has
-    /// nothing in flight there.
+    /// Whether every node has acknowledged that it sends no requests to a host at this epoch and
+    /// has none in flight there.
     pub(crate) is_quiet: &'a dyn Fn(&HostId, Epoch) -> bool,
     pub(crate) now: Time,
     pub(crate) rules: &'a Rules,
 }
 
-/// The next steps of one pool of a plan, and why hosts wait.
+/// Computes the next steps of one pool of a plan, and why hosts wait.
 pub(crate) fn advance(
-    outlook: &Outlook<'_>,
+    context: &Outlook<'_>,
     plan: &Plan,
     pool: &PoolId,
-) -> (Vec<Step>, BTreeMap<HostId, Wait>) {
+) -> (Vec<Step>, BTreeMap<HostId, WaitReason>) {
     let Some(part) = plan.pools.get(pool) else { return Default::default() };
-    // Tasks that are not known to be up would count as down already, and as free to take.
-    if !outlook.fleet.is_heard(outlook.now, outlook.rules.list_limit) {
-        let waiting = part.hosts().map(|host| (host.clone(), Wait::Unheard)).collect();
+    // Without a current host list all tasks count as down, and taking them would use no budget.
+    if !context.fleet.is_heard(context.now, context.rules.list_limit) {
+        let waiting = part.hosts().map(|host| (host.clone(), WaitReason::StaleHostList)).collect();
         return (Vec::new(), waiting);
     }
     let mut round =
-        Round { outlook, plan, part, scene: None, steps: Vec::new(), waiting: BTreeMap::new() };
+        Round { context, plan, part, capacity: None, steps: Vec::new(), waiting: BTreeMap::new() };
     for host in part.hosts() {
-        let Some(record) = outlook.fleet.hosts.get(host) else { continue };
+        let Some(record) = context.fleet.hosts.get(host) else { continue };
         if record.plan.as_ref() == Some(&plan.id) {
-            round.carry_on(host, record);
+            round.advance_host(host, record);
         } else {
-            round.steps.extend(give_back(outlook.fleet, plan, host));
+            round.steps.extend(release_steps(context.fleet, plan, host));
         }
     }
     if plan.state == PlanState::Running {
-        round.start();
+        round.start_hosts();
     }
     (round.steps, round.waiting)
 }
 
-/// Whether nothing is left to do for a plan, so that it may be marked done or forgotten.
+/// Whether a plan has nothing left to do, so that it may be marked done or deleted.
 pub(crate) fn is_finished(fleet: &Fleet, plan: &Plan) -> bool {
     let ended = |host: &HostId| {
         let Some(record) = fleet.hosts.get(host) else { return true };
         let held = record.plan.as_ref() == Some(&plan.id);
-        let left = plan.state == PlanState::Running && !is_ended(plan, record);
-        !held && !left && held_by(fleet, plan, host).is_empty()
+        let unfinished = plan.state == PlanState::Running && !is_ended(plan, record);
+        !held && !unfinished && held_by(fleet, plan, host).is_empty()
     };
     plan.hosts().all(ended)
 }
@@ -119,15 +120,16 @@
     record.outcome(&plan.id).is_some()
 }
 
-/// Services of which the plan holds a permit for a host, or successors of tasks there.
+/// Services whose permits for a host the plan holds, or for whose tasks there it has started
+/// successors.
 fn held_by(fleet: &Fleet, plan: &Plan, host: &HostId) -> BTreeSet<ServiceId> {
     let permits = permits_of(fleet, plan, host);
     let tasks = fleet.tasks_on(host).iter();
-    let succeeded = tasks.filter(|task| {
+    let with_successor = tasks.filter(|task| {
         let successor = fleet.successor(task);
         successor.is_some_and(|successor| successor.plan.as_ref() == Some(&plan.id))
     });
-    permits.into_iter().chain(succeeded.map(|task| task.service.clone())).collect()
+    permits.into_iter().chain(with_successor.map(|task| task.service.clone())).collect()
 }
 
 fn permits_of(fleet: &Fleet, plan: &Plan, host: &HostId) -> BTreeSet<ServiceId> {
@@ -138,48 +140,48 @@
     fleet.permits_for(host).filter(is_own).cloned().collect()
 }
 
-fn give_back(fleet: &Fleet, plan: &Plan, host: &HostId) -> Vec<Step> {
+fn release_steps(fleet: &Fleet, plan: &Plan, host: &HostId) -> Vec<Step> {
     let services = held_by(fleet, plan, host).into_iter();
     services.map(|service| Step::GiveBack { host: host.clone(), service }).collect()
 }
 
-/// One look at a pool's part of a plan.
+/// One round of decisions for a pool's part of a plan.
 struct Round<'a> {
-    outlook: &'a Outlook<'a>,
+    context: &'a Outlook<'a>,
     plan: &'a Plan,
     part: &'a PoolPlan,
-    scene: Option<Scene<'a>>,
+    capacity: Option<RoundCapacity<'a>>,
     steps: Vec<Step>,
-    waiting: BTreeMap<HostId, Wait>,
+    waiting: BTreeMap<HostId, WaitReason>,
 }
 
 impl<'a> Round<'a> {
     /// The next steps for a host that the plan holds.
-    fn carry_on(&mut self, host: &HostId, record: &HostRecord) {
-        let Outlook { fleet, now, rules, .. } = *self.outlook;
+    fn advance_host(&mut self, host: &HostId, record: &HostRecord) {
+        let Outlook { fleet, now, rules, .. } = *self.context;
         let spent = now.since(record.since);
         let cancelled = self.plan.state == PlanState::Cancelled;
         match record.state {
-            HostState::Away => self.away(host, record),
+            HostState::Away => self.advance_away(host, record),
             HostState::Closing | HostState::Leaving if cancelled => {
                 self.skip(host, "the plan was cancelled".to_owned());
             }
             HostState::Closing if rules.start_limit + rules.leave_limit < spent => {
                 let limit = humantime::format_duration(rules.start_limit + rules.leave_limit);
-                let wait = self.closing_wait(host);
-                self.skip(host, format!("it was not empty within {limit}{wait}"));
+                let budget = self.budget_suffix(host);
+                self.skip(host, format!("it was not empty within {limit}{budget}"));
             }
-            HostState::Closing => self.closing(host),
-            HostState::Leaving => self.leaving(host, record),
+            HostState::Closing => self.advance_closing(host),
+            HostState::Leaving => self.advance_leaving(host, record),
             HostState::Serving | HostState::Quarantined => {
-                self.steps.extend(give_back(fleet, self.plan, host));
+                self.steps.extend(release_steps(fleet, self.plan, host));
             }
         }
     }
 
-    fn closing_wait(&mut self, host: &HostId) -> String {
-        let budget = self.scene().admit_budget(host).err().map(Wait::from);
-        budget.map(|wait| format!(": {wait}")).unwrap_or_default()
+    fn budget_suffix(&mut self, host: &HostId) -> String {
+        let budget = self.capacity().admit_budget(host).err().map(WaitReason::from);
+        budget.map(|reason| format!(": {reason}")).unwrap_or_default()
     }
 
     fn skip(&mut self, host: &HostId, reason: String) {
@@ -187,13 +189,13 @@
         self.steps.push(Step::Return { host: host.clone(), outcome });
     }
 
-    fn scene(&mut self) -> &mut Scene<'a> {
-        let (outlook, part) = (self.outlook, self.part);
-        self.scene.get_or_insert_with(|| Scene::new(outlook, part))
+    fn capacity(&mut self) -> &mut RoundCapacity<'a> {
+        let (context, part) = (self.context, self.part);
+        self.capacity.get_or_insert_with(|| RoundCapacity::new(context, part))
     }
 
-    fn away(&mut self, host: &HostId, record: &HostRecord) {
-        let Outlook { fleet, now, rules, .. } = *self.outlook;
+    fn advance_away(&mut self, host: &HostId, record: &HostRecord) {
+        let Outlook { fleet, now, rules, .. } = *self.context;
         let report = fleet.reports.get(host);
         if report.is_some_and(|report| record.epoch <= report.booted && report.live) {
             let outcome = HostOutcome::Done;
@@ -205,9 +207,10 @@
         }
     }
 
-    /// Starts successors; when none is needed any more, takes permits for the rest and leaves.
-    fn closing(&mut self, host: &HostId) {
-        let fleet = self.outlook.fleet;
+    /// Starts successors. Once only tasks of services without successors remain, takes permits for
+    /// them and leaves.
+    fn advance_closing(&mut self, host: &HostId) {
+        let fleet = self.context.fleet;
         let mut missing: BTreeMap<ServiceId, Moves> = BTreeMap::new();
         let mut surging = false;
         for task in fleet.tasks_on(host) {
@@ -216,7 +219,7 @@
             if fleet.successor(task).is_some() {
                 continue;
             }
-            match self.scene().placer.place(&task.service, service, Some(host)) {
+            match self.capacity().placer.place(&task.service, service, Some(host)) {
                 Ok(target) => {
                     let moves = missing.entry(task.service.clone()).or_default();
                     moves.insert(task.index, target);
@@ -232,36 +235,36 @@
             return;
         }
         if !fleet.coming_to(host).is_empty() {
-            self.steps.extend(give_back(fleet, self.plan, host));
-            self.waiting.insert(host.clone(), Wait::Coming);
+            self.steps.extend(release_steps(fleet, self.plan, host));
+            self.waiting.insert(host.clone(), WaitReason::IncomingTasks);
             return;
         }
-        match self.scene().admit_budget(host) {
+        match self.capacity().admit_budget(host) {
             Ok(()) => {
                 let held = permits_of(fleet, self.plan, host);
                 let services = budget::services_on(fleet, host).into_iter();
-                // Sorted order keeps two plans from waiting for each other's permits.
+                // The sorted order prevents deadlocks between plans that need the same permits.
                 let permit = |service| Step::Permit { host: host.clone(), service };
                 self.steps.extend(services.filter(|s| !held.contains(s)).map(permit));
                 self.steps.push(Step::Leave { host: host.clone() });
             }
             Err(over) => {
-                // Permits that wait for others would hold up other plans.
-                self.steps.extend(give_back(fleet, self.plan, host));
+                // Permits held while waiting for others would block other plans.
+                self.steps.extend(release_steps(fleet, self.plan, host));
                 self.waiting.insert(host.clone(), over.into());
             }
         }
     }
 
-    fn leaving(&mut self, host: &HostId, record: &HostRecord) {
-        let Outlook { fleet, is_quiet, now, rules } = *self.outlook;
+    fn advance_leaving(&mut self, host: &HostId, record: &HostRecord) {
+        let Outlook { fleet, is_quiet, now, rules } = *self.context;
         let report = fleet.reports.get(host);
         let dead = fleet.is_dead(host, now, rules.list_limit);
         let worker_quiet =
             report.is_some_and(|report| record.epoch <= report.epoch && report.in_flight() == 0);
         let quiet = dead || (worker_quiet && is_quiet(host, record.epoch));
         if quiet && fleet.tasks_on(host).is_empty() {
-            self.steps.extend(give_back(fleet, self.plan, host));
+            self.steps.extend(release_steps(fleet, self.plan, host));
             let host = host.clone();
             self.steps.push(match &self.plan.intent.action {
                 Action::Drain => Step::Away { host },
@@ -273,17 +276,17 @@
             let limit = humantime::format_duration(rules.leave_limit);
             self.skip(host, format!("{reason} within {limit}"));
         } else if quiet {
-            self.move_off(host);
+            self.move_tasks(host);
         }
     }
 
-    /// Moves the tasks of a quiet host, one write a service.
-    fn move_off(&mut self, host: &HostId) {
-        let fleet = self.outlook.fleet;
+    /// Moves the tasks off a quiet host, with one write per service.
+    fn move_tasks(&mut self, host: &HostId) {
+        let fleet = self.context.fleet;
         let mut by_service: BTreeMap<ServiceId, Moves> = BTreeMap::new();
         for task in fleet.tasks_on(host) {
             let Some(service) = fleet.service(&task.service) else { continue };
-            if let Ok(target) = self.scene().placer.place(&task.service, service, Some(host)) {
+            if let Ok(target) = self.capacity().placer.place(&task.service, service, Some(host)) {
                 by_service.entry(task.service.clone()).or_default().insert(task.index, target);
             }
         }
@@ -291,14 +294,14 @@
         self.steps.extend(by_service.into_iter().map(step));
     }
 
-    /// Starts as many hosts as room and the plan's bound allow now.
-    fn start(&mut self) {
-        let Outlook { fleet, now, rules, .. } = *self.outlook;
-        let mut out = self.count_out();
-        let idle = out == 0;
-        let first = self.first_batch();
-        let most = first.unwrap_or(u32::MAX).min(self.part.max_out);
-        let mut blocked = false;
+    /// Starts as many hosts as the free capacity and the plan's limit allow.
+    fn start_hosts(&mut self) {
+        let Outlook { fleet, now, rules, .. } = *self.context;
+        let mut out = self.hosts_out();
+        let none_out = out == 0;
+        let first_limit = self.first_batch_limit();
+        let limit = first_limit.unwrap_or(u32::MAX).min(self.part.max_out);
+        let mut batch_blocked = false;
         for batch in &self.part.batches {
             let mut unfinished = false;
             for host in batch {
@@ -310,23 +313,23 @@
                 if record.plan.as_ref() == Some(&self.plan.id) {
                     continue;
                 }
-                if let Some(other) = self.done_by_another(record) {
+                if let Some(other) = self.completed_by(record) {
                     self.skip(host, format!("plan {other} did it meanwhile"));
                     continue;
                 }
                 let live = fleet.is_live(host, now, rules.list_limit);
                 let wait = if record.plan.is_some() || record.state != HostState::Serving {
-                    Some(Wait::Held)
+                    Some(WaitReason::OtherPlan)
                 } else if !live {
-                    Some(Wait::Silent)
-                } else if blocked {
-                    Some(Wait::Batch)
-                } else if most <= out {
-                    Some(Wait::Others)
+                    Some(WaitReason::NotReporting)
+                } else if batch_blocked {
+                    Some(WaitReason::EarlierBatch)
+                } else if limit <= out {
+                    Some(WaitReason::MaxOut)
                 } else {
-                    // With nothing out, a second move is better than none.
-                    let strict = self.part.frugal && first.is_none() && out != 0;
-                    self.scene().admit_room(host, strict).err()
+                    // With no host out, moving tasks twice is better than no progress.
+                    let strict = self.part.frugal && first_limit.is_none() && out != 0;
+                    self.capacity().admit_capacity(host, strict).err()
                 };
                 match wait {
                     Some(wait) => {
@@ -338,41 +341,41 @@
                     }
                 }
             }
-            blocked |= self.part.barrier && unfinished;
+            batch_blocked |= self.part.barrier && unfinished;
         }
-        if idle && self.steps.is_empty() {
-            self.skip_hopeless();
+        if none_out && self.steps.is_empty() {
+            self.skip_unavailable();
         }
     }
 
-    /// Another plan that has done the same to a host since this one was confirmed: two operators
-    /// who confirm at one time must not have a host maintained twice.
-    fn done_by_another(&self, record: &HostRecord) -> Option<PlanId> {
+    /// Another plan that has completed the same action on a host since this one was confirmed. Two
+    /// plans confirmed at the same time must not maintain a host twice.
+    fn completed_by(&self, record: &HostRecord) -> Option<PlanId> {
         let plan = self.plan;
         let since = record.plan.is_none() && plan.since < record.since;
         let (id, outcome) = record.ended.last().filter(|_| since)?;
-        let other = self.outlook.fleet.plans.get(id)?;
+        let other = self.context.fleet.plans.get(id)?;
         let same = *outcome == HostOutcome::Done && other.intent.action == plan.intent.action;
         same.then(|| id.clone())
     }
 
-    /// How many hosts may be out while the plan is done with none, if it is frugal: their tasks
-    /// can only go to hosts that are still to be done.
-    fn first_batch(&self) -> Option<u32> {
-        let fleet = self.outlook.fleet;
+    /// Limit on hosts out while a frugal plan has finished none: until then their tasks can only
+    /// move to hosts that are still to be maintained.
+    fn first_batch_limit(&self) -> Option<u32> {
+        let fleet = self.context.fleet;
         let done = |host: &&HostId| {
             let outcome = fleet.hosts.get(*host).and_then(|record| record.outcome(&self.plan.id));
             outcome == Some(&HostOutcome::Done)
         };
         let none_done = self.part.frugal && !self.part.hosts().any(|host| done(&host));
         let hosts = self.part.hosts().count() as u32;
-        none_done.then(|| (hosts / FIRST_BATCH).max(1))
+        none_done.then(|| (hosts / FIRST_BATCH_DIVISOR).max(1))
     }
 
-    /// When nothing else is left to do, hosts that are dead or quarantined end the wave for
-    /// themselves, so that one of them never keeps a plan open for good.
-    fn skip_hopeless(&mut self) {
-        let Outlook { fleet, now, rules, .. } = *self.outlook;
+    /// Skips hosts that are dead or quarantined when nothing else is left to do, so that none of
+    /// them keeps the plan open forever.
+    fn skip_unavailable(&mut self) {
+        let Outlook { fleet, now, rules, .. } = *self.context;
         let hosts: Vec<HostId> = self.waiting.keys().cloned().collect();
         for host in hosts {
             let Some(record) = fleet.hosts.get(&host).filter(|r| r.plan.is_none()) else {
@@ -387,10 +390,10 @@
         }
     }
 
-    /// Hosts that the plan has out. One whose reboot takes twice as long as expected does not
-    /// hold up the others.
-    fn count_out(&self) -> u32 {
-        let Outlook { fleet, now, rules, .. } = *self.outlook;
+    /// Number of hosts that the plan has out. A host whose reboot takes twice as long as expected
+    /// does not count, so that it does not delay the others.
+    fn hosts_out(&self) -> u32 {
+        let Outlook { fleet, now, rules, .. } = *self.context;
         let overdue = rules.expected.reboot * 2 + Duration::from_secs(1);
         let is_out = |host: &&HostId| {
             let Some(record) = fleet.hosts.get(*host) else { return false };
--- a/src/decide/wave/scene.rs
+++ b/src/decide/wave/scene.rs
@@ -1,4 +1,4 @@
-//! What a wave's round may still take: budgets of services, and room of the pool.
+//! Budgets of the services and free capacity of the pool that remain in one round of a wave.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -7,7 +7,7 @@
         budget::{self, OverBudget, Standing},
         place::Placer,
         rules::Rules,
-        wave::{Outlook, Wait},
+        wave::{Outlook, WaitReason},
     },
     model::{
         fleet::Fleet,
@@ -18,82 +18,85 @@
     },
 };
 
-/// Standings and room of a pool, with the hosts that are started in this round taken out.
-pub(super) struct Scene<'a> {
+/// Budgets and capacity of a pool, without the hosts that are started in this round.
+pub(super) struct RoundCapacity<'a> {
     fleet: &'a Fleet,
     now: Time,
     rules: &'a Rules,
-    standings: HashMap<ServiceId, Standing>,
+    statuses: HashMap<ServiceId, Standing>,
     pub(super) placer: Placer<'a>,
-    room: Room,
+    pool_capacity: PoolCapacity,
 }
 
-impl<'a> Scene<'a> {
-    pub(super) fn new(outlook: &Outlook<'a>, part: &PoolPlan) -> Scene<'a> {
-        let Outlook { fleet, now, rules, .. } = *outlook;
+impl<'a> RoundCapacity<'a> {
+    pub(super) fn new(context: &Outlook<'a>, part: &PoolPlan) -> RoundCapacity<'a> {
+        let Outlook { fleet, now, rules, .. } = *context;
         let pool = part.hosts().find_map(|host| fleet.hosts.get(host)).map(|r| &r.pool);
-        Scene {
+        RoundCapacity {
             fleet,
             now,
             rules,
-            standings: HashMap::new(),
+            statuses: HashMap::new(),
             placer: Placer::new(fleet, now, rules),
-            room: Room::new(fleet, pool, now, rules),
+            pool_capacity: PoolCapacity::new(fleet, pool, now, rules),
         }
     }
 
-    /// Takes the room of a host and of its tasks, if enough is left; if `strict`, only where no
-    /// task would move twice.
-    pub(super) fn admit_room(&mut self, host: &HostId, strict: bool) -> Result<(), Wait> {
-        let room = self.room.without(self.fleet, host, self.rules).ok_or(Wait::Reserve)?;
-        self.placer.avoid(host);
+    /// Takes out the capacity of a host and of its tasks, if enough remains. If `strict`, only if
+    /// no task would have to move twice.
+    pub(super) fn admit_capacity(&mut self, host: &HostId, strict: bool) -> Result<(), WaitReason> {
+        let next = self
+            .pool_capacity
+            .without(self.fleet, host, self.rules)
+            .ok_or(WaitReason::RackReserve)?;
+        self.placer.exclude(host);
         for task in self.fleet.tasks_on(host) {
             let Some(service) = self.fleet.service(&task.service) else { continue };
             let target = self.placer.place(&task.service, service, Some(host))?;
             if strict && self.fleet.is_pending(&target) {
-                return Err(Wait::Twice);
+                return Err(WaitReason::SecondMove);
             }
         }
-        self.room = room;
+        self.pool_capacity = next;
         Ok(())
     }
 
-    /// Takes the tasks of a host out, if every budget allows it.
+    /// Takes the tasks of a host out of their budgets, if every budget allows it.
     pub(super) fn admit_budget(&mut self, host: &HostId) -> Result<(), OverBudget> {
         let mut next = Vec::new();
         for id in budget::services_on(self.fleet, host) {
             let Some(service) = self.fleet.service(&id) else { continue };
-            let standing = self.standings.entry(id.clone()).or_insert_with(|| {
+            let status = self.statuses.entry(id.clone()).or_insert_with(|| {
                 budget::standing(self.fleet, &id, service, self.now, self.rules)
             });
-            next.push((id.clone(), standing.without(self.fleet, &id, host, self.now, self.rules)?));
+            next.push((id.clone(), status.without(self.fleet, &id, host, self.now, self.rules)?));
         }
-        self.standings.extend(next);
+        self.statuses.extend(next);
         Ok(())
     }
 }
 
-/// Processor room of a pool against the load of its worst rack: after any one more rack is lost,
-/// its tasks must find room.
+/// CPU capacity of a pool, in millicores: the tasks of any one rack must fit on the other hosts if
+/// that rack is lost.
 #[derive(Debug, Clone, Default)]
-struct Room {
-    /// Free on serving hosts.
+struct PoolCapacity {
+    /// Free on live serving hosts.
     free: u64,
-    /// On hosts that are out for a plan, and come back in bounded time.
+    /// Capacity of hosts that are out for a plan, which come back in bounded time.
     returning: u64,
-    used: BTreeMap<RackId, u64>,
-    spare: BTreeMap<RackId, u64>,
+    used_by_rack: BTreeMap<RackId, u64>,
+    free_by_rack: BTreeMap<RackId, u64>,
 }
 
-impl Room {
-    fn new(fleet: &Fleet, pool: Option<&PoolId>, now: Time, rules: &Rules) -> Room {
-        let mut room = Room::default();
+impl PoolCapacity {
+    fn new(fleet: &Fleet, pool: Option<&PoolId>, now: Time, rules: &Rules) -> PoolCapacity {
+        let mut total = PoolCapacity::default();
         for host in pool.into_iter().flat_map(|pool| fleet.hosts_of(pool)) {
             let Some(report) = fleet.reports.get(host) else { continue };
             let record = &fleet.hosts[host];
             let capacity = u64::from(report.capacity.cores.0);
             if record.plan.is_some() {
-                room.returning += capacity;
+                total.returning += capacity;
             }
             let live = fleet.is_live(host, now, rules.list_limit);
             if record.state != HostState::Serving || !live {
@@ -101,15 +104,16 @@
             }
             let used = u64::from(fleet.used(host).cores.0);
             let free = capacity.saturating_sub(used);
-            room.free += free;
-            *room.used.entry(report.rack.clone()).or_default() += used;
-            *room.spare.entry(report.rack.clone()).or_default() += free;
+            total.free += free;
+            *total.used_by_rack.entry(report.rack.clone()).or_default() += used;
+            *total.free_by_rack.entry(report.rack.clone()).or_default() += free;
         }
-        room
+        total
     }
 
-    /// The room when a host has left and its tasks are elsewhere; nothing if too little is left.
-    fn without(&self, fleet: &Fleet, host: &HostId, rules: &Rules) -> Option<Room> {
+    /// The capacity after a host has left and its tasks have moved, or `None` if too little
+    /// remains.
+    fn without(&self, fleet: &Fleet, host: &HostId, rules: &Rules) -> Option<PoolCapacity> {
         let report = fleet.reports.get(host)?;
         let capacity = u64::from(report.capacity.cores.0);
         let used = u64::from(fleet.used(host).cores.0);
@@ -117,17 +121,17 @@
         let mut next = self.clone();
         next.free = next.free.checked_sub(spare + used)?;
         next.returning += capacity;
-        if let Some(load) = next.used.get_mut(&report.rack) {
+        if let Some(load) = next.used_by_rack.get_mut(&report.rack) {
             *load = load.saturating_sub(used);
         }
-        if let Some(free) = next.spare.get_mut(&report.rack) {
+        if let Some(free) = next.free_by_rack.get_mut(&report.rack) {
             *free = free.saturating_sub(spare);
         }
-        let counted = next.free + if rules.share_spare { next.returning } else { 0 };
-        let holds = next.used.iter().all(|(rack, load)| {
-            let own = next.spare.get(rack).copied().unwrap_or(0);
-            load + own <= counted
+        let available = next.free + if rules.share_spare { next.returning } else { 0 };
+        let sufficient = next.used_by_rack.iter().all(|(rack, load)| {
+            let own_free = next.free_by_rack.get(rack).copied().unwrap_or(0);
+            load + own_free <= available
         });
-        holds.then_some(next)
+        sufficient.then_some(next)
     }
 }
--- a/src/decide/wave/step.rs
+++ b/src/decide/wave/step.rs
@@ -1,4 +1,4 @@
-//! Steps of a wave: what each writes, from the record that stands.
+//! Steps of a wave: the record that each writes, based on the current record.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,34 +19,34 @@
 /// One conditional write of a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Step {
-    /// Gives a host no new tasks.
+    /// Stops placing new tasks on a host.
     Close { host: HostId },
-    /// Starts successors of a service's tasks on a host that is closing.
+    /// Starts successors, on other hosts, of a service's tasks on a closing host.
     Prepare { host: HostId, service: ServiceId, moves: Moves },
-    /// Takes a permit from a service for its tasks on a host.
+    /// Takes a permit from a service's budget for its tasks on a host.
     Permit { host: HostId, service: ServiceId },
-    /// Gives back a permit and ends successors that are of no use any more.
+    /// Releases a permit and cancels successors that are no longer needed.
     GiveBack { host: HostId, service: ServiceId },
-    /// Lets no new request go to a host.
+    /// Stops sending new requests to a host.
     Leave { host: HostId },
-    /// Places tasks of a service that are on a quiet host elsewhere, and ends the permit.
+    /// Moves a service's tasks off a quiet host, and releases the permit.
     Move { host: HostId, service: ServiceId, moves: Moves },
-    /// Has an empty host reboot.
+    /// Reboots an empty host.
     Away { host: HostId },
-    /// Has an empty host join a pool.
+    /// Assigns an empty host to another pool.
     Join { host: HostId, pool: PoolId },
-    /// Has an empty host stay out.
+    /// Quarantines an empty host.
     Quarantine { host: HostId, outcome: HostOutcome },
-    /// Has a host serve again.
+    /// Returns a host to service.
     Return { host: HostId, outcome: HostOutcome },
 }
 
-/// How long a step may be taken after it was worked out: what it rests on may be void later.
-const TIMELY: Duration = Duration::from_secs(2);
+/// How long a step may be taken after it was computed: its preconditions may not hold later.
+const MAX_STEP_AGE: Duration = Duration::from_secs(2);
 
-/// Whether a step that was worked out at one time may still be taken at another.
-pub(crate) fn is_timely(worked_out: Time, now: Time) -> bool {
-    now.since(worked_out) <= TIMELY
+/// Whether a step computed at one time may still be taken at another.
+pub(crate) fn is_timely(computed_at: Time, now: Time) -> bool {
+    now.since(computed_at) <= MAX_STEP_AGE
 }
 
 /// The host that a step is for.
@@ -76,8 +76,8 @@
     }
 }
 
-/// The records that a step rests on besides the one that it writes. What its host holds stands in the
-/// placements of the pool's services, and whether a host takes tasks in its own record.
+/// The records that a step depends on besides the one that it writes. The tasks of its host are
+/// stored in the placements of the pool's services; whether a host takes tasks, in its own record.
 pub(crate) fn rests_on(fleet: &Fleet, step: &Step) -> Vec<Key> {
     match step {
         Step::Leave { host }
@@ -94,20 +94,21 @@
 /// The placements of all services that may have tasks on a host.
 fn placements_at(fleet: &Fleet, host: &HostId) -> Vec<Key> {
     let pool = fleet.hosts.get(host).map(|record| &record.pool);
-    let of_pool = fleet.config.services.iter().filter(|(_, s)| Some(&s.pool) == pool);
-    let there = fleet.tasks_on(host).iter().chain(fleet.coming_to(host));
-    let services = of_pool.map(|(id, _)| id).chain(there.map(|task| &task.service));
+    let in_pool = fleet.config.services.iter().filter(|(_, s)| Some(&s.pool) == pool);
+    let on_host = fleet.tasks_on(host).iter().chain(fleet.coming_to(host));
+    let services = in_pool.map(|(id, _)| id).chain(on_host.map(|task| &task.service));
     let services: BTreeSet<&ServiceId> = services.collect();
     services.into_iter().map(|id| Key::Placement(id.clone())).collect()
 }
 
-/// The records of some hosts.
+/// The keys of the records of some hosts.
 pub(crate) fn hosts_of<'a>(hosts: impl Iterator<Item = &'a HostId>) -> Vec<Key> {
     let hosts: BTreeSet<&HostId> = hosts.collect();
     hosts.into_iter().map(|host| Key::Host(host.clone())).collect()
 }
 
-/// Whether the plan holds a permit of each service with tasks on a host, and no task is to come there.
+/// Whether the plan holds a permit of every service with tasks on a host, and no successor is
+/// assigned to the host.
 fn may_leave(fleet: &Fleet, plan: &PlanId, host: &HostId) -> bool {
     let is_permitted = |task: &TaskRef| {
         let permits = fleet.placements.get(&task.service).map(|placement| &placement.permits);
@@ -116,8 +117,8 @@
     fleet.coming_to(host).is_empty() && fleet.tasks_on(host).iter().all(is_permitted)
 }
 
-/// The record that a step writes, from the one that stands now. Nothing if the step does not apply
-/// any more.
+/// The record that a step writes, based on the current one, or `None` if the step no longer
+/// applies.
 pub(crate) fn effect(
     fleet: &Fleet,
     plan: &PlanId,
@@ -126,16 +127,16 @@
     now: Time,
 ) -> Option<Record> {
     match step {
-        Step::Permit { host, service } => {
-            change_placement(fleet, service, op, |placement| permit(placement, host, plan, now))
-        }
+        Step::Permit { host, service } => change_placement(fleet, service, op, |placement| {
+            take_permit(placement, host, plan, now)
+        }),
         Step::GiveBack { host, service } => change_placement(fleet, service, op, |placement| {
             placement.permits.remove(host);
-            recall(placement, host, plan);
+            cancel_successors(placement, host, plan);
         }),
         Step::Prepare { host, service, moves } => {
             change_placement(fleet, service, op, |placement| {
-                succeed(placement, moves, Some(host), Some(plan), now);
+                start_successors(placement, moves, Some(host), Some(plan), now);
             })
         }
         Step::Close { host } => change_host(fleet, host, op, now, |record| {
@@ -169,7 +170,7 @@
     }
 }
 
-fn permit(placement: &mut Placement, host: &HostId, plan: &PlanId, now: Time) {
+fn take_permit(placement: &mut Placement, host: &HostId, plan: &PlanId, now: Time) {
     let on_host = |(index, assigned): (usize, &Option<Assigned>)| {
         let here = assigned.as_ref().is_some_and(|assigned| assigned.host == *host);
         here.then_some(index as u32)
@@ -178,8 +179,8 @@
     placement.permits.insert(host.clone(), Permit { plan: plan.clone(), tasks, since: now });
 }
 
-/// Ends the successors that a plan started for the tasks on a host.
-fn recall(placement: &mut Placement, host: &HostId, plan: &PlanId) {
+/// Cancels the successors that a plan started for the tasks on a host.
+fn cancel_successors(placement: &mut Placement, host: &HostId, plan: &PlanId) {
     let Placement { tasks, successors, .. } = placement;
     successors.retain(|index, successor| {
         let here = tasks.get(*index as usize).and_then(Option::as_ref);
@@ -188,8 +189,8 @@
     });
 }
 
-/// Starts successors of tasks on new hosts. With `from`, only of those that are still there.
-fn succeed(
+/// Starts successors of tasks on new hosts. With `from`, only of tasks that are still there.
+fn start_successors(
     placement: &mut Placement,
     moves: &Moves,
     from: Option<&HostId>,
@@ -201,28 +202,28 @@
         if from.is_some_and(|from| *from != assigned.host) {
             continue;
         }
-        let before = placement.successors.get(index).map_or(0, |s| s.to.generation);
-        let generation = assigned.generation.max(before) + 1;
+        let previous = placement.successors.get(index).map_or(0, |s| s.to.generation);
+        let generation = assigned.generation.max(previous) + 1;
         let to = Assigned { host: host.clone(), generation, since: now };
         placement.successors.insert(*index, Successor { to, plan: plan.cloned() });
     }
 }
 
-/// Writes down what a service's repair needs.
+/// Applies a service's repair to its placement.
 pub(crate) fn repaired(placement: &mut Placement, repair: &Repair, now: Time) {
-    swap_in(placement, &repair.swaps);
+    promote_successors(placement, &repair.swaps);
     relocate(placement, &repair.moves, None, now);
     let plans: BTreeMap<u32, Option<PlanId>> =
         placement.successors.iter().map(|(index, s)| (*index, s.plan.clone())).collect();
     for (index, host) in &repair.successors {
         let plan = plans.get(index).cloned().flatten();
         let moves = Moves::from([(*index, host.clone())]);
-        succeed(placement, &moves, None, plan.as_ref(), now);
+        start_successors(placement, &moves, None, plan.as_ref(), now);
     }
 }
 
-/// Has successors take the places of their tasks.
-fn swap_in(placement: &mut Placement, indexes: &[u32]) {
+/// Replaces tasks by their successors.
+fn promote_successors(placement: &mut Placement, indexes: &[u32]) {
     for index in indexes {
         let Some(successor) = placement.successors.remove(index) else { continue };
         if let Some(slot) = placement.tasks.get_mut(*index as usize) {
@@ -232,7 +233,7 @@
     }
 }
 
-/// Places tasks on new hosts. With `from`, only those that are still there.
+/// Places tasks on new hosts. With `from`, only tasks that are still there.
 fn relocate(placement: &mut Placement, moves: &Moves, from: Option<&HostId>, now: Time) {
     for (index, host) in moves {
         let index = *index as usize;
@@ -252,7 +253,7 @@
     }
 }
 
-/// A service's placement, changed.
+/// The record of a service's placement after a change.
 pub(crate) fn change_placement(
     fleet: &Fleet,
     service: &ServiceId,
@@ -265,7 +266,7 @@
     Some(Record::Placement(service.clone(), placement))
 }
 
-/// A host's record, changed and raised to its next epoch.
+/// The record of a host after a change, with the next epoch.
 pub(crate) fn change_host(
     fleet: &Fleet,
     host: &HostId,
