--- a/src/decide/plan.rs
+++ b/src/decide/plan.rs
@@ -1,4 +1,5 @@
-//! Plans: an intent becomes an order of hosts with its cost, and is confirmed only as it was shown.
+//! Plans: computes the host order and the cost of an intent, and confirms a plan only if what the
+//! operator was shown still holds.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,27 +24,27 @@
     },
 };
 
-/// A rehearsal that takes longer than this counts as one that does not end.
-const LONGEST_WAVE: Duration = Duration::from_secs(60 * 60 * 24 * 35);
-/// Services that a plan's cost lists as nearest to their budgets.
-const TIGHTEST_SHOWN: usize = 5;
+/// A simulation that exceeds this simulated time counts as not finished.
+const MAX_SIMULATED_TIME: Duration = Duration::from_secs(60 * 60 * 24 * 35);
+/// How many of the services nearest to their budgets a plan's cost lists.
+const MAX_TIGHTEST: usize = 5;
 
-/// Why a plan is not confirmed or cancelled.
+/// Why a plan cannot be confirmed or cancelled.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum PlanError {
     #[error("there is no plan {0}")]
     Unknown(PlanId),
-    #[error("plan {id} is {state} already, by {by}")]
-    Over { id: PlanId, state: &'static str, by: String },
-    #[error("the digest {given} is not that of plan {id}, which is {digest}")]
-    OtherDigest { id: PlanId, given: String, digest: String },
-    #[error("what plan {id} was computed from has changed: {}", differences.join("; "))]
+    #[error("plan {id} is already {state}, by {by}")]
+    AlreadyDecided { id: PlanId, state: &'static str, by: String },
+    #[error("digest {given} does not match that of plan {id}, which is {digest}")]
+    DigestMismatch { id: PlanId, given: String, digest: String },
+    #[error("the state that plan {id} was computed from has changed: {}", differences.join("; "))]
     Stale { id: PlanId, differences: Vec<String> },
-    #[error("plan {id} can do nothing: {}", reasons.join("; "))]
-    Nothing { id: PlanId, reasons: Vec<String> },
+    #[error("plan {id} has no host that it can process: {}", reasons.join("; "))]
+    NothingToDo { id: PlanId, reasons: Vec<String> },
 }
 
-/// Works out the plan for an intent. It changes nothing.
+/// Computes the plan for an intent, without side effects.
 pub(crate) fn propose(
     fleet: &Fleet,
     id: PlanId,
@@ -68,31 +69,31 @@
     let mut by_pool: BTreeMap<PoolId, Vec<HostId>> = BTreeMap::new();
     let wanted: BTreeSet<HostId> = plan.intent.hosts.iter().cloned().collect();
     for host in wanted {
-        match refuse(fleet, &plan.intent.action, &host) {
+        match exclusion_reason(fleet, &plan.intent.action, &host) {
             Some(reason) => {
                 plan.cost.impossible.insert(host, reason);
             }
             None => by_pool.entry(fleet.hosts[&host].pool.clone()).or_default().push(host),
         }
     }
-    let mut known = Known::default();
+    let mut cache = TradeCache::default();
     for (pool, hosts) in by_pool {
         let batches = order::across_racks(fleet, &hosts, now, rules);
         let part = PoolPlan { batches, max_out: 1, ..PoolPlan::default() };
         plan.pools.insert(pool.clone(), part);
-        weigh(fleet, &mut plan, &pool, &mut known, now, rules);
+        choose_trade(fleet, &mut plan, &pool, &mut cache, now, rules);
     }
     plan.cost.tightest.sort_by_key(|t| {
         (i64::from(t.max_down) - i64::from(t.peak_out + t.reserve), t.service.clone())
     });
-    plan.cost.tightest.truncate(TIGHTEST_SHOWN);
+    plan.cost.tightest.truncate(MAX_TIGHTEST);
     plan.base = base(fleet, &plan);
     plan.digest = digest(&plan);
     plan
 }
 
-/// Why a host cannot be part of a plan at all.
-fn refuse(fleet: &Fleet, action: &Action, host: &HostId) -> Option<String> {
+/// Why a host cannot be part of a plan.
+fn exclusion_reason(fleet: &Fleet, action: &Action, host: &HostId) -> Option<String> {
     let Some(record) = fleet.hosts.get(host) else {
         return Some("no host of that name is in any pool".to_owned());
     };
@@ -111,79 +112,81 @@
         Action::Move(pool) if !fleet.config.pools.contains_key(pool) => {
             Some(format!("there is no pool {pool}"))
         }
-        _ => unplaceable(fleet, host),
+        _ => unplaceable_task(fleet, host),
     }
 }
 
-/// A task of the host that no other host could ever hold.
-fn unplaceable(fleet: &Fleet, host: &HostId) -> Option<String> {
+/// The reason if a task of the host would fit on no host of its pool even if empty.
+fn unplaceable_task(fleet: &Fleet, host: &HostId) -> Option<String> {
     let stuck = fleet.tasks_on(host).iter().find(|task| {
         fleet.service(&task.service).is_some_and(|s| !place::fits_some_empty_host(fleet, s))
     })?;
     Some(format!("its task {}/{} fits no other host", stuck.service, stuck.index))
 }
 
-/// What was chosen for pools that are alike, so that a plan over many is not weighed many times.
-type Known = BTreeMap<Likeness, Trade>;
+/// Trades chosen so far, reused for pools of equal profile: simulating each pool of a large plan
+/// would repeat the same work.
+type TradeCache = BTreeMap<PoolProfile, Trade>;
 
-/// What makes two pools alike: hosts, hosts of the plan, and services by size and budget.
+/// Pools with equal profiles reuse one choice: number of hosts, of planned hosts, and services by
+/// size and budget.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct Likeness {
+struct PoolProfile {
     hosts: usize,
     planned: usize,
     services: Vec<(u32, u32, Millicores, bool)>,
 }
 
-fn likeness(fleet: &Fleet, pool: &PoolId, planned: usize) -> Likeness {
+fn profile(fleet: &Fleet, pool: &PoolId, planned: usize) -> PoolProfile {
     let services = fleet.config.services.values().filter(|service| service.pool == *pool);
     let services = services.map(|s| (s.tasks, s.max_down, s.need.cores, s.surge)).collect();
-    Likeness { hosts: fleet.hosts_of(pool).count(), planned, services }
+    PoolProfile { hosts: fleet.hosts_of(pool).count(), planned, services }
 }
 
-/// Chooses how a pool's part is carried out, and adds its cost.
-fn weigh(
+/// Chooses the trade for a pool's part of the plan by simulation, and adds its cost.
+fn choose_trade(
     fleet: &Fleet,
     plan: &mut Plan,
     pool: &PoolId,
-    known: &mut Known,
+    cache: &mut TradeCache,
     now: Time,
     rules: &Rules,
 ) {
     let part = fleet.only(pool);
     let planned = plan.pools[pool].hosts().count();
-    let likeness = likeness(&part, pool, planned);
-    let rehearse = |plan: &Plan, max_out, frugal| {
-        let trial = trial(plan, pool, max_out, frugal);
-        Rehearsal::new(&part, &trial, pool, rules, now).run(LONGEST_WAVE)
+    let profile = profile(&part, pool, planned);
+    let simulate = |plan: &Plan, max_out, frugal| {
+        let candidate = single_pool_plan(plan, pool, max_out, frugal);
+        Rehearsal::new(&part, &candidate, pool, rules, now).run(MAX_SIMULATED_TIME)
     };
-    if let Some(like) = known.get(&likeness) {
-        let report = rehearse(plan, like.max_out, like.frugal);
-        let trade = Trade { chosen: true, ..trade(like.max_out, like.frugal, &report, rules) };
-        return settle(fleet, plan, pool, vec![trade], &report, rules);
+    if let Some(cached) = cache.get(&profile) {
+        let report = simulate(plan, cached.max_out, cached.frugal);
+        let trade = Trade { chosen: true, ..trade(cached.max_out, cached.frugal, &report, rules) };
+        return record_choice(fleet, plan, pool, vec![trade], &report, rules);
     }
     let mut best: Option<(f64, usize, Report)> = None;
     let mut trades: Vec<Trade> = Vec::new();
     for frugal in [true, false] {
-        let mut before: Option<(u64, u32)> = None;
-        for max_out in bounds(planned as u32) {
-            let report = rehearse(plan, max_out, frugal);
+        let mut previous: Option<(u64, u32)> = None;
+        for max_out in limits(planned as u32) {
+            let report = simulate(plan, max_out, frugal);
             let score = score(&part, pool, planned as u32, &report, rules);
-            let figures = (report.seconds, report.moves);
+            let result = (report.seconds, report.moves);
             trades.push(trade(max_out, frugal, &report, rules));
-            if best.as_ref().is_none_or(|(least, _, _)| score < *least) {
+            if best.as_ref().is_none_or(|(lowest, _, _)| score < *lowest) {
                 best = Some((score, trades.len() - 1, report));
             }
-            // A higher bound that changes nothing is not reached: neither are those above it.
-            if before == Some(figures) {
+            // A higher limit with the same result is never reached; neither are those above it.
+            if previous == Some(result) {
                 break;
             }
-            before = Some(figures);
+            previous = Some(result);
         }
     }
-    let Some((_, at, report)) = best else { return };
-    trades[at].chosen = true;
-    known.insert(likeness, trades[at].clone());
-    settle(fleet, plan, pool, trades, &report, rules);
+    let Some((_, best_index, report)) = best else { return };
+    trades[best_index].chosen = true;
+    cache.insert(profile, trades[best_index].clone());
+    record_choice(fleet, plan, pool, trades, &report, rules);
 }
 
 fn trade(max_out: u32, frugal: bool, report: &Report, rules: &Rules) -> Trade {
@@ -197,8 +200,8 @@
     }
 }
 
-/// Puts down what was chosen for a pool, and what it costs.
-fn settle(
+/// Stores the chosen trade of a pool in the plan, and adds its cost.
+fn record_choice(
     fleet: &Fleet,
     plan: &mut Plan,
     pool: &PoolId,
@@ -214,14 +217,14 @@
     add_cost(fleet, plan, report, rules);
 }
 
-/// Bounds that are tried: each a half more than the one before, and all hosts.
-fn bounds(hosts: u32) -> Vec<u32> {
-    let grown = std::iter::successors(Some(1u32), |bound| Some((bound * 3).div_ceil(2)));
-    grown.take_while(|bound| *bound < hosts).chain([hosts.max(1)]).collect()
+/// Limits on hosts out that are tried: each half as much again as the one before, and all hosts.
+fn limits(hosts: u32) -> Vec<u32> {
+    let grown = std::iter::successors(Some(1u32), |limit| Some((limit * 3).div_ceil(2)));
+    grown.take_while(|limit| *limit < hosts).chain([hosts.max(1)]).collect()
 }
 
-/// A running plan that holds one pool's part and no more.
-fn trial(plan: &Plan, pool: &PoolId, max_out: u32, frugal: bool) -> Plan {
+/// A running plan with only the part of one pool.
+fn single_pool_plan(plan: &Plan, pool: &PoolId, max_out: u32, frugal: bool) -> Plan {
     let part = PoolPlan { max_out, frugal, ..plan.pools[pool].clone() };
     let intent = Intent { hosts: Vec::new(), ..plan.intent.clone() };
     Plan {
@@ -239,7 +242,7 @@
     }
 }
 
-/// Spare capacity that a pool's part of a plan holds back.
+/// Spare capacity that a pool must hold back during its part of a plan.
 fn buffer(report: &Report, rules: &Rules) -> Millicores {
     let buffer = if rules.share_spare { report.shared_buffer } else { report.separate_buffer };
     Millicores(u32::try_from(buffer).unwrap_or(u32::MAX))
@@ -262,20 +265,20 @@
     cost.buffer.0 = cost.buffer.0.saturating_add(buffer(report, rules).0);
     cost.seconds = cost.seconds.max(report.seconds);
     cost.moves += report.moves;
-    for (service, fared) in &report.services {
+    for (service, peaks) in &report.services {
         let Some(spec) = fleet.service(service) else {
             continue;
         };
         cost.tightest.push(Tightness {
             service: service.clone(),
-            peak_out: fared.peak_down,
-            reserve: fared.peak_reserve,
+            peak_out: peaks.peak_down,
+            reserve: peaks.peak_reserve,
             max_down: spec.max_down,
         });
     }
 }
 
-/// The revisions of the records that a plan is computed from.
+/// Revisions of the records that a plan is computed from.
 fn base(fleet: &Fleet, plan: &Plan) -> BTreeMap<String, Revision> {
     let hosts = plan.intent.hosts.iter().map(|host| Key::Host(host.clone()));
     let services = plan.hosts().flat_map(|host| fleet.tasks_on(host));
@@ -287,15 +290,15 @@
     base
 }
 
-/// A digest of what the operator is shown.
+/// Digest of what the operator is shown.
 fn digest(plan: &Plan) -> String {
-    let shown = serde_json::to_vec(&(&plan.intent, &plan.pools, &plan.cost));
-    let shown = shown.expect("plans hold no value that JSON cannot write");
-    format!("{:032x}", xxh3_128(&shown))
+    let content = serde_json::to_vec(&(&plan.intent, &plan.pools, &plan.cost));
+    let content = content.expect("a plan always serializes to JSON");
+    format!("{:032x}", xxh3_128(&content))
 }
 
-/// The plan as it stands once an operator confirms it; or why it is refused. A plan whose base has
-/// moved is computed anew: if what would be shown is the same, it is as good as before.
+/// Returns the plan as confirmed by an operator, or why it is refused. If its base has changed, the
+/// plan is computed again, and is still valid if its digest is the same.
 pub(crate) fn confirm(
     fleet: &Fleet,
     id: &PlanId,
@@ -307,10 +310,10 @@
 ) -> Result<Plan, PlanError> {
     let plan = fleet.plans.get(id).ok_or_else(|| PlanError::Unknown(id.clone()))?;
     if plan.state != PlanState::Proposed {
-        return Err(over(plan));
+        return Err(already_decided(plan));
     }
     if given != plan.digest {
-        return Err(PlanError::OtherDigest {
+        return Err(PlanError::DigestMismatch {
             id: id.clone(),
             given: given.to_owned(),
             digest: plan.digest.clone(),
@@ -318,7 +321,7 @@
     }
     if plan.pools.is_empty() {
         let reasons = plan.cost.impossible.iter().map(|(host, why)| format!("{host}: {why}"));
-        return Err(PlanError::Nothing { id: id.clone(), reasons: reasons.collect() });
+        return Err(PlanError::NothingToDo { id: id.clone(), reasons: reasons.collect() });
     }
     let differences = differences(fleet, plan);
     if !differences.is_empty() {
@@ -336,7 +339,7 @@
     Ok(confirmed)
 }
 
-/// The plan as it stands once an operator cancels it.
+/// Returns the plan as cancelled by an operator.
 pub(crate) fn cancel(
     fleet: &Fleet,
     id: &PlanId,
@@ -346,7 +349,7 @@
 ) -> Result<Plan, PlanError> {
     let plan = fleet.plans.get(id).ok_or_else(|| PlanError::Unknown(id.clone()))?;
     if !matches!(plan.state, PlanState::Proposed | PlanState::Running) {
-        return Err(over(plan));
+        return Err(already_decided(plan));
     }
     let mut cancelled = plan.clone();
     cancelled.state = PlanState::Cancelled;
@@ -356,22 +359,26 @@
     Ok(cancelled)
 }
 
-fn over(plan: &Plan) -> PlanError {
-    PlanError::Over { id: plan.id.clone(), state: plan.state.as_str(), by: plan.by.clone() }
+fn already_decided(plan: &Plan) -> PlanError {
+    PlanError::AlreadyDecided {
+        id: plan.id.clone(),
+        state: plan.state.as_str(),
+        by: plan.by.clone(),
+    }
 }
 
-/// What has moved since a plan was computed, in words.
+/// Describes what has changed since a plan was computed.
 fn differences(fleet: &Fleet, plan: &Plan) -> Vec<String> {
-    let now = base(fleet, plan);
-    let keys: BTreeSet<&String> = plan.base.keys().chain(now.keys()).collect();
-    let moved = keys.into_iter().filter(|key| plan.base.get(*key) != now.get(*key));
-    let moved = moved.map(|key| describe(fleet, key));
-    let named = plan.hosts().filter_map(|host| {
+    let current = base(fleet, plan);
+    let keys: BTreeSet<&String> = plan.base.keys().chain(current.keys()).collect();
+    let changed = keys.into_iter().filter(|key| plan.base.get(*key) != current.get(*key));
+    let changed = changed.map(|key| describe(fleet, key));
+    let conflicts = plan.hosts().filter_map(|host| {
         let record = fleet.hosts.get(host)?;
         let other = fleet.planned(host).filter(|other| record.outcome(&other.id).is_none())?;
         Some(format!("plan {} is to do host {host}, confirmed by {}", other.id, other.by))
     });
-    moved.chain(named).collect()
+    changed.chain(conflicts).collect()
 }
 
 fn describe(fleet: &Fleet, path: &str) -> String {
@@ -381,9 +388,9 @@
                 let state = format!("{:?}", host.state).to_lowercase();
                 format!("host {id} is now {state} in pool {} (write {})", host.pool, host.op)
             }
-            None => format!("host {id} is gone"),
+            None => format!("host {id} was removed"),
         },
-        Some(Key::Placement(id)) => format!("tasks of service {id} were moved"),
+        Some(Key::Placement(id)) => format!("the placement of service {id} has changed"),
         _ => format!("the configuration is now at change {}", fleet.through),
     }
 }
--- a/src/decide/rehearse.rs
+++ b/src/decide/rehearse.rs
@@ -1,5 +1,5 @@
-//! A rehearsal: the wave's own decisions, run over a copy of one pool with expected times. Plans
-//! get their cost from it, and the experiments over policies add drawn failures to it.
+//! Simulation of a plan: runs the decisions of a wave on a copy of one pool with expected
+//! durations. The cost of a plan comes from it, and policy experiments add random failures to it.
 
 use std::{
     cmp::Reverse,
@@ -24,44 +24,44 @@
     },
 };
 
-/// A list heard then counts as fresh at any moment of a rehearsal.
+/// Receipt time of the host list that keeps it fresh throughout a simulation.
 const ALWAYS_FRESH: Time = Time::from_millis(u64::MAX / 2);
 
-/// Something that comes about by itself, in the time that it takes.
+/// A simulated event.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    /// A host that is leaving has nothing in flight.
+    /// A leaving host has no requests in flight.
     Quiet(HostId, Epoch),
-    /// A task's endpoint answers.
+    /// The endpoint of a task's start answers.
     Ready(TaskRef, u64),
-    /// A host has rebooted.
-    Back(HostId, Epoch),
+    /// A host has finished its reboot.
+    Rebooted(HostId, Epoch),
     /// A host fails.
     Fail(HostId),
-    /// A failed host is there again, empty.
+    /// A failed host recovers, without tasks.
     Recover(HostId),
-    /// Look again, if the host is still at this epoch: a limit may have passed.
-    Look(HostId, Epoch),
-    /// Look again, if this start of a task is still not ready.
-    Late(TaskRef, u64),
+    /// Decide again if the host is still at this epoch, since a time limit may have passed.
+    Recheck(HostId, Epoch),
+    /// Decide again if this start of a task is still not ready.
+    StartOverdue(TaskRef, u64),
 }
 
-/// How a service fared.
+/// Peak values of one service during a simulation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Fared {
-    /// Most tasks unavailable at one time.
+pub(crate) struct ServicePeaks {
+    /// Maximum number of unavailable tasks.
     pub(crate) peak_down: u32,
-    /// Most tasks out by permits or moves of the plan at one time.
+    /// Maximum number of tasks unavailable other than on failed hosts.
     pub(crate) peak_out: u32,
-    /// Most tasks unavailable through failures alone at one time.
+    /// Maximum number of tasks on failed hosts.
     pub(crate) peak_failed: u32,
-    /// Most available tasks in one failure domain.
+    /// Maximum number of available tasks in one failure domain.
     pub(crate) peak_reserve: u32,
-    /// Most of down and reserve together at one time.
+    /// Maximum sum of unavailable tasks and reserve.
     pub(crate) peak_shared: u32,
 }
 
-/// What a rehearsal came to.
+/// Result of a simulation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Report {
     pub(crate) seconds: u64,
@@ -69,36 +69,35 @@
     pub(crate) moves: u32,
     /// Tasks that repair moved.
     pub(crate) repairs: u32,
-    /// Most hosts that the plan had out at one time.
+    /// Maximum number of hosts that the plan had out at one time.
     pub(crate) peak_out: u32,
-    /// Spare capacity that was needed at the most, in millicores, when spare for failures and for
-    /// maintenance is one and the same: the greater of the load of hosts that are out and the load
-    /// of the worst rack.
+    /// Peak spare capacity needed, in millicores, if failures and maintenance share it: the greater
+    /// of the load of the hosts that are out and the load of the most loaded rack.
     pub(crate) shared_buffer: u64,
-    /// The same when each has a spare of its own: the sum of the two.
+    /// The same if each has its own spare capacity: the sum of the two.
     pub(crate) separate_buffer: u64,
-    pub(crate) services: BTreeMap<ServiceId, Fared>,
-    /// Leaves after which a service could not have survived its worst failure domain.
+    pub(crate) services: BTreeMap<ServiceId, ServicePeaks>,
+    /// Leaves after which losing a service's largest failure domain would have exceeded its budget.
     pub(crate) voluntary_breaches: u32,
-    /// Moments at which a service was below its budget, for whatever reason.
+    /// Observations of a service that exceeded its budget, for any reason.
     pub(crate) breaches: u32,
-    /// Whether the plan came to its end.
+    /// Whether the plan finished.
     pub(crate) finished: bool,
-    /// Time of each decision after one event.
+    /// Wall-clock duration of each round of decisions.
     pub(crate) decisions: Vec<Duration>,
 }
 
-/// The state of a rehearsal.
+/// State of a simulation.
 pub(crate) struct Rehearsal<'a> {
     pub(crate) fleet: Fleet,
     plan: &'a Plan,
     pool: &'a PoolId,
     rules: &'a Rules,
     now: Time,
-    began: Time,
+    start_time: Time,
     events: BinaryHeap<Reverse<(Time, Event)>>,
     quiet: HashSet<(HostId, Epoch)>,
-    /// What hosts that are out carried when they closed, in millicores.
+    /// Load in millicores of each host that is out, as of when it closed.
     displaced: BTreeMap<HostId, u64>,
     failed: HashSet<HostId>,
     report: Report,
@@ -107,7 +106,7 @@
 }
 
 impl<'a> Rehearsal<'a> {
-    /// Takes a copy of one pool at the present time.
+    /// Creates a simulation from a copy of one pool at the given time.
     pub(crate) fn new(
         fleet: &Fleet,
         plan: &'a Plan,
@@ -118,14 +117,14 @@
         let mut fleet = fleet.only(pool);
         fleet.put(Record::Plan(plan.id.clone(), Box::new(plan.clone())), Revision(1));
         fleet.heard = ALWAYS_FRESH;
-        let op = "rehearsal".parse().expect("the text is an identifier");
+        let op = "rehearsal".parse().expect("`rehearsal` is a valid identifier");
         Rehearsal {
             fleet,
             plan,
             pool,
             rules,
             now,
-            began: now,
+            start_time: now,
             events: BinaryHeap::new(),
             quiet: HashSet::new(),
             displaced: BTreeMap::new(),
@@ -136,26 +135,26 @@
         }
     }
 
-    /// Has an event come about so long after the start.
-    pub(crate) fn schedule(&mut self, after: Duration, event: Event) {
-        self.events.push(Reverse((self.began + after, event)));
+    /// Schedules an event relative to the start of the simulation.
+    pub(crate) fn schedule(&mut self, delay: Duration, event: Event) {
+        self.events.push(Reverse((self.start_time + delay, event)));
     }
 
-    /// Runs until the plan has ended, or `limit` has passed.
+    /// Runs until the plan has finished or `limit` has passed.
     pub(crate) fn run(mut self, limit: Duration) -> Report {
         self.decide();
         while !self.report.finished {
             let Some(Reverse((at, event))) = self.events.pop() else {
                 break;
             };
-            if limit < at.since(self.began) {
+            if limit < at.since(self.start_time) {
                 break;
             }
-            if !self.matters(&event) {
+            if !self.is_relevant(&event) {
                 continue;
             }
             self.now = at;
-            self.happen(event);
+            self.apply_event(event);
             while let Some(Reverse((next, _))) = self.events.peek() {
                 if self.now < *next {
                     break;
@@ -163,36 +162,36 @@
                 let Some(Reverse((_, event))) = self.events.pop() else {
                     break;
                 };
-                self.happen(event);
+                self.apply_event(event);
             }
-            self.observe(None);
+            self.record_peaks(None);
             self.decide();
         }
-        self.report.seconds = self.now.since(self.began).as_secs();
+        self.report.seconds = self.now.since(self.start_time).as_secs();
         self.report
     }
 
     fn decide(&mut self) {
-        let began = std::time::Instant::now();
+        let timer = std::time::Instant::now();
         loop {
             let repaired = self.repair();
             let quiet = &self.quiet;
             let is_quiet = |host: &HostId, epoch| quiet.contains(&(host.clone(), epoch));
-            let outlook = Outlook {
+            let context = Outlook {
                 fleet: &self.fleet,
                 is_quiet: &is_quiet,
                 now: self.now,
                 rules: self.rules,
             };
-            let (steps, _) = wave::advance(&outlook, self.plan, self.pool);
+            let (steps, _) = wave::advance(&context, self.plan, self.pool);
             if steps.is_empty() && !repaired {
                 break;
             }
             for step in steps {
-                self.take(&step);
+                self.apply_step(&step);
             }
         }
-        self.report.decisions.push(began.elapsed());
+        self.report.decisions.push(timer.elapsed());
         self.report.finished = wave::is_finished(&self.fleet, self.plan);
     }
 
@@ -201,7 +200,7 @@
         self.fleet.put(record, Revision(self.revision));
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         let record = wave::effect(&self.fleet, &self.plan.id, step, &self.op, self.now);
         let Some(record) = record else { return };
         self.put(record);
@@ -209,28 +208,28 @@
         match step {
             Step::Leave { host } => {
                 let epoch = self.fleet.hosts[host].epoch;
-                self.after(expected.quiet, Event::Quiet(host.clone(), epoch));
-                self.look(host, self.rules.leave_limit);
-                self.observe(Some(host));
+                self.schedule_after(expected.quiet, Event::Quiet(host.clone(), epoch));
+                self.schedule_recheck(host, self.rules.leave_limit);
+                self.record_peaks(Some(host));
             }
             Step::Move { service, moves, .. } => {
                 self.report.moves += moves.len() as u32;
-                self.started(service, moves.keys());
+                self.schedule_starts(service, moves.keys());
             }
-            Step::Prepare { service, moves, .. } => self.started(service, moves.keys()),
+            Step::Prepare { service, moves, .. } => self.schedule_starts(service, moves.keys()),
             Step::Close { host } => {
                 let load = u64::from(self.fleet.used(host).cores.0);
                 self.displaced.insert(host.clone(), load);
-                self.observe(None);
-                self.look(host, self.rules.start_limit + self.rules.leave_limit);
+                self.record_peaks(None);
+                self.schedule_recheck(host, self.rules.start_limit + self.rules.leave_limit);
             }
             Step::Away { host } => {
                 let epoch = self.fleet.hosts[host].epoch;
                 if !self.failed.contains(host) {
-                    self.after(expected.reboot, Event::Back(host.clone(), epoch));
+                    self.schedule_after(expected.reboot, Event::Rebooted(host.clone(), epoch));
                 }
-                self.look(host, expected.reboot * 2 + Duration::from_secs(1));
-                self.look(host, self.rules.away_limit);
+                self.schedule_recheck(host, expected.reboot * 2 + Duration::from_secs(1));
+                self.schedule_recheck(host, self.rules.away_limit);
             }
             Step::Return { host, .. } | Step::Quarantine { host, .. } | Step::Join { host, .. } => {
                 self.displaced.remove(host);
@@ -239,19 +238,19 @@
         }
     }
 
-    /// Has the host be looked at when a limit has passed, if it is as it is now.
-    fn look(&mut self, host: &HostId, limit: Duration) {
+    /// Schedules a new decision after a limit has passed, if the host is then still at this epoch.
+    fn schedule_recheck(&mut self, host: &HostId, limit: Duration) {
         let epoch = self.fleet.hosts[host].epoch;
-        self.after(limit + Duration::from_secs(1), Event::Look(host.clone(), epoch));
+        self.schedule_after(limit + Duration::from_secs(1), Event::Recheck(host.clone(), epoch));
     }
 
-    /// Whether an event can change what is decided.
-    fn matters(&self, event: &Event) -> bool {
+    /// Whether an event can affect decisions.
+    fn is_relevant(&self, event: &Event) -> bool {
         match event {
-            Event::Look(host, epoch) => {
+            Event::Recheck(host, epoch) => {
                 self.fleet.hosts.get(host).is_some_and(|record| record.epoch == *epoch)
             }
-            Event::Late(task, generation) => {
+            Event::StartOverdue(task, generation) => {
                 let host = self.host_of(task, *generation);
                 let report = host.and_then(|host| self.fleet.reports.get(&host));
                 report.is_some_and(|report| {
@@ -266,32 +265,35 @@
         }
     }
 
-    fn after(&mut self, span: Duration, event: Event) {
-        self.events.push(Reverse((self.now + span, event)));
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.events.push(Reverse((self.now + delay, event)));
     }
 
-    /// Has tasks that were started become ready when their time has come.
-    fn started<'i>(&mut self, service: &ServiceId, indexes: impl Iterator<Item = &'i u32>) {
+    /// Schedules when started tasks become ready and when their start limit has passed.
+    fn schedule_starts<'i>(&mut self, service: &ServiceId, indexes: impl Iterator<Item = &'i u32>) {
         for index in indexes {
             let task = TaskRef { service: service.clone(), index: *index };
             let successor = self.fleet.successor(&task).map(|successor| &successor.to);
             let Some(newest) = successor.or(self.fleet.assigned(&task)).cloned() else { continue };
-            self.after(self.rules.expected.start, Event::Ready(task.clone(), newest.generation));
-            let late = Event::Late(task, newest.generation);
-            self.after(self.rules.start_limit + Duration::from_secs(1), late);
+            self.schedule_after(
+                self.rules.expected.start,
+                Event::Ready(task.clone(), newest.generation),
+            );
+            let overdue = Event::StartOverdue(task, newest.generation);
+            self.schedule_after(self.rules.start_limit + Duration::from_secs(1), overdue);
         }
     }
 
-    /// Cares for every service; tells whether anything was written.
+    /// Repairs every service. Returns whether anything was changed.
     fn repair(&mut self) -> bool {
         let services: Vec<ServiceId> = self.fleet.config.services.keys().cloned().collect();
-        let mut written = false;
+        let mut changed = false;
         for id in services {
             let repair = repair::repair(&self.fleet, &id, self.now, self.rules);
             if repair.is_empty() {
                 continue;
             }
-            written = true;
+            changed = true;
             self.report.repairs += repair.moves.len() as u32;
             let planned = |index: &&u32| {
                 let task = TaskRef { service: id.clone(), index: **index };
@@ -304,12 +306,12 @@
                 wave::repaired(placement, &repair, self.now);
             });
             record.into_iter().for_each(|record| self.put(record));
-            self.started(&id, repair.moves.keys().chain(repair.successors.keys()));
+            self.schedule_starts(&id, repair.moves.keys().chain(repair.successors.keys()));
         }
-        written
+        changed
     }
 
-    fn happen(&mut self, event: Event) {
+    fn apply_event(&mut self, event: Event) {
         match event {
             Event::Quiet(host, epoch) => {
                 if let Some(report) = self.fleet.reports.get_mut(&host) {
@@ -317,8 +319,8 @@
                 }
                 self.quiet.insert((host, epoch));
             }
-            Event::Ready(task, generation) => self.ready(task, generation),
-            Event::Back(host, epoch) => {
+            Event::Ready(task, generation) => self.mark_ready(task, generation),
+            Event::Rebooted(host, epoch) => {
                 if self.failed.contains(&host) {
                     return;
                 }
@@ -339,15 +341,15 @@
                 let epoch = self.fleet.hosts.get(&host).map(|record| record.epoch);
                 if let Some(report) = self.fleet.reports.get_mut(&host) {
                     report.live = true;
-                    // A host that failed while it was away has been restarted all the same.
+                    // A host that failed during its reboot has been restarted by its recovery.
                     report.booted = epoch.unwrap_or_default();
                 }
             }
-            Event::Look(..) | Event::Late(..) => {}
+            Event::Recheck(..) | Event::StartOverdue(..) => {}
         }
     }
 
-    /// Where a start of a task is, as its placement has it.
+    /// The host of one start of a task, according to its placement.
     fn host_of(&self, task: &TaskRef, generation: u64) -> Option<HostId> {
         let successor = self.fleet.successor(task).map(|successor| &successor.to);
         let mut starts = [successor, self.fleet.assigned(task)].into_iter().flatten();
@@ -355,7 +357,7 @@
         started.map(|start| start.host.clone())
     }
 
-    fn ready(&mut self, task: TaskRef, generation: u64) {
+    fn mark_ready(&mut self, task: TaskRef, generation: u64) {
         let Some(host) = self.host_of(&task, generation) else { return };
         if self.failed.contains(&host) {
             return;
@@ -373,32 +375,32 @@
         });
     }
 
-    /// Notes how every service stands. With `left`, right after that host's leave: the services
-    /// that it carries must be able to survive their worst failure domain.
-    fn observe(&mut self, left: Option<&HostId>) {
-        let leaving = left.map(|host| budget::services_on(&self.fleet, host));
+    /// Records the peak values of every service. With `left_host`, called right after that host has
+    /// left: its services must still be able to lose their largest failure domain.
+    fn record_peaks(&mut self, left_host: Option<&HostId>) {
+        let leaving = left_host.map(|host| budget::services_on(&self.fleet, host));
         let out: u64 = self.displaced.values().sum();
-        let worst = worst_rack(&self.fleet);
+        let rack_load = max_rack_load(&self.fleet);
         self.report.peak_out = self.report.peak_out.max(self.displaced.len() as u32);
-        self.report.shared_buffer = self.report.shared_buffer.max(out.max(worst));
-        self.report.separate_buffer = self.report.separate_buffer.max(out + worst);
+        self.report.shared_buffer = self.report.shared_buffer.max(out.max(rack_load));
+        self.report.separate_buffer = self.report.separate_buffer.max(out + rack_load);
         for (id, service) in &self.fleet.config.services {
-            let standing = budget::standing(&self.fleet, id, service, self.now, self.rules);
-            let fared = self.report.services.entry(id.clone()).or_default();
+            let status = budget::standing(&self.fleet, id, service, self.now, self.rules);
+            let peaks = self.report.services.entry(id.clone()).or_default();
             let failed = failed_tasks(&self.fleet, &self.failed, id);
-            let down = standing.down.len() as u32;
-            fared.note(&standing, down, failed);
-            self.report.breaches += u32::from(!standing.holds());
-            let touched = leaving.as_ref().is_some_and(|services| services.contains(id));
-            let short = standing.max_down < down + standing.reserve();
-            self.report.voluntary_breaches += u32::from(touched && short);
+            let down = status.down.len() as u32;
+            peaks.update(&status, down, failed);
+            self.report.breaches += u32::from(!status.holds());
+            let affected = leaving.as_ref().is_some_and(|services| services.contains(id));
+            let exceeded = status.max_down < down + status.reserve();
+            self.report.voluntary_breaches += u32::from(affected && exceeded);
         }
     }
 }
 
-impl Fared {
-    fn note(&mut self, standing: &Standing, down: u32, failed: u32) {
-        let reserve = standing.reserve();
+impl ServicePeaks {
+    fn update(&mut self, status: &Standing, down: u32, failed: u32) {
+        let reserve = status.reserve();
         self.peak_down = self.peak_down.max(down);
         self.peak_failed = self.peak_failed.max(failed);
         self.peak_out = self.peak_out.max(down.saturating_sub(failed));
@@ -407,8 +409,8 @@
     }
 }
 
-/// The load of the rack that carries the most, in millicores.
-fn worst_rack(fleet: &Fleet) -> u64 {
+/// The load of the most loaded rack, in millicores.
+fn max_rack_load(fleet: &Fleet) -> u64 {
     let mut racks: BTreeMap<&RackId, u64> = BTreeMap::new();
     for (host, report) in &fleet.reports {
         if fleet.hosts.get(host).is_some_and(|record| record.state == HostState::Serving) {
@@ -418,7 +420,7 @@
     racks.into_values().max().unwrap_or(0)
 }
 
-/// Tasks of a service that stand on failed hosts.
+/// Number of tasks of a service that are assigned to failed hosts.
 fn failed_tasks(fleet: &Fleet, failed: &HashSet<HostId>, id: &ServiceId) -> u32 {
     let Some(placement) = fleet.placements.get(id) else {
         return 0;
