--- a/src/decide/claim.rs
+++ b/src/decide/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: a request that is not repeatable runs only for whoever wrote its claim first.
+//! Claims: a request that is not repeatable is sent only by the node that first wrote its claim.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,17 +9,17 @@
     unit::Time,
 };
 
-/// What is known of a claimed request.
+/// State of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum ClaimState {
-    /// Its node may be sending it, or may have died with it.
+    /// Its node may be sending it, or may have died before or after doing so.
     Claimed,
-    /// It ran and was answered with this HTTP status.
+    /// It ran and returned this HTTP status.
     Ran(u16),
-    /// It was sent, and no whole answer came.
+    /// It was sent, but no complete answer was received.
     Unknown,
-    /// It did not run: the key may be claimed again.
+    /// It did not run; the key may be claimed again.
     Released,
 }
 
@@ -32,66 +32,67 @@
     pub(crate) state: ClaimState,
 }
 
-/// The claims that share one value of the store, by caller's team and key.
+/// The claims stored under one store key, by the caller's team and idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Bucket {
     pub(crate) claims: BTreeMap<String, Claim>,
-    /// The write that set this record.
+    /// The operation that wrote this value.
     pub(crate) op: Option<OpId>,
 }
 
-/// What a node wants of a bucket.
+/// A change that a node wants to make to a bucket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Wish {
     /// Claim a key.
     Claim { key: String, op: OpId },
-    /// Note how a request ended that this operation claimed.
+    /// Record the result of a request that this operation claimed.
     End { key: String, op: OpId, state: ClaimState },
 }
 
-/// How a wish fared, if the bucket's next value is written.
+/// Result of a change, once the bucket's next value is written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Granted {
-    /// The key is this operation's: the request may be sent, once.
+    /// The change is accepted. After a claim, the request may be sent once.
     Yes,
-    /// The key is another operation's.
+    /// The key is claimed by another operation.
     Held(Claim),
-    /// The bucket holds as many claims as it may.
+    /// The bucket already holds the maximum number of claims.
     Full,
 }
 
-/// Bounds on a bucket.
+/// Limits of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Keep {
-    /// Claims older than this are forgotten.
+    /// Claims of this age or older are removed.
     pub(crate) span: Duration,
-    /// Most claims in a bucket; none is forgotten early to make room.
+    /// Maximum number of claims in a bucket. Claims are never removed early to free a slot.
     pub(crate) most: usize,
 }
 
-/// The bucket after the wishes, and how each of them fared.
+/// Applies changes to a bucket. Returns its next value and the result of each change.
 pub(crate) fn decide(
     bucket: &Bucket,
-    wishes: &[Wish],
+    changes: &[Wish],
     node: &NodeId,
-    keep: Keep,
+    limits: Keep,
     now: Time,
 ) -> (Bucket, Vec<Granted>) {
     let mut next = bucket.clone();
-    next.claims.retain(|_, claim| now.since(claim.at) < keep.span);
-    let granted = wishes.iter().map(|wish| grant(&mut next, wish, node, keep, now)).collect();
-    (next, granted)
+    next.claims.retain(|_, claim| now.since(claim.at) < limits.span);
+    let results =
+        changes.iter().map(|change| apply(&mut next, change, node, limits, now)).collect();
+    (next, results)
 }
 
-fn grant(next: &mut Bucket, wish: &Wish, node: &NodeId, keep: Keep, now: Time) -> Granted {
-    match wish {
+fn apply(next: &mut Bucket, change: &Wish, node: &NodeId, limits: Keep, now: Time) -> Granted {
+    match change {
         Wish::Claim { key, op } => {
             let held = next.claims.get(key).filter(|c| c.state != ClaimState::Released);
             match held {
-                // An earlier write of this very claim took effect although its answer was lost.
+                // An earlier write of this claim took effect, but its answer was lost.
                 Some(claim) if claim.op == *op => Granted::Yes,
                 Some(claim) => Granted::Held(claim.clone()),
-                None if keep.most <= next.claims.len() => Granted::Full,
+                None if limits.most <= next.claims.len() => Granted::Full,
                 None => {
                     let state = ClaimState::Claimed;
                     let claim = Claim { op: op.clone(), node: node.clone(), at: now, state };
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -1,104 +1,104 @@
-//! Routing: which endpoint gets a request, and when a request is refused early.
+//! Routing: selects the endpoint of a request, limits rates and retries, and estimates waits.
 
 use std::time::Duration;
 
 use crate::model::{request::Class, unit::Time};
 
-/// What a node knows of one endpoint when it chooses.
+/// Load of one endpoint, as known to a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Load {
-    /// Requests that this node has there.
+    /// Requests of this node in flight there.
     pub(crate) own: u32,
-    /// Requests that ran there when it last answered, from all nodes.
+    /// Requests of all nodes running there, as last reported by the endpoint.
     pub(crate) said: u32,
-    /// When it last answered.
+    /// When the endpoint last reported.
     pub(crate) said_at: Time,
-    /// Requests that it runs at one time.
+    /// Requests that the endpoint runs at one time.
     pub(crate) slots: u32,
-    /// Requests that this node may have there at one time.
+    /// Maximum number of requests of this node in flight there.
     pub(crate) share: u32,
-    /// Until when it is left alone if another will do.
+    /// End of the backoff after failures: until then other endpoints are preferred.
     pub(crate) rest_until: Time,
 }
 
-/// What an endpoint said is believed for this long.
-const SAID_FOR: Duration = Duration::from_millis(250);
-/// The first time that an endpoint is left alone after a failure.
-const FIRST_REST: Duration = Duration::from_millis(200);
-/// The longest time that an endpoint is left alone: it is always tried again.
-const LONGEST_REST: Duration = Duration::from_secs(5);
+/// How long a load reported by an endpoint is used.
+const REPORTED_LOAD_TTL: Duration = Duration::from_millis(250);
+/// Backoff of an endpoint after its first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Maximum backoff of an endpoint: it is always retried.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 impl Load {
-    /// The load by which endpoints are compared, in thousandths of the slots.
-    fn level(&self, now: Time) -> u32 {
-        let said = if now.since(self.said_at) < SAID_FOR { self.said } else { 0 };
-        self.own.max(said) * 1000 / self.slots.max(1)
+    /// Used slots in thousandths, by which endpoints are compared.
+    fn utilization(&self, now: Time) -> u32 {
+        let reported = if now.since(self.said_at) < REPORTED_LOAD_TTL { self.said } else { 0 };
+        self.own.max(reported) * 1000 / self.slots.max(1)
     }
 
-    fn is_open(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         self.own < self.share
     }
 
-    fn rests(&self, now: Time) -> bool {
+    fn is_backing_off(&self, now: Time) -> bool {
         now < self.rest_until
     }
 }
 
-/// Chooses one of the endpoints that are not `tried`: the less loaded of two drawn ones. One that
-/// rests is chosen only when no other is open. `draw(n)` draws a number below n.
+/// Chooses one of the endpoints that are not in `tried`: the less loaded of two drawn at random. An
+/// endpoint in backoff is chosen only if no other has capacity. `draw(n)` draws a number below n.
 pub(crate) fn choose(
     loads: &[Load],
     tried: &[usize],
     now: Time,
     draw: &mut dyn FnMut(usize) -> usize,
 ) -> Option<usize> {
-    let open = |at: &usize| loads[*at].is_open() && !tried.contains(at);
-    let awake: Vec<usize> =
-        (0..loads.len()).filter(open).filter(|at| !loads[*at].rests(now)).collect();
-    if awake.is_empty() {
-        return (0..loads.len()).filter(open).min_by_key(|at| loads[*at].rest_until);
+    let available = |at: &usize| loads[*at].has_capacity() && !tried.contains(at);
+    let preferred: Vec<usize> =
+        (0..loads.len()).filter(available).filter(|at| !loads[*at].is_backing_off(now)).collect();
+    if preferred.is_empty() {
+        return (0..loads.len()).filter(available).min_by_key(|at| loads[*at].rest_until);
     }
-    let one = awake[draw(awake.len())];
-    let two = awake[draw(awake.len())];
-    Some(if loads[two].level(now) < loads[one].level(now) { two } else { one })
+    let one = preferred[draw(preferred.len())];
+    let two = preferred[draw(preferred.len())];
+    Some(if loads[two].utilization(now) < loads[one].utilization(now) { two } else { one })
 }
 
-/// How long an endpoint is left alone after so many failures without a success in between.
+/// Backoff of an endpoint after a number of consecutive failures.
 pub(crate) fn rest(failures: u32) -> Duration {
-    let doubled = FIRST_REST * (1 << failures.saturating_sub(1).min(10));
-    doubled.min(LONGEST_REST)
+    let doubled = INITIAL_BACKOFF * (1 << failures.saturating_sub(1).min(10));
+    doubled.min(MAX_BACKOFF)
 }
 
-/// Requests that one node may have at an endpoint, when `nodes` share its connections.
+/// Maximum number of requests of one node at an endpoint whose connections `nodes` nodes share.
 pub(crate) fn share(slots: u32, connections: u32, nodes: usize) -> u32 {
     let each = connections / u32::try_from(nodes.max(1)).unwrap_or(u32::MAX);
     each.clamp(1, slots.max(1))
 }
 
-/// A budget of retries: each success earns a part of one.
+/// Retry budget: each success earns a fraction of a retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RetryBudget {
     tokens: f64,
 }
 
-/// Retries that a success earns.
-const RETRY_EARNED: f64 = 0.2;
-/// Most retries that can be saved up.
-const RETRY_SAVED: f64 = 20.0;
+/// Retries that one success earns.
+const TOKENS_PER_SUCCESS: f64 = 0.2;
+/// Maximum number of accumulated retries.
+const MAX_RETRY_TOKENS: f64 = 20.0;
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
-        RetryBudget { tokens: RETRY_SAVED / 2.0 }
+        RetryBudget { tokens: MAX_RETRY_TOKENS / 2.0 }
     }
 }
 
 impl RetryBudget {
-    /// Notes a success.
+    /// Records a success.
     pub(crate) fn earn(&mut self) {
-        self.tokens = (self.tokens + RETRY_EARNED).min(RETRY_SAVED);
+        self.tokens = (self.tokens + TOKENS_PER_SUCCESS).min(MAX_RETRY_TOKENS);
     }
 
-    /// Takes one retry; false if none is left.
+    /// Takes one retry. Returns false if none is left.
     pub(crate) fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -108,31 +108,32 @@
     }
 }
 
-/// A rate that may vary from one moment to the next, with a little saved up.
+/// Token bucket whose rate may differ from call to call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RateLimit {
     tokens: f64,
-    at: Time,
+    updated: Time,
 }
 
 impl RateLimit {
-    /// A limit with one to take, for a rate of which more nodes may be starting at this moment.
+    /// A bucket with a single token, for a rate shared with nodes that may start at the same
+    /// moment.
     pub(crate) fn empty(now: Time) -> RateLimit {
-        RateLimit { tokens: 1.0, at: now }
+        RateLimit { tokens: 1.0, updated: now }
     }
 
-    /// A limit with all saved up that it may save.
+    /// A full bucket.
     pub(crate) fn full(now: Time) -> RateLimit {
-        RateLimit { tokens: f64::INFINITY, at: now }
+        RateLimit { tokens: f64::INFINITY, updated: now }
     }
 
-    /// Takes one if `keep` more are left, or tells when it may be taken.
-    pub(crate) fn take(&mut self, rate: f64, keep: f64, now: Time) -> Result<(), Duration> {
-        let earned = now.since(self.at).as_secs_f64() * rate;
-        self.tokens = (self.tokens + earned).min(saved(rate));
-        self.at = now;
-        // A rate so low that less is ever saved must not wait for ever.
-        let needed = (1.0 + keep).min(saved(rate));
+    /// Takes one token if `reserve` more remain, or returns how long to wait.
+    pub(crate) fn take(&mut self, rate: f64, reserve: f64, now: Time) -> Result<(), Duration> {
+        let refill = now.since(self.updated).as_secs_f64() * rate;
+        self.tokens = (self.tokens + refill).min(burst_size(rate));
+        self.updated = now;
+        // At a low rate the bucket is smaller than the reserve, and would never hold enough.
+        let needed = (1.0 + reserve).min(burst_size(rate));
         if needed <= self.tokens {
             self.tokens -= 1.0;
             return Ok(());
@@ -142,25 +143,25 @@
     }
 }
 
-/// Seconds' worth of a rate that is saved up.
-const SAVED: f64 = 0.25;
+/// Size of a bucket, in seconds of its rate.
+const BURST_SECONDS: f64 = 0.25;
 
-/// What may come at once.
-fn saved(rate: f64) -> f64 {
-    (rate * SAVED).max(1.0)
+/// Size of a bucket: the requests that may pass at once.
+fn burst_size(rate: f64) -> f64 {
+    (rate * BURST_SECONDS).max(1.0)
 }
 
-/// A request that waits for an endpoint.
+/// A queued request that waits for an endpoint. The derived order is that of the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Waiting {
     pub(crate) class: Class,
     pub(crate) deadline: Time,
-    /// Order of arrival, which ends ties.
+    /// Order of arrival, which breaks ties.
     pub(crate) number: u64,
 }
 
-/// How long the request behind `ahead` others would wait, when `slots` requests run at one time
-/// and each takes `typical`.
+/// Expected wait of a request behind `ahead` others, if `slots` requests run at one time and each
+/// takes `typical`.
 pub(crate) fn expected_wait(ahead: usize, slots: u32, typical: Duration) -> Duration {
     let rounds = (ahead + 1) as f64 / f64::from(slots.max(1));
     typical.mul_f64(rounds)
