--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn rehearsal_moves_each_task_of_a_drained_host() {
+fn simulation_moves_each_task_of_a_drained_host() {
     let (fleet, rules) = tyrehub();
     let hosts: Vec<HostId> = fleet.hosts.keys().take(8).cloned().collect();
     let tasks: usize = hosts.iter().map(|host| fleet.tasks_on(host).len()).sum();
@@ -63,10 +63,10 @@
     assert_eq!(moves, tasks);
 }
 
-/// Two operators confirm plans for the same host at one time, at two nodes: each plan comes to an
-/// end, and the host is maintained once.
+/// Two operators confirm plans for the same host at the same time, at two nodes: both plans must
+/// finish, and the host must be rebooted only once.
 #[test]
-fn of_two_plans_for_one_host_one_maintains_it() {
+fn two_plans_for_one_host_reboot_it_once() {
     let (mut fleet, rules) = tyrehub();
     let host: HostId = fleet.hosts.keys().next().unwrap().clone();
     let pool = fleet.hosts[&host].pool.clone();
@@ -89,8 +89,8 @@
         fleet.heard = now;
         for plan in &plans {
             let quiet = |_: &HostId, _| true;
-            let outlook = Outlook { fleet: &fleet, is_quiet: &quiet, now, rules: &rules };
-            let steps = wave::advance(&outlook, plan, &pool).0;
+            let context = Outlook { fleet: &fleet, is_quiet: &quiet, now, rules: &rules };
+            let steps = wave::advance(&context, plan, &pool).0;
             for step in steps {
                 reboots += u32::from(matches!(step, Step::Away { .. }));
                 let op = "op".parse().unwrap();
@@ -119,8 +119,8 @@
     assert!(matches!(record.outcome(&plans[1].id), Some(HostOutcome::Skipped(_))));
 }
 
-/// A fleet without successors in which a plan has closed one host of a service.
-fn closing() -> (Fleet, Rules, Plan, HostId) {
+/// A fleet whose services allow no successors, and in which a plan has closed one host.
+fn fleet_with_closing_host() -> (Fleet, Rules, Plan, HostId) {
     let rules = Rules::default();
     let mut preset = preset::tyrehub();
     preset.config.services.values_mut().for_each(|service| service.surge = false);
@@ -138,26 +138,26 @@
 
 fn next_steps(fleet: &Fleet, plan: &Plan, rules: &Rules, now: Time) -> Vec<Step> {
     let quiet = |_: &HostId, _| true;
-    let outlook = Outlook { fleet, is_quiet: &quiet, now, rules };
-    plan.pools.keys().flat_map(|pool| wave::advance(&outlook, plan, pool).0).collect()
+    let context = Outlook { fleet, is_quiet: &quiet, now, rules };
+    plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).0).collect()
 }
 
-/// Found by fuzzing: with a list of hosts that was too old, every task counted as down already, so
-/// that a host left as if it took nothing from any budget.
+/// With a stale host list every task counts as down already, so a host could leave without using
+/// any budget.
 #[test]
-fn an_old_list_lets_no_host_leave() {
-    let (fleet, rules, plan, host) = closing();
-    let leaves =
+fn stale_host_list_prevents_leave() {
+    let (fleet, rules, plan, host) = fleet_with_closing_host();
+    let may_leave =
         |now| next_steps(&fleet, &plan, &rules, now).contains(&Step::Leave { host: host.clone() });
-    assert!(leaves(BEGIN));
-    assert!(!leaves(BEGIN + rules.list_limit));
+    assert!(may_leave(BEGIN));
+    assert!(!may_leave(BEGIN + rules.list_limit));
 }
 
-/// Found by fuzzing: permits that were left from before a pause counted as down already, so that
-/// the host left without a check although hosts had failed meanwhile.
+/// Tasks with permits taken before a pause count as down already, so the host could leave without a
+/// check although other hosts had failed in the meantime.
 #[test]
-fn permits_from_before_a_pause_are_checked_again() {
-    let (mut fleet, rules, plan, host) = closing();
+fn permits_held_across_a_pause_are_checked_again() {
+    let (mut fleet, rules, plan, host) = fleet_with_closing_host();
     for service in budget::services_on(&fleet, &host) {
         let step = Step::Permit { host: host.clone(), service };
         let op = "op".parse().unwrap();
@@ -176,11 +176,11 @@
     assert!(steps.iter().any(|step| matches!(step, Step::GiveBack { .. })), "{steps:?}");
 }
 
-/// A permit that another node has taken, and not used yet, counts as down: its host may leave at
-/// any moment.
+/// A permit that another plan has taken but not used yet counts as down, because its host may leave
+/// at any moment.
 #[test]
-fn permits_of_others_count_as_down() {
-    let (mut fleet, rules, plan, host) = closing();
+fn unused_permits_of_other_plans_count_as_down() {
+    let (mut fleet, rules, plan, host) = fleet_with_closing_host();
     let leave = Step::Leave { host: host.clone() };
     assert!(next_steps(&fleet, &plan, &rules, BEGIN).contains(&leave));
     let quotes = fleet.placements[&"quotes".parse().unwrap()].clone();
@@ -195,9 +195,10 @@
     assert!(!next_steps(&fleet, &plan, &rules, BEGIN).contains(&leave));
 }
 
-/// A fleet as in `closing`, and a task on another host whose successor is ready on the closing one.
-fn bound_for_closing() -> (Fleet, Rules, Plan, HostId, u32) {
-    let (mut fleet, rules, plan, host) = closing();
+/// Like `fleet_with_closing_host`, with a task on another host whose successor is ready on the
+/// closing one.
+fn fleet_with_incoming_successor() -> (Fleet, Rules, Plan, HostId, u32) {
+    let (mut fleet, rules, plan, host) = fleet_with_closing_host();
     let service = "quotes".parse().unwrap();
     let mut placement: Placement = fleet.placements[&service].clone();
     let here = |task: &Option<Assigned>| task.as_ref().is_some_and(|task| task.host == host);
@@ -217,23 +218,23 @@
 }
 
 #[test]
-fn a_successor_does_not_take_over_on_a_host_that_closes() {
-    let (fleet, rules, _, host, index) = bound_for_closing();
+fn successor_on_closing_host_does_not_replace_its_task() {
+    let (fleet, rules, _, host, index) = fleet_with_incoming_successor();
     let repair = repair::repair(&fleet, &"quotes".parse().unwrap(), BEGIN, &rules);
     assert!(!repair.swaps.contains(&index));
     assert!(repair.successors.get(&index).is_some_and(|other| *other != host));
 }
 
 #[test]
-fn a_host_to_which_a_successor_is_bound_does_not_leave() {
-    let (fleet, rules, plan, host, _) = bound_for_closing();
+fn host_with_incoming_successor_does_not_leave() {
+    let (fleet, rules, plan, host, _) = fleet_with_incoming_successor();
     let steps = next_steps(&fleet, &plan, &rules, BEGIN);
     assert!(!steps.contains(&Step::Leave { host }), "{steps:?}");
 }
 
 #[test]
-fn a_host_leaves_only_with_the_permits_of_its_plan() {
-    let (mut fleet, _, plan, host) = closing();
+fn host_leaves_only_with_permits_of_its_plan() {
+    let (mut fleet, _, plan, host) = fleet_with_closing_host();
     let leave = Step::Leave { host: host.clone() };
     let op: OpId = "op".parse().unwrap();
     for service in budget::services_on(&fleet, &host) {
@@ -246,10 +247,10 @@
     assert_eq!(wave::effect(&fleet, &other, &leave, &op, BEGIN), None);
 }
 
-/// What a host holds stands in other records than its own.
+/// The tasks of a host are stored in the placements of services, not in the host's record.
 #[test]
-fn what_a_host_holds_is_a_condition_of_its_leaving() {
-    let (fleet, _, _, host) = closing();
+fn leave_and_reboot_depend_on_placements_of_the_pool() {
+    let (fleet, _, _, host) = fleet_with_closing_host();
     let pool = &fleet.hosts[&host].pool;
     let services = fleet.config.services.iter().filter(|(_, service)| service.pool == *pool);
     let placements: Vec<Key> = services.map(|(id, _)| Key::Placement(id.clone())).collect();
@@ -260,10 +261,10 @@
     }
 }
 
-/// Found by CI beside load: a confirmation whose answer was lost was sent again, met its own write,
-/// and was told as a conflict.
+/// A confirmation whose answer was lost is sent again and finds its own write, which must not be
+/// reported as a conflict.
 #[test]
-fn a_decision_is_known_by_its_own_write_and_not_taken_for_that_of_another() {
+fn repeated_confirmation_recognizes_only_its_own_write() {
     let (fleet, rules) = tyrehub();
     let hosts: Vec<HostId> = fleet.hosts.keys().take(1).cloned().collect();
     let plan = propose(&fleet, drain(hosts), &rules);
--- a/src/decide/tests/claims.rs
+++ b/src/decide/tests/claims.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of claims: nodes race for the keys of one bucket over a store that loses
-//! answers, and die between a claim and its request. The oracle counts what ran.
+//! Stateful fuzzing of claims: nodes compete for the keys of one bucket over a store that loses
+//! answers, and die between a claim and its request. The oracle counts the requests sent per key.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,49 +16,49 @@
 
 const NODES: usize = 3;
 const KEYS: u8 = 4;
-const KEEP: Keep = Keep { span: Duration::from_secs(86_400), most: 100 };
+const LIMITS: Keep = Keep { span: Duration::from_secs(86_400), most: 100 };
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
-    /// A caller asks a node for a key.
-    Ask { node: u8, key: u8 },
+    /// A caller sends a request with a key to a node.
+    Request { node: u8, key: u8 },
     /// A node reads the bucket.
     Read { node: u8 },
-    /// A node writes what it wants, on the reading that it has.
-    Write { node: u8, fate: Fate },
-    /// A write that was under way arrives after all.
-    Arrive { node: u8 },
-    /// A node whose answer was lost reads back and compares.
-    Check { node: u8 },
-    /// A node sends a request that it was granted; it may not be told how it ended.
-    Send { node: u8, whole: bool },
-    /// A node dies, and another process takes its name.
+    /// A node writes its pending changes, based on its last read.
+    Write { node: u8, result: WriteResult },
+    /// A delayed write reaches the store.
+    DeliverDelayed { node: u8 },
+    /// A node whose write was not answered reads the bucket and compares.
+    ReadBack { node: u8 },
+    /// A node sends a request whose claim was accepted; its answer may be incomplete.
+    Send { node: u8, complete: bool },
+    /// A node dies and is replaced by a new process with the same name.
     Die { node: u8 },
 }
 
-/// What becomes of a write.
+/// Result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, TypeGenerator)]
-enum Fate {
+enum WriteResult {
     Answered,
-    /// It takes effect, and its answer is lost.
+    /// It takes effect, but its answer is lost.
     AnswerLost,
-    /// It is lost itself, or comes late.
+    /// It is lost or delayed.
     Lost,
 }
 
-/// What a node wrote, what it would have been granted, and what it asked for.
-type Doubt = (Bucket, Vec<Granted>, Vec<(String, OpId)>);
+/// An unconfirmed write: the bucket written, the results it would have, and the claims requested.
+type UnconfirmedWrite = (Bucket, Vec<Granted>, Vec<(String, OpId)>);
 
 #[derive(Debug, Clone, Default)]
 struct Node {
-    wanted: Vec<(String, OpId)>,
+    requested: Vec<(String, OpId)>,
     ends: Vec<Wish>,
     read: Option<(u64, Bucket)>,
-    /// A write whose answer was lost: what it wrote, and what it would have granted.
-    doubt: Option<Doubt>,
-    granted: Vec<(String, OpId)>,
-    /// A write that may arrive late, with the revision that it expects.
-    late: Option<(u64, Bucket)>,
+    /// A write that was not answered.
+    unconfirmed: Option<UnconfirmedWrite>,
+    accepted: Vec<(String, OpId)>,
+    /// A write that may still reach the store, with the revision that it expects.
+    delayed: Option<(u64, Bucket)>,
 }
 
 #[derive(Debug, Default)]
@@ -78,99 +78,102 @@
 
     fn apply(&mut self, op: Op) {
         match op {
-            Op::Ask { node, key } => {
+            Op::Request { node, key } => {
                 let op = self.op();
                 let key = format!("key-{}", key % KEYS);
-                self.nodes[usize::from(node) % NODES].wanted.push((key, op));
+                self.nodes[usize::from(node) % NODES].requested.push((key, op));
             }
             Op::Read { node } => {
                 let read = Some((self.revision, self.bucket.clone()));
                 self.nodes[usize::from(node) % NODES].read = read;
             }
-            Op::Write { node, fate } => self.write(usize::from(node) % NODES, fate),
-            Op::Arrive { node } => self.arrive(usize::from(node) % NODES),
-            Op::Check { node } => self.check(usize::from(node) % NODES),
-            Op::Send { node, whole } => self.send(usize::from(node) % NODES, whole),
+            Op::Write { node, result } => self.write(usize::from(node) % NODES, result),
+            Op::DeliverDelayed { node } => self.deliver_delayed(usize::from(node) % NODES),
+            Op::ReadBack { node } => self.read_back(usize::from(node) % NODES),
+            Op::Send { node, complete } => self.send(usize::from(node) % NODES, complete),
             Op::Die { node } => self.nodes[usize::from(node) % NODES] = Node::default(),
         }
     }
 
-    fn arrive(&mut self, at: usize) {
-        let Some((revision, bucket)) = self.nodes[at].late.take() else { return };
+    fn deliver_delayed(&mut self, at: usize) {
+        let Some((revision, bucket)) = self.nodes[at].delayed.take() else { return };
         if revision == self.revision {
             self.revision += 1;
             self.bucket = bucket;
         }
     }
 
-    fn write(&mut self, at: usize, fate: Fate) {
-        let stamp = self.op();
+    fn write(&mut self, at: usize, result: WriteResult) {
+        let write_op = self.op();
         let node = &mut self.nodes[at];
-        if node.doubt.is_some() {
+        if node.unconfirmed.is_some() {
             return;
         }
         let Some((revision, bucket)) = node.read.take() else { return };
-        let wanted = std::mem::take(&mut node.wanted);
-        let wishes: Vec<Wish> = wanted
+        let requested = std::mem::take(&mut node.requested);
+        let changes: Vec<Wish> = requested
             .iter()
             .map(|(key, op)| Wish::Claim { key: key.clone(), op: op.clone() })
             .chain(node.ends.iter().cloned())
             .collect();
         let id: NodeId = format!("n-{at}").parse().unwrap();
         let now = Time::from_millis(1_000_000);
-        let (mut next, granted) = claim::decide(&bucket, &wishes, &id, KEEP, now);
-        next.op = Some(stamp);
+        let (mut next, accepted) = claim::decide(&bucket, &changes, &id, LIMITS, now);
+        next.op = Some(write_op);
         if revision != self.revision {
-            node.wanted = wanted;
+            node.requested = requested;
             return;
         }
-        if fate == Fate::Lost {
-            node.late = Some((revision, next.clone()));
-            node.doubt = Some((next, granted, wanted));
+        if result == WriteResult::Lost {
+            node.delayed = Some((revision, next.clone()));
+            node.unconfirmed = Some((next, accepted, requested));
             return;
         }
         self.revision += 1;
         self.bucket = next.clone();
-        if fate == Fate::AnswerLost {
-            node.doubt = Some((next, granted, wanted));
+        if result == WriteResult::AnswerLost {
+            node.unconfirmed = Some((next, accepted, requested));
             return;
         }
         node.ends.clear();
-        node.take(&granted, wanted);
+        node.accept(&accepted, requested);
     }
 
-    /// As the writer does: a bucket that is as it was written took effect; else the claims are
-    /// given back when they can be.
-    fn check(&mut self, at: usize) {
+    /// Like the claim writer: if the bucket equals the one written, the write took effect;
+    /// otherwise its claims are released.
+    fn read_back(&mut self, at: usize) {
         let node = &mut self.nodes[at];
-        let Some((written, granted, wanted)) = node.doubt.take() else { return };
+        let Some((written, accepted, requested)) = node.unconfirmed.take() else { return };
         if self.bucket == written {
             node.ends.clear();
-            node.take(&granted, wanted);
+            node.accept(&accepted, requested);
             return;
         }
-        let released =
-            wanted.into_iter().map(|(key, op)| Wish::End { key, op, state: ClaimState::Released });
+        let released = requested.into_iter().map(|(key, op)| Wish::End {
+            key,
+            op,
+            state: ClaimState::Released,
+        });
         node.ends.extend(released);
     }
 
-    fn send(&mut self, at: usize, whole: bool) {
-        let Some((key, op)) = self.nodes[at].granted.pop() else { return };
+    fn send(&mut self, at: usize, complete: bool) {
+        let Some((key, op)) = self.nodes[at].accepted.pop() else { return };
         *self.ran.entry(key.clone()).or_default() += 1;
-        let state = if whole { ClaimState::Ran(200) } else { ClaimState::Unknown };
+        let state = if complete { ClaimState::Ran(200) } else { ClaimState::Unknown };
         self.nodes[at].ends.push(Wish::End { key, op, state });
     }
 }
 
 impl Node {
-    fn take(&mut self, granted: &[Granted], wanted: Vec<(String, OpId)>) {
-        let yes = wanted.into_iter().zip(granted).filter(|(_, g)| **g == Granted::Yes);
-        self.granted.extend(yes.map(|(wish, _)| wish));
+    fn accept(&mut self, results: &[Granted], requested: Vec<(String, OpId)>) {
+        let claims = requested.into_iter().zip(results).filter(|(_, g)| **g == Granted::Yes);
+        self.accepted.extend(claims.map(|(claim, _)| claim));
     }
 }
 
 #[test]
-fn a_key_runs_at_most_once_whatever_happens() {
+fn key_is_sent_at_most_once_despite_lost_writes_and_deaths() {
     fuzz(3000, 120, |ops: &[Op]| {
         let mut world = World { nodes: vec![Node::default(); NODES], ..World::default() };
         for op in ops {
@@ -182,16 +185,18 @@
 }
 
 #[test]
-fn a_full_bucket_forgets_nothing_early() {
-    let keep = Keep { span: Duration::from_secs(10), most: 2 };
+fn full_bucket_keeps_unexpired_claims() {
+    let limits = Keep { span: Duration::from_secs(10), most: 2 };
     let node: NodeId = "n".parse().unwrap();
-    let wish = |key: &str| Wish::Claim { key: key.to_owned(), op: key.parse().unwrap() };
-    let wishes = [wish("a"), wish("b"), wish("c")];
-    let (bucket, granted) =
-        claim::decide(&Bucket::default(), &wishes, &node, keep, Time::from_millis(0));
-    assert_eq!(granted, [Granted::Yes, Granted::Yes, Granted::Full]);
-    let (_, granted) = claim::decide(&bucket, &[wish("c")], &node, keep, Time::from_millis(9_999));
-    assert_eq!(granted, [Granted::Full]);
-    let (_, granted) = claim::decide(&bucket, &[wish("c")], &node, keep, Time::from_millis(10_000));
-    assert_eq!(granted, [Granted::Yes]);
+    let claim_key = |key: &str| Wish::Claim { key: key.to_owned(), op: key.parse().unwrap() };
+    let changes = [claim_key("a"), claim_key("b"), claim_key("c")];
+    let (bucket, accepted) =
+        claim::decide(&Bucket::default(), &changes, &node, limits, Time::from_millis(0));
+    assert_eq!(accepted, [Granted::Yes, Granted::Yes, Granted::Full]);
+    let (_, accepted) =
+        claim::decide(&bucket, &[claim_key("c")], &node, limits, Time::from_millis(9_999));
+    assert_eq!(accepted, [Granted::Full]);
+    let (_, accepted) =
+        claim::decide(&bucket, &[claim_key("c")], &node, limits, Time::from_millis(10_000));
+    assert_eq!(accepted, [Granted::Yes]);
 }
--- a/src/decide/tests/fuzz.rs
+++ b/src/decide/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Stateful fuzzing of plans: two nodes with views that lag drive waves over a store that goes
-//! down and loses answers, while hosts and racks fail and operators race. The oracle keeps the
-//! truth by itself, and shares no code with the policy.
+//! Stateful fuzzing of plans: two nodes with delayed views run waves over a store that goes down
+//! and loses answers, while hosts and racks fail and operators act concurrently. The oracle tracks
+//! the actual state itself, and shares no code with the decisions.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -30,22 +30,22 @@
 
 const NODES: usize = 2;
 
-/// Something that happens in the world.
+/// One operation of a sequence.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
-    /// Time passes, and what was started makes progress.
-    Pass(u8),
-    /// A node takes its next steps.
-    Drive {
+    /// Time passes, and started tasks and reboots make progress.
+    AdvanceTime(u8),
+    /// A node takes the next steps of its plans.
+    TakeSteps {
         node: u8,
         steps: u8,
     },
-    /// A node cares for its services.
+    /// A node repairs its services.
     Repair {
         node: u8,
     },
-    /// A node hears so many records that it lacks, or all.
-    Hear {
+    /// A node receives some or all of the records that it lacks.
+    Receive {
         node: u8,
         count: u8,
     },
@@ -76,27 +76,27 @@
         node: u8,
         plan: u8,
     },
-    /// A node can read the list of hosts no more, or again.
-    Deaf {
+    /// A node loses or regains access to the list of hosts.
+    ListOutage {
         node: u8,
-        deaf: bool,
+        list_down: bool,
     },
-    /// A node is paused, or goes on where it was.
-    Freeze {
+    /// A node is paused, or continues.
+    Pause {
         node: u8,
-        frozen: bool,
+        paused: bool,
     },
     /// The store goes down or comes back.
-    Outage(bool),
-    /// The answers of so many writes are lost.
+    StoreOutage(bool),
+    /// The answers of this many writes are lost.
     LoseAnswers(u8),
 }
 
-/// What a host really does.
+/// Actual state of a host.
 #[derive(Debug, Clone, Default)]
-struct TrueHost {
+struct ActualHost {
     dead: bool,
-    /// Tasks that it runs, by service, index and generation, with the time of their readiness.
+    /// Running tasks, by service, index and generation, with the time at which they become ready.
     tasks: BTreeMap<(ServiceId, u32, u64), Time>,
     booted: u64,
     reboot: Option<(u64, Time)>,
@@ -105,13 +105,13 @@
 #[derive(Debug, Clone)]
 struct Node {
     fleet: Fleet,
-    /// Records of the log that it has heard.
-    heard: usize,
-    deaf: bool,
-    frozen: bool,
-    /// Steps that it has worked out and not taken yet, because it was paused between them.
+    /// Number of records of the log that it has received.
+    received: usize,
+    list_down: bool,
+    paused: bool,
+    /// Steps that it has computed but not taken yet, because it was paused in between.
     pending: VecDeque<Pending>,
-    /// The revisions that they were worked out from.
+    /// The revisions that they were computed from.
     expected: BTreeMap<String, Revision>,
 }
 
@@ -128,12 +128,12 @@
     /// The store: newest record and revision by key, and the log of all writes.
     store: BTreeMap<String, (Revision, Record)>,
     log: Vec<(Revision, Record)>,
-    down: bool,
-    lose: u32,
+    store_down: bool,
+    answers_to_lose: u32,
     nodes: Vec<Node>,
-    hosts: BTreeMap<HostId, TrueHost>,
+    hosts: BTreeMap<HostId, ActualHost>,
     plans: Vec<PlanId>,
-    /// Since when a task is not available, in truth.
+    /// Since when a task has actually been unavailable.
     down_since: BTreeMap<(ServiceId, u32), Time>,
 }
 
@@ -148,9 +148,9 @@
         let pending = VecDeque::new();
         let node = Node {
             fleet: fleet.clone(),
-            heard: 0,
-            deaf: false,
-            frozen: false,
+            received: 0,
+            list_down: false,
+            paused: false,
             pending,
             expected: BTreeMap::new(),
         };
@@ -159,8 +159,8 @@
             rules,
             store: BTreeMap::new(),
             log: Vec::new(),
-            down: false,
-            lose: 0,
+            store_down: false,
+            answers_to_lose: 0,
             nodes: vec![node; NODES],
             hosts: BTreeMap::new(),
             plans: Vec::new(),
@@ -169,7 +169,7 @@
         for (id, host) in &fleet.hosts {
             let record = Record::Host(id.clone(), host.clone());
             world.store.insert(record.key().path(), (Revision(1), record));
-            world.hosts.insert(id.clone(), TrueHost::default());
+            world.hosts.insert(id.clone(), ActualHost::default());
         }
         for (id, placement) in &fleet.placements {
             let record = Record::Placement(id.clone(), placement.clone());
@@ -187,9 +187,9 @@
         self.hosts.keys().nth(usize::from(at) % self.hosts.len()).unwrap().clone()
     }
 
-    /// A conditional write: whether the node is told that it was done.
-    fn write(&mut self, record: Record, expect: Revision, voluntary: Option<&Step>) -> bool {
-        if self.down {
+    /// A conditional write. Returns whether the node gets the answer that it succeeded.
+    fn write(&mut self, record: Record, expect: Revision, plan_step: Option<&Step>) -> bool {
+        if self.store_down {
             return false;
         }
         let path = record.key().path();
@@ -197,20 +197,20 @@
         if held != expect {
             return false;
         }
-        self.check_write(&record, voluntary);
+        self.check_write(&record, plan_step);
         let revision = Revision(self.log.len() as u64 + 2);
         self.store.insert(path, (revision, record.clone()));
         self.log.push((revision, record));
-        self.obey();
-        if self.lose != 0 {
-            self.lose -= 1;
+        self.update_workers();
+        if self.answers_to_lose != 0 {
+            self.answers_to_lose -= 1;
             return false;
         }
         true
     }
 
-    /// Workers do what the store says, as the node that owns them tells them.
-    fn obey(&mut self) {
+    /// Workers follow the assignments in the store, as sent by the nodes that own them.
+    fn update_workers(&mut self) {
         let mut wanted: BTreeMap<HostId, BTreeSet<(ServiceId, u32, u64)>> = BTreeMap::new();
         for (_, record) in self.store.values() {
             let Record::Placement(id, placement) = record else { continue };
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Whether a task answers requests, in truth, at the place that the store names.
+    /// The host of a task according to the store, if the task actually answers requests there.
     fn is_up(&self, service: &ServiceId, index: u32) -> Option<HostId> {
         let path = Key::Placement(service.clone()).path();
         let (_, Record::Placement(_, placement)) = self.store.get(&path)? else { return None };
@@ -261,7 +261,7 @@
         (serves && !host.dead && *ready <= self.now).then(|| assigned.host.clone())
     }
 
-    fn note_down(&mut self) {
+    fn record_down(&mut self) {
         let services = self.nodes[0].fleet.config.services.clone();
         for (id, service) in &services {
             for index in 0..service.tasks {
@@ -275,27 +275,34 @@
         }
     }
 
-    /// The oracle: what must hold of every write.
-    fn check_write(&self, record: &Record, voluntary: Option<&Step>) {
+    /// The oracle: invariants of every write.
+    fn check_write(&self, record: &Record, plan_step: Option<&Step>) {
         if let Record::Host(id, next) = record {
             let path = Key::Host(id.clone()).path();
             if let Some((_, Record::Host(_, held))) = self.store.get(&path) {
-                assert!(held.epoch < next.epoch, "host {id}: epoch did not grow");
+                assert!(held.epoch < next.epoch, "host {id}: epoch did not increase");
                 if held.pool != next.pool {
-                    assert!(self.placed_on(id).is_empty(), "host {id}: changed pool with tasks");
+                    assert!(
+                        self.placed_on(id).is_empty(),
+                        "host {id}: changed pool while tasks were placed on it"
+                    );
                 }
             }
         }
-        let Some(step) = voluntary else { return };
+        let Some(step) = plan_step else { return };
         if let Step::Close { host } = step {
-            let Record::Host(_, next) = record else { panic!("a close writes a host") };
-            let plan = next.plan.clone().expect("a closing host names its plan");
+            let Record::Host(_, next) = record else { panic!("a close must write a host record") };
+            let plan = next.plan.clone().expect("a closing host must name its plan");
             let path = Key::Plan(plan.clone()).path();
             let state = match self.store.get(&path) {
                 Some((_, Record::Plan(_, plan))) => plan.state,
                 _ => panic!("host {host}: plan {plan} is not in the store"),
             };
-            assert_ne!(state, PlanState::Proposed, "host {host}: moved before the confirmation");
+            assert_ne!(
+                state,
+                PlanState::Proposed,
+                "host {host}: closed before its plan was confirmed"
+            );
         }
         if let Step::Leave { host } = step {
             self.check_leave(host);
@@ -315,9 +322,9 @@
         placed
     }
 
-    /// After a host's leave, each service that it carried must be within its budget even if its
-    /// worst rack were lost. Tasks that went down so lately that no list could show it are not
-    /// held against the node.
+    /// After a host has left, each service with tasks on it must be within its budget even if its
+    /// largest rack were lost. Tasks that went down too recently for a host list to show it do not
+    /// count.
     fn check_leave(&self, host: &HostId) {
         let services: BTreeSet<ServiceId> =
             self.placed_on(host).into_iter().map(|(service, _)| service).collect();
@@ -326,7 +333,7 @@
             let mut out = 0;
             let mut racks: BTreeMap<String, u32> = BTreeMap::new();
             for index in 0..service.tasks {
-                let lately = self.down_since.get(&(id.clone(), index)).is_none_or(|since| {
+                let recently = self.down_since.get(&(id.clone(), index)).is_none_or(|since| {
                     self.now.since(*since) <= self.rules.list_limit + Duration::from_secs(1)
                 });
                 match self.is_up(&id, index) {
@@ -334,28 +341,28 @@
                         let rack = self.nodes[0].fleet.reports[&on].rack.to_string();
                         *racks.entry(rack).or_default() += 1;
                     }
-                    None if lately => {}
+                    None if recently => {}
                     _ => out += 1,
                 }
             }
             let worst = racks.values().copied().max().unwrap_or(0);
-            let took = self
+            let was_up = self
                 .placed_on(host)
                 .iter()
                 .any(|(s, index)| *s == id && self.is_up(s, *index).is_some());
             assert!(
-                !took || out + worst <= service.max_down,
-                "host {host} left: service {id} has {out} out and {worst} in its worst rack"
+                !was_up || out + worst <= service.max_down,
+                "host {host} left: service {id} has {out} unavailable, {worst} in its largest rack"
             );
         }
     }
 
     fn apply(&mut self, op: Op) {
         match op {
-            Op::Pass(seconds) => self.pass(Duration::from_secs(u64::from(seconds))),
-            Op::Drive { node, steps } => self.drive(usize::from(node) % NODES, steps),
+            Op::AdvanceTime(seconds) => self.advance_time(Duration::from_secs(u64::from(seconds))),
+            Op::TakeSteps { node, steps } => self.take_steps(usize::from(node) % NODES, steps),
             Op::Repair { node } => self.repair(usize::from(node) % NODES),
-            Op::Hear { node, count } => self.hear(usize::from(node) % NODES, count),
+            Op::Receive { node, count } => self.receive(usize::from(node) % NODES, count),
             Op::List { node } => self.list(usize::from(node) % NODES),
             Op::Fail { host } => self.fail(&self.host_at(host)),
             Op::FailRack { host } => {
@@ -370,7 +377,7 @@
                 let id = self.host_at(host);
                 let host = self.hosts.get_mut(&id).unwrap();
                 if host.dead {
-                    *host = TrueHost { booted: u64::MAX / 2, ..TrueHost::default() };
+                    *host = ActualHost { booted: u64::MAX / 2, ..ActualHost::default() };
                 }
             }
             Op::Propose { node, host, count, action } => {
@@ -378,17 +385,19 @@
             }
             Op::Confirm { node, plan } => self.decide(usize::from(node) % NODES, plan, true),
             Op::Cancel { node, plan } => self.decide(usize::from(node) % NODES, plan, false),
-            Op::Deaf { node, deaf } => self.nodes[usize::from(node) % NODES].deaf = deaf,
-            Op::Freeze { node, frozen } => {
-                self.nodes[usize::from(node) % NODES].frozen = frozen;
+            Op::ListOutage { node, list_down } => {
+                self.nodes[usize::from(node) % NODES].list_down = list_down
+            }
+            Op::Pause { node, paused } => {
+                self.nodes[usize::from(node) % NODES].paused = paused;
             }
-            Op::Outage(down) => self.down = down,
-            Op::LoseAnswers(count) => self.lose = u32::from(count % 4),
+            Op::StoreOutage(down) => self.store_down = down,
+            Op::LoseAnswers(count) => self.answers_to_lose = u32::from(count % 4),
         }
-        self.note_down();
+        self.record_down();
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn advance_time(&mut self, span: Duration) {
         self.now = self.now + span;
         for host in self.hosts.values_mut() {
             if let Some((epoch, until)) = host.reboot
@@ -397,29 +406,29 @@
                 (host.booted, host.reboot) = (host.booted.max(epoch), None);
             }
         }
-        self.obey();
+        self.update_workers();
     }
 
     fn fail(&mut self, id: &HostId) {
         let host = self.hosts.get_mut(id).unwrap();
-        *host = TrueHost { dead: true, booted: host.booted, ..TrueHost::default() };
+        *host = ActualHost { dead: true, booted: host.booted, ..ActualHost::default() };
     }
 
-    fn hear(&mut self, node: usize, count: u8) {
+    fn receive(&mut self, node: usize, count: u8) {
         let node = &mut self.nodes[node];
         let count = if count < 128 { usize::MAX } else { usize::from(count - 127) };
-        for (revision, record) in self.log.iter().skip(node.heard).take(count) {
-            // What its own writes told a node already is not newer.
+        for (revision, record) in self.log.iter().skip(node.received).take(count) {
+            // A node already holds the results of its own writes.
             if node.fleet.revision(&record.key()) < *revision {
                 node.fleet.put(record.clone(), *revision);
             }
-            node.heard += 1;
+            node.received += 1;
         }
     }
 
-    /// The list of hosts as it is now; between two reads, it ages.
+    /// Reads the current list of hosts, which ages until the next read.
     fn list(&mut self, node: usize) {
-        if self.nodes[node].deaf {
+        if self.nodes[node].list_down {
             return;
         }
         let now = self.now;
@@ -448,10 +457,10 @@
         }
     }
 
-    /// Takes some steps: first those left from before, as a node does that was paused.
-    fn drive(&mut self, node: usize, most: u8) {
+    /// Takes some steps, first those left from before a pause.
+    fn take_steps(&mut self, node: usize, most: u8) {
         if self.nodes[node].pending.is_empty() {
-            self.work_out(node);
+            self.compute_steps(node);
         }
         let mut refused: BTreeSet<HostId> = BTreeSet::new();
         for _ in 0..usize::from(most % 16) + 1 {
@@ -482,17 +491,17 @@
         }
     }
 
-    fn work_out(&mut self, node: usize) {
+    fn compute_steps(&mut self, node: usize) {
         let fleet = &self.nodes[node].fleet;
         let quiet = |_: &HostId, _| true;
-        let outlook = Outlook { fleet, is_quiet: &quiet, now: self.now, rules: &self.rules };
+        let context = Outlook { fleet, is_quiet: &quiet, now: self.now, rules: &self.rules };
         let mut pending = VecDeque::new();
         let mut expected = BTreeMap::new();
-        // Each node drives its own plans, and those of one that is away.
-        let others_away = self.nodes.iter().any(|node| node.frozen);
+        // Each node runs its own plans, and those of a paused node.
+        let other_paused = self.nodes.iter().any(|node| node.paused);
         let plans = fleet.plans.values().enumerate();
-        for (_, plan) in plans.filter(|(at, _)| others_away || at % NODES == node) {
-            for step in plan.pools.keys().flat_map(|pool| wave::advance(&outlook, plan, pool).0) {
+        for (_, plan) in plans.filter(|(at, _)| other_paused || at % NODES == node) {
+            for step in plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).0) {
                 let key = wave::key_of(&step);
                 expected.insert(key.path(), fleet.revision(&key));
                 pending.push_back(Pending { plan: plan.id.clone(), step, at: self.now });
@@ -543,7 +552,7 @@
         let op = "op".parse().unwrap();
         let fleet = &self.nodes[node].fleet;
         let mut plan = plan::propose(fleet, id.clone(), op, intent, self.now, &self.rules);
-        // The bound on hosts out is a matter of cost: budgets must hold without it.
+        // The limit on hosts out only affects cost: budgets must hold without it.
         for part in plan.pools.values_mut() {
             (part.max_out, part.frugal) = (u32::MAX, false);
         }
@@ -580,70 +589,71 @@
     }
 }
 
-/// Sequences that make progress: two plans run from the start, and between drawn operations time
-/// passes and nodes act as they would in their loops, so that waves get far.
-fn lively(ops: &[Op], surge: bool) {
-    const EVERYDAY: usize = 3;
+/// Runs a sequence so that waves make progress: two plans run from the start, and between random
+/// operations time passes and the control loops of the nodes run.
+fn run_with_progress(ops: &[Op], surge: bool) {
+    const LOOP_INTERVAL: usize = 3;
     let mut world = World::new(surge);
     for (plan, host, action) in [(0, 0, 3), (1, 8, 0)] {
         world.apply(Op::Propose { node: 0, host, count: 7, action });
-        world.apply(Op::Hear { node: 0, count: 0 });
+        world.apply(Op::Receive { node: 0, count: 0 });
         world.apply(Op::Confirm { node: 0, plan });
     }
     for (at, op) in ops.iter().enumerate() {
         world.apply(*op);
-        if at % EVERYDAY == 0 {
-            // Wherever the writes so far happen to lead: at other places in every sequence.
+        if at % LOOP_INTERVAL == 0 {
+            // Derived from the number of writes, so that it varies within and between sequences.
             let steps = (world.log.len() * 5 % 16) as u8;
-            everyday(&mut world, steps);
+            run_control_loops(&mut world, steps);
         }
     }
 }
 
-/// What nodes do in their loops. Each is interrupted in the middle of its steps, and goes on after
-/// the others have taken theirs.
-fn everyday(world: &mut World, steps: u8) {
-    let awake = (0..NODES as u8).filter(|node| !world.nodes[usize::from(*node)].frozen);
-    let awake: Vec<u8> = awake.collect();
-    for node in awake.iter().copied() {
+/// Runs the control loop of each node once. Each node is interrupted in the middle of its steps,
+/// and continues after the others have taken theirs.
+fn run_control_loops(world: &mut World, steps: u8) {
+    let active = (0..NODES as u8).filter(|node| !world.nodes[usize::from(*node)].paused);
+    let active: Vec<u8> = active.collect();
+    for node in active.iter().copied() {
         for op in [
-            Op::Hear { node, count: 0 },
+            Op::Receive { node, count: 0 },
             Op::List { node },
             Op::Repair { node },
-            Op::Drive { node, steps },
+            Op::TakeSteps { node, steps },
         ] {
             world.apply(op);
         }
     }
-    for node in awake {
-        world.apply(Op::Drive { node, steps: 15 });
+    for node in active {
+        world.apply(Op::TakeSteps { node, steps: 15 });
     }
-    world.apply(Op::Pass(4));
+    world.apply(Op::AdvanceTime(4));
 }
 
 #[test]
-fn plans_keep_budgets_whatever_happens() {
+fn plans_respect_budgets_under_random_operations() {
     fuzz(300, 200, |ops| run(ops, false));
 }
 
 #[test]
-fn waves_without_successors_keep_budgets() {
-    fuzz(250, 100, |ops| lively(ops, false));
+fn waves_without_successors_respect_budgets() {
+    fuzz(250, 100, |ops| run_with_progress(ops, false));
 }
 
 #[test]
-fn waves_with_successors_keep_budgets() {
-    fuzz(100, 100, |ops| lively(ops, true));
+fn waves_with_successors_respect_budgets() {
+    fuzz(100, 100, |ops| run_with_progress(ops, true));
 }
 
-/// A successor took its task's place on a closing host, unknown to the node that had the host leave.
+/// A successor replaced its task on a closing host, and the node that then let the host leave had
+/// not received that write.
 #[test]
-fn a_host_to_which_a_task_is_bound_does_not_leave_without_its_budget() {
-    replay(7004313, 100, |ops| lively(ops, true));
+fn host_with_promoted_successor_does_not_leave_over_budget() {
+    replay(7004313, 100, |ops| run_with_progress(ops, true));
 }
 
-/// The store had refused the permit.
+/// The store had rejected a permit, and the node still let the host leave.
 #[test]
-fn a_host_does_not_leave_without_its_permits() {
-    replay(7005259, 100, |ops| lively(ops, false));
+fn host_does_not_leave_after_rejected_permit() {
+    replay(7005259, 100, |ops| run_with_progress(ops, false));
 }
