--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -37,67 +37,69 @@
 pub(crate) use roster::DOUBTED;
 pub(crate) use shown::{Emptied, HostUsage};
 
-/// How long a node that is not heard of keeps what it owns, in milliseconds. Three renewals fit.
+/// Duration of a node's lease, in milliseconds: a node that does not renew it keeps what it owns
+/// for this long. Three renewals fit.
 pub(crate) const LEASE_MS: u64 = 2_000;
 
-/// How long an owner that does not reach the store goes on after its lease may be over, in
-/// milliseconds. Most often the store is away for all, and nobody else can own the pool; if there
-/// is another owner, workers that have seen its token obey this one no more.
+/// How long an owner that cannot reach the store keeps giving orders after its lease may have
+/// expired, in milliseconds. Most often the store is unreachable for every node, so that no other
+/// node can own the pool. If there is another owner, workers that have seen its token refuse this
+/// one's orders.
 pub(crate) const OVERTIME_MS: u64 = 3_000;
 
-/// How long an earlier owner may go on giving orders after its ownership has passed on, in
-/// milliseconds: it may not be told.
+/// How long a previous owner may keep giving orders after it has lost the ownership, in
+/// milliseconds: it may not know of the loss.
 const PREDECESSOR_MS: u64 = LEASE_MS + OVERTIME_MS;
 
-/// How long after a change of owners a worker that was not reached may still run something, in
-/// milliseconds: the last order of the earlier owner, held on the slowest clock, by a worker that acts
-/// late on its end.
+/// How long after a change of owners a worker that the new owner has not reached may still run
+/// something, in milliseconds: the last order of the previous owner, the task lease on the slowest
+/// clock, and a worker that acts late on its expiry.
 const QUIET_MS: u64 = PREDECESSOR_MS + HOLD_MS * 100 / SLOWEST_PERCENT + DRIFT_MS + LATE_MS;
 
-/// How far ahead of a worker's clock the owner before may have taken it to be, in milliseconds: 2 %
-/// of the 1.25 s for which a worker without an answer still gets work, twice over.
+/// How far the previous owner may have overestimated a worker's clock, in milliseconds: 2 % of the
+/// 1.25 s for which a worker without an answer still gets work, doubled.
 const DRIFT_MS: u64 = 50;
 
 /// The owner of one pool's jobs.
 pub(crate) struct Owner {
     /// The revision of the ownership.
     pub(crate) token: u64,
-    /// How many owners came before this one.
+    /// The number of earlier owners.
     earlier: u32,
-    /// Runs of jobs from before this owner are numbered above this.
+    /// Runs of jobs that are older than this owner are numbered above this.
     first_run: u32,
     /// Until then, a worker that has not seen the token may run tasks of earlier jobs.
     quiet_until: Steady,
-    /// Up to when the store has confirmed that there is no later owner. What time alone suggests
-    /// counts up to then only: a later owner may have reached a worker that is silent here, and have
-    /// let its runs go on.
+    /// The time up to which the store has confirmed that there is no later owner. Leases count as
+    /// expired only up to this time: a later owner may have reached a worker that is silent here,
+    /// and have renewed the lease of its runs.
     confirmed: Steady,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have ended, under this owner or before. What the store tells of them may be older
-    /// than that.
+    /// Jobs that have ended, under this owner or before. The store's view of them may be older than
+    /// their end.
     ended: HashSet<JobId>,
-    /// Jobs that are not known, with an end that waits to be counted, since when: their records may not
-    /// be readable now, and an end that is acknowledged is not told again.
+    /// Unknown jobs with an uncounted end, and since when. Their records may be unreadable for now,
+    /// and a worker does not list an end again once it is acknowledged.
     unknown: BTreeMap<JobId, Steady>,
     workers: BTreeMap<Incarnation, Worker>,
-    /// What a later owner would find of the workers.
+    /// What a later owner would find in the store about the workers.
     roster: Roster,
-    /// What may run at workers that were not asked, if the owner before has left word of it.
+    /// What may run at workers that have not been polled yet, if the previous owner persisted it.
     handed: Option<BTreeSet<TaskId>>,
-    /// When a run of a job that is not known was last seen.
+    /// When a run of an unknown job was last seen.
     strange: Option<Steady>,
-    /// Workers that are certain to be over. Their reports may be listed a while longer.
+    /// Workers that have certainly ended. The store may list their reports a while longer.
     over: HashSet<Incarnation>,
-    /// Workers whose earlier incarnation had orders of this owner and is reckoned with no more, with
-    /// the highest token of these where it was not the owner's.
+    /// Workers whose earlier incarnation had orders of this owner and is no longer tracked, with
+    /// the highest token of these orders where it was not the owner's.
     former: HashMap<WorkerId, u64>,
-    /// Hosts that are being emptied, by the revision of the mark that says so.
+    /// Hosts to be drained, by the revision of their drain mark.
     emptying: BTreeMap<HostId, Revision>,
-    /// Workers whose room is kept, in the present plan, for tasks that last and wait.
+    /// Workers whose capacity the current plan reserves for long-running tasks that wait.
     reserved: BTreeSet<Incarnation>,
-    /// What no worker has room for, in the present plan: nothing larger is tried.
+    /// Resources that no worker has free, in the current plan: nothing that needs as much is tried.
     full: Vec<Room>,
-    /// Whether some job had tasks that fill: most pools never do, and need no pace.
+    /// Whether some job had background tasks: most pools never do, and need no throttling.
     has_filling: bool,
     durations: Durations,
     losses: Losses,
@@ -106,26 +108,27 @@
     finished: BTreeSet<JobId>,
     deposed: bool,
     counts: Counts,
-    /// Whether it was told that tasks of earlier jobs may start.
+    /// Whether it was logged that tasks of earlier jobs may start.
     told_clear: bool,
-    /// Workers that are silent and not listed, by host, with what was lost there. Each may live until
-    /// another one is heard on its host.
+    /// Workers that are silent and not listed, by host, with the runs lost there. Each may be alive
+    /// until another worker answers on its host.
     vanished: BTreeMap<HostId, (Incarnation, Vec<Lost>)>,
     /// Tasks that have crashed too many workers, to be given up.
     crashing: Vec<TaskId>,
-    /// Tasks with whose runs workers were lost.
+    /// Tasks whose runs were lost together with their workers.
     marked: BTreeSet<TaskId>,
 }
 
 impl Owner {
-    /// An owner that has just won its pool; `earlier` counts the owners before it.
+    /// An owner that has just acquired its pool; `earlier` counts the owners before it.
     pub(crate) fn new(token: u64, earlier: u32, now: Steady) -> Owner {
         Owner {
             token,
             earlier,
             first_run: earlier * RUNS_PER_OWNER,
             quiet_until: now.after(if earlier == 0 { 0 } else { QUIET_MS }),
-            // The pool was won by a write, somewhat earlier than now: nothing has lapsed since then.
+            // The pool was acquired by a write, somewhat earlier than now: nothing has expired
+            // since then.
             confirmed: now,
             jobs: BTreeMap::new(),
             ended: HashSet::new(),
@@ -153,24 +156,25 @@
         }
     }
 
-    /// Whether a worker has said that there is a later owner.
+    /// Whether a worker has reported a later owner.
     pub(crate) fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// What was counted since this was last asked.
+    /// Returns the counts since the last call.
     pub(crate) fn take_counts(&mut self) -> Counts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Says up to when the store has confirmed that there is no later owner.
+    /// Sets the time up to which the store has confirmed that there is no later owner.
     pub(crate) fn set_confirmed(&mut self, confirmed: Steady) {
         self.confirmed = self.confirmed.max(confirmed);
     }
 
-    /// Whether something waits for the store to confirm that there is no later owner: runs at silent
-    /// workers that have lapsed, or the end of the time in which an earlier owner's may run unseen.
-    /// Whatever else may wait is confirmed within 1 s, by the writes of how many jobs wait.
+    /// Whether something waits for the store to confirm that there is no later owner: runs at
+    /// silent workers that have expired, or the end of the time in which an earlier owner's runs
+    /// may be unseen. Anything else is confirmed within 1 s, by the writes of the number of waiting
+    /// jobs.
     pub(crate) fn awaits_confirmation(&self, now: Steady) -> bool {
         let lapsed = |worker: &Worker| {
             let open = worker.misses != 0 && !worker.has_lapsed(self.confirmed);
@@ -180,7 +184,7 @@
         quiet && !self.told_clear || self.workers.values().any(lapsed)
     }
 
-    /// Takes note of an event.
+    /// Processes an event.
     pub(crate) fn handle(&mut self, event: Event, now: Now, out: &mut Vec<Effect>) {
         match event {
             Event::Job(stored) => self.add(stored),
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Does what time and earlier events ask for: looks, stops and starts.
+    /// Does what time and earlier events require: polls, stops and starts.
     pub(crate) fn work(&mut self, now: Now, out: &mut Vec<Effect>) {
         self.drop_lapsed(now.steady);
         self.give_up_crashing(now, out);
@@ -226,12 +230,12 @@
         self.plan(now, out);
     }
 
-    /// Says which hosts are to be emptied.
+    /// Sets the hosts to be drained.
     pub(crate) fn set_emptying(&mut self, hosts: BTreeMap<HostId, Revision>) {
         self.emptying = hosts;
     }
 
-    /// Says that a host is to be emptied, by the revision of its mark, or no longer.
+    /// Sets the drain mark of a host, by its revision, or removes it.
     pub(crate) fn set_mark(&mut self, host: &HostId, mark: Option<Revision>) {
         match mark {
             Some(mark) => self.emptying.insert(host.clone(), mark),
@@ -239,13 +243,13 @@
         };
     }
 
-    /// How many jobs' progress waits to be written.
+    /// The number of jobs whose progress waits to be written.
     pub(crate) fn unsaved(&self) -> usize {
         self.saves.len()
     }
 
-    /// Progress to be written, of at most so many jobs. Whoever takes it tells what became of it:
-    /// until then, none of the same jobs is given out again.
+    /// Takes the progress to be written, of at most `most` jobs. The caller reports the result of
+    /// the writes: until then, none of these jobs is returned again.
     pub(crate) fn saves(&mut self, most: usize) -> Vec<Save> {
         let jobs = self.saves.take(most);
         jobs.into_iter().filter_map(|id| self.save_of(id)).collect()
@@ -262,7 +266,7 @@
         Some(Save { job: id, value: value.into(), expects: job.saved_at, version: job.version })
     }
 
-    /// Takes note that progress is durable at a revision; the jobs whose ends it holds.
+    /// Records that progress is durable at a revision; returns the ends of jobs that it contains.
     pub(crate) fn saved(&mut self, saves: &[Save], revision: Revision) -> Vec<JobEnd> {
         let mut ends = Vec::new();
         for save in saves {
@@ -282,12 +286,12 @@
         ends
     }
 
-    /// Takes note that progress was not written, or not for certain.
+    /// Records that progress was not written, or not for certain.
     pub(crate) fn not_saved(&mut self, saves: &[Save]) {
         self.settle(saves);
     }
 
-    /// Has those written again that are not durable as they are now.
+    /// Queues those again whose durable state is out of date.
     fn settle(&mut self, saves: &[Save]) {
         for save in saves {
             self.saves.settle(save.job);
@@ -297,8 +301,8 @@
         }
     }
 
-    /// Takes note that a job's progress stands at another revision than was expected, because an
-    /// earlier write whose answer was lost was done after all.
+    /// Sets the revision of a job's stored progress, which differs from the expected one because an
+    /// earlier write without an answer did take effect.
     pub(crate) fn rebase(&mut self, job: JobId, revision: Revision) {
         if let Some(job) = self.jobs.get_mut(&job) {
             job.saved_at = revision;
@@ -322,7 +326,7 @@
         });
     }
 
-    /// Jobs whose records can go, since their end is durable; at most so many.
+    /// Takes at most `most` jobs whose records can be removed, since their end is durable.
     pub(crate) fn take_finished(&mut self, most: usize) -> Vec<JobId> {
         let taken: Vec<JobId> = self.finished.iter().take(most).copied().collect();
         for id in &taken {
@@ -331,7 +335,7 @@
         taken
     }
 
-    /// Takes note that the records of some jobs may still be there.
+    /// Records that the records of some jobs may still be there.
     pub(crate) fn not_removed(&mut self, jobs: Vec<JobId>) {
         self.finished.extend(jobs);
     }
@@ -341,7 +345,7 @@
         if ended {
             self.finished.insert(stored.id);
         }
-        // Runs of jobs that are not known here are stopped where they are seen.
+        // Runs of unknown jobs are stopped wherever a poll finds them.
         let known = self.jobs.contains_key(&stored.id) || self.ended.contains(&stored.id);
         if ended || stored.cancelled {
             self.ended.insert(stored.id);
@@ -408,8 +412,8 @@
         out.push(Effect::Stop { to, task, run: copy.run });
     }
 
-    /// Takes note that a run of a job is known to have begun. That a start was ordered proves nothing:
-    /// it may be refused, or lost with its worker, and the job waits on.
+    /// Records that a run of a job has certainly begun. An ordered start proves nothing: it may be
+    /// refused, or lost with its worker, and the job still waits.
     fn note_begun(&mut self, id: JobId) {
         if self.jobs.get_mut(&id).is_some_and(Job::begin) {
             self.saves.add(id, false);
@@ -422,7 +426,7 @@
         task.copies.iter_mut().find(|copy| copy.worker == *at)
     }
 
-    /// Removes a copy that is certain not to run any more.
+    /// Removes a run that certainly does not run any more.
     fn drop_copy(
         &mut self,
         task: TaskId,
@@ -468,8 +472,8 @@
         self.workers.insert(worker.report.id.clone(), worker);
     }
 
-    /// Has those looked at whose place a report claims. Which of them lives is not told by the
-    /// reports, since one may be written long after its worker is over.
+    /// Schedules polls of the workers that have the host or address of a report. Reports do not
+    /// show which of them is alive, since one may be written long after its worker has ended.
     fn check_place(&mut self, claim: &WorkerReport, now: Steady) {
         for worker in self.workers.values_mut() {
             if shares_place(&worker.report, claim) {
@@ -478,8 +482,9 @@
         }
     }
 
-    /// Forgets those that were heard at the address where another worker has just answered. That a
-    /// report names their host proves nothing: another writer may have written it.
+    /// Removes the workers that have answered at the address where another worker has just
+    /// answered. A report that names the same host proves nothing: another writer may have written
+    /// it.
     fn supersede(&mut self, by: &Incarnation, now: Steady) {
         let Some(report) = self.workers.get(by).map(|worker| &worker.report) else {
             return;
@@ -502,7 +507,7 @@
         self.heard_on(&host, by, now);
     }
 
-    /// Forgets a worker that is certain to be over, and with it all that ran there.
+    /// Removes a worker that has certainly ended, and with it all that ran there.
     fn bury(&mut self, id: &Incarnation, why: &str, now: Steady) {
         let Some(worker) = self.workers.get(id) else {
             return;
@@ -516,16 +521,17 @@
     }
 }
 
-/// How long after an order that never left its node the next is sent, in milliseconds: by then
+/// Delay after an order that never left its node until the next is sent, in milliseconds: by then
 /// another node makes the worker's calls.
 const UNSENT_PAUSE_MS: u64 = 20;
 
-/// Whether two different workers cannot live at one time: a host runs one, and so does an address.
+/// Whether two different workers cannot be alive at the same time: a host runs one, and so does an
+/// address.
 fn shares_place(one: &WorkerReport, other: &WorkerReport) -> bool {
     one.id != other.id && (one.host == other.host || one.address == other.address)
 }
 
-/// Lets the ends be acknowledged that are counted durably.
+/// Allows the ends to be acknowledged whose count is durable.
 fn acknowledge(worker: &mut Worker, jobs: &BTreeMap<JobId, Job>) {
     while let Some(end) = worker.unacknowledged.front() {
         let durable = |version| jobs.get(&end.job).is_none_or(|job| version <= job.durable);
--- a/src/jobs/owner/advise.rs
+++ b/src/jobs/owner/advise.rs
@@ -1,4 +1,4 @@
-//! Tickets: for some queues, a service tells which workers may run a step.
+//! Tickets: for some queues, an external service decides which workers may run a step.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,14 +13,15 @@
     },
 };
 
-/// How long after a refusal or failure the service is asked again, in milliseconds.
+/// Delay after a refusal or failure until the service is asked again, in milliseconds.
 const ASK_AGAIN_MS: u64 = 300;
 
-/// Workers named in one question beside those that are known to be good: each costs time.
+/// The most workers named in one request for tickets, besides those with a valid ticket: each costs
+/// time.
 const NAMED_AT_ONCE: usize = 30;
 
 impl Owner {
-    /// Asks for tickets for a step whose tasks wait, unless a question is on its way.
+    /// Requests tickets for a step whose tasks wait, unless a request is pending.
     pub(super) fn ask(&mut self, of: StepId, now: Steady, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(&of.job) else {
             return;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Takes note of what the service said.
+    /// Records the service's answer.
     pub(super) fn advised(
         &mut self,
         of: StepId,
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -15,7 +15,8 @@
     },
 };
 
-/// How long a task or worker is left alone after an order was refused, in milliseconds: one look.
+/// How long a task or worker gets no further order after a refusal, in milliseconds: the time of
+/// one poll.
 const REFUSED_PAUSE_MS: u64 = 150;
 
 impl Owner {
@@ -33,7 +34,7 @@
         {
             worker.read_clock_of_order(clock_ms, now);
         }
-        // Also where the run is no longer reckoned with: it did begin.
+        // Even if the run is no longer tracked: it did begin.
         if matches!(end, OrderEnd::Done(_)) {
             self.note_begun(task.of.job);
         }
@@ -76,7 +77,8 @@
     fn start_refused(&mut self, at: &Incarnation, task: TaskId, why: Refusal, now: Steady) {
         log::info!("job {}: task {task} at {at}: refused: {why:?}", task.of.job);
         match why {
-            // It has a run of the task that is not below this one, or had one: the next look tells.
+            // It has, or had, a run of the task with this number or a higher one: the next poll
+            // shows which.
             Refusal::Old => self.ask_what_is_there(at, task, now),
             _ => {
                 self.drop_copy(task, at, Gone::Refused(why), now);
@@ -126,13 +128,14 @@
                     copy.since = now;
                     unseen = copy.began.is_none();
                 }
-                // No end will be listed of a run that never began.
+                // A run that never began lists no end.
                 if let Some(worker) = self.workers.get_mut(at).filter(|_| unseen) {
                     worker.hurried = true;
                 }
             }
             OrderEnd::Refused { why: Refusal::Fenced, .. } => {
-                // The next incarnation refuses by a token of this owner what bears the one before.
+                // The next incarnation has a token of its own and refuses orders under the one
+                // before.
                 let worker = self.workers.get(at);
                 self.deposed |= match worker {
                     Some(worker) => worker.fence() == 0 && worker.guard == Guard::Clear,
@@ -142,14 +145,15 @@
             OrderEnd::Refused { why: Refusal::OtherLife, .. } => {
                 self.bury(at, "another life answers at its address", now);
             }
-            // The worker knows the run, or a later one, to be over: it will not begin.
+            // The worker has seen the end of the run, or of a later one: it will not begin.
             OrderEnd::Refused { why: Refusal::Old, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: old", task.of.job);
                 if self.copy_mut(task, at).is_some_and(|copy| copy.run == run) {
                     self.ask_what_is_there(at, task, now);
                 }
             }
-            // Nothing was done, and a start on its way may yet begin: it is stopped again.
+            // Nothing was done, and a start on its way may still begin: the next poll stops it
+            // again.
             OrderEnd::Refused { why, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
             }
@@ -157,8 +161,8 @@
         }
     }
 
-    /// Has a worker looked at that will not begin a run any more: what it does not list from now on
-    /// is not there.
+    /// Polls a worker that will not begin a run any more: if its answer does not list the run, the
+    /// run is not there.
     fn ask_what_is_there(&mut self, at: &Incarnation, task: TaskId, now: Steady) {
         if let Some(copy) = self.copy_mut(task, at) {
             copy.phase = Phase::Stopped(now);
--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -1,10 +1,11 @@
 //! Tasks that crash the workers that start them.
 //!
-//! A run that dies with its worker lists no end, so it is counted here: by worker, in what is kept
-//! of the job, whoever owns the pool. A worker takes all its runs with it, and most are not to
-//! blame. So a task whose run had only begun is a suspect. Its next run is on trial: nothing else
-//! begins beside it until it has settled, and if that worker is lost as well, it was the task's
-//! doing.
+//!
+//! A run that dies with its worker lists no end. So the lost workers are counted here and persisted
+//! with the job, across changes of owner. A worker takes all its runs with it, and most of them are
+//! not the cause. So only a task whose run had just begun is a suspect. Its next run is an isolated
+//! retry: nothing else begins beside it until it has settled. If that worker is lost as well, the
+//! task is the cause.
 
 use std::collections::BTreeSet;
 
@@ -23,21 +24,21 @@
     },
 };
 
-/// A task is given up once so many workers have crashed under it, the last of them by its doing.
+/// A task is given up once this many workers have crashed under it, the last of them in an isolated
+/// retry.
 const CRASHES_BY_IT: usize = 2;
 
-/// A run that was seen to go on for so long, in milliseconds, has shown that its task does not crash
-/// what starts it.
+/// A run that was seen to go on for this long, in milliseconds, has shown that its task does not
+/// crash the workers that start it.
 const CLEARED_MS: u64 = 10_000;
 
-/// How long a task waits that was lost with a worker a second time, in milliseconds: by then it is
-/// known of most silent workers whether they have crashed. Their entries go after 4.5 s of silence,
-/// about a second after their runs have lapsed.
+/// Delay of a task whose run was lost with a worker a second time, in milliseconds: by then it is
+/// known for most silent workers whether they have crashed. Their entries in the store expire after
+/// 4.5 s of silence, about a second after their runs have expired.
 const LOST_AGAIN_PAUSE_MS: u64 = 2_000;
 
 impl Owner {
-    /// Takes note that a worker falls away with all that runs there, for certain or for all that is
-    /// known; the runs.
+    /// Records that a worker is lost with all its runs, certainly or presumably; returns the runs.
     pub(super) fn lose(&mut self, id: &Incarnation, now: Steady) -> Vec<Lost> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
@@ -46,9 +47,9 @@
         let mut lost: Vec<Lost> = runs.map(|task| self.lost_with(worker, *task)).collect();
         let new = lost.iter().filter(|lost| lost.lived < SETTLED_MS).count();
         lost.iter_mut().for_each(|lost| lost.on_trial &= new == 1);
-        // Beside one that had only begun, those that had settled are not to blame: of many tasks that
-        // crash their workers each takes up to eighteen others with it, and a sound one that lasts
-        // meets four of them within seconds.
+        // If some had only begun, those that had settled are not the cause. Where many tasks crash
+        // their workers, each takes up to eighteen others with it, and a sound long-running task is
+        // lost with four such workers within seconds.
         lost.iter_mut().for_each(|lost| lost.cleared = new != 0 && SETTLED_MS <= lost.lived);
         for lost in lost.iter().filter(|lost| lost.lived < SETTLED_MS) {
             self.note_lost(id, lost, false, now);
@@ -59,7 +60,7 @@
         lost
     }
 
-    /// A run that is lost with its worker.
+    /// Describes a run that is lost with its worker.
     fn lost_with(&self, worker: &Worker, task: TaskId) -> Lost {
         let entry = self.jobs.get(&task.of.job).and_then(|job| job.task(task.of, task.index));
         let mut copies = entry.into_iter().flat_map(|entry| &entry.copies);
@@ -75,14 +76,14 @@
         }
     }
 
-    /// Whether a worker was told to leave, or is being emptied: its end proves nothing against what
-    /// runs there.
+    /// Whether a worker was ordered to leave, or is being drained: its end proves nothing about its
+    /// runs.
     fn ends_as_planned(&self, worker: &Worker) -> bool {
         worker.report.leaves_ms.is_some() || self.emptying.contains_key(&worker.report.host)
     }
 
-    /// Forgets a worker that is not listed and silent, and may yet live. Once another life is heard on
-    /// its host, what was lost with it has ended with it.
+    /// Removes a worker that is not listed and silent, but may be alive. Once another worker
+    /// answers on its host, the runs lost with it have certainly ended with it.
     pub(super) fn remove_silent(&mut self, id: &Incarnation, now: Steady) {
         let Some((host, lost)) = self.remove_lost(id) else {
             return;
@@ -94,14 +95,14 @@
         self.vanished.insert(host, (id.clone(), lost));
     }
 
-    /// Forgets a worker that is certain to be over: what was lost with it has ended with it.
+    /// Removes a worker that has certainly ended: the runs lost with it have ended with it.
     pub(super) fn remove_crashed(&mut self, id: &Incarnation, now: Steady) {
         if let Some((_, lost)) = self.remove_lost(id) {
             self.crashed(id, &lost, now);
         }
     }
 
-    /// Takes note of who is heard on a host: one that vanished there is over, if it was another.
+    /// Records that a worker answers on a host: a different worker that vanished there has ended.
     pub(super) fn heard_on(&mut self, host: &HostId, id: &Incarnation, now: Steady) {
         if let Some((vanished, lost)) = self.vanished.remove(host)
             && vanished != *id
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Removes a worker; its host, and what was lost with it, unless it ended as planned.
+    /// Removes a worker; returns its host, and the runs lost with it unless it ended as planned.
     fn remove_lost(&mut self, id: &Incarnation) -> Option<(HostId, Vec<Lost>)> {
         let kept = self.roster.holding(id).cloned();
         let worker = self.workers.remove(id)?;
@@ -122,14 +123,14 @@
         if planned {
             lost.clear();
         }
-        // What an earlier owner has kept of a worker that this one has not heard.
+        // What an earlier owner has persisted of a worker that has not answered this one.
         if let (false, Some(Holding::Only(tasks))) = (worker.told_all, kept) {
             lost.extend(tasks.into_iter().map(Lost::unseen));
         }
         Some((worker.report.host, lost))
     }
 
-    /// Takes note that a worker is over for certain, with what was lost there.
+    /// Records that a worker has certainly ended, with the runs lost there.
     fn crashed(&mut self, id: &Incarnation, lost: &[Lost], now: Steady) {
         for lost in lost {
             self.note_lost(id, lost, lost.began, now);
@@ -137,8 +138,8 @@
         }
     }
 
-    /// Changes which workers count as lost with the runs of a task, and has that kept if it was news;
-    /// whether it was.
+    /// Changes which workers count as lost with the runs of a task, and queues the change to be
+    /// persisted if there was one; returns whether there was.
     fn change_losses(&mut self, task: TaskId, change: impl FnOnce(&mut Task) -> bool) -> bool {
         let Some(job) = self.jobs.get_mut(&task.of.job) else {
             return false;
@@ -157,7 +158,7 @@
         true
     }
 
-    /// Counts a worker that was lost with a run, once; as crashed under it if that is certain.
+    /// Counts a worker that was lost with a run, once; as crashed if `certain`.
     fn note_lost(&mut self, id: &Incarnation, lost: &Lost, certain: bool, now: Steady) {
         let Lost { task, run, lived, cleared, .. } = *lost;
         let is_open = self.jobs.get(&task.of.job).is_some_and(|job| job.is_open());
@@ -169,7 +170,7 @@
             if entry.done || entry.crashed.contains(id) {
                 return false;
             }
-            // On trial there, the worker counts as doubted already.
+            // A worker with an isolated retry counts as unconfirmed already.
             let on_trial = entry.trial_at.take_if(|at| at == id).is_some();
             if certain {
                 entry.doubted.remove(id);
@@ -197,7 +198,8 @@
         );
     }
 
-    /// Gives up a task that has crashed the worker of its trial, where that was not the first.
+    /// Gives up a task that has crashed the worker of its isolated retry, unless that was the
+    /// first.
     fn judge(&mut self, lost: &Lost) {
         let job = self.jobs.get(&lost.task.of.job);
         let entry = job.and_then(|job| job.task(lost.task.of, lost.task.index));
@@ -215,7 +217,7 @@
             job.task(task.of, task.index).filter(|entry| !entry.done)
         };
         self.marked.retain(|task| entry(task).is_some_and(|entry| entry.lost_workers() != 0));
-        // A worker that is still reckoned with may be heard again, and its mark goes then.
+        // A worker that is still tracked may answer again, and then no longer counts as lost.
         let is_awaited =
             |id: &Incarnation| self.workers.get(id).is_some_and(|w| !w.is_long_silent(now.steady));
         let is_open = |task: &Task| task.doubted.iter().any(&is_awaited);
@@ -250,7 +252,8 @@
         self.stop_all(task.of.job, now.steady, out);
     }
 
-    /// The worker at which a trial of a task was announced, if that is durable and holds.
+    /// The worker at which an isolated retry of a task was announced, if that is durable and still
+    /// valid.
     pub(super) fn announced_trial(&mut self, task: TaskId, now: Steady) -> Option<Incarnation> {
         let job = self.jobs.get(&task.of.job)?;
         let at = job.task(task.of, task.index)?.trial_at.clone()?;
@@ -267,10 +270,10 @@
         None
     }
 
-    /// Has it kept that a suspect is about to start at a worker, so that a later owner reckons with
-    /// that worker's loss, and keeps other starts away; whether the start must wait until that is
-    /// durable, or until what runs there has settled. The first start after a single loss does not wait
-    /// for the write: most such losses are none of the task's doing.
+    /// Persists that a suspect task is about to start at a worker, so that a later owner takes
+    /// account of that worker's loss, and keeps other starts away. Returns whether the start must
+    /// wait until that is durable, or until what runs there has settled. The first start after a
+    /// single loss does not wait for the write: most such losses are not caused by the task.
     pub(super) fn announce_trial(&mut self, task: TaskId, at: &Incarnation, now: Steady) -> bool {
         let mut waits = false;
         let is_news = self.change_losses(task, |entry| {
@@ -298,8 +301,8 @@
         true
     }
 
-    /// Lets work begin again at workers whose trial is over, whatever became of it: its run or its job
-    /// may have ended, or the task may have been done elsewhere.
+    /// Allows other starts again at workers whose isolated retry has ended, however it ended: its
+    /// run or its job may have ended, or the task may have been done elsewhere.
     pub(super) fn end_trials(&mut self) {
         for (id, worker) in &mut self.workers {
             let jobs = &self.jobs;
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Takes note that a worker was not lost with the run on trial there, or that there is none.
+    /// Records that a worker was not lost with the isolated retry there, or that there is none.
     pub(super) fn withdraw_trial(&mut self, task: TaskId) {
         let mut trial_at = None;
         self.change_losses(task, |entry| {
@@ -324,7 +327,7 @@
         }
     }
 
-    /// Takes note that a run goes on.
+    /// Records that a run goes on.
     pub(super) fn has_lived(&mut self, id: &Incarnation, task: TaskId, now: Steady) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -344,8 +347,8 @@
             log::info!("job {}: task {task} at {id}: no longer on trial", task.of.job);
             self.withdraw_trial(task);
         }
-        // It was suspected of crashing what starts it, and has not: the workers before were others'
-        // doing.
+        // The task was suspected of crashing its workers, and has not: the earlier losses had other
+        // causes.
         if on_trial || CLEARED_MS <= lived {
             self.change_losses(task, |entry| {
                 let is_news = entry.lost_workers() != 0;
@@ -356,7 +359,7 @@
         }
     }
 
-    /// Takes note that a worker lives that may have been held to have crashed.
+    /// Records that a worker is alive that may have been counted as crashed.
     pub(super) fn clear_crashes_at(&mut self, id: &Incarnation, was_lost: bool) {
         if !was_lost {
             return;
@@ -364,7 +367,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.lost.clear();
         }
-        // As kept by versions that were not told when workers start.
+        // Persisted by versions that did not learn when workers start.
         let untold = Incarnation::new(id.worker.clone(), None);
         for task in self.marked.clone() {
             self.change_losses(task, |entry| {
--- a/src/jobs/owner/ends.rs
+++ b/src/jobs/owner/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs: what they mean for the task, the job and the worker.
+//! Ends of runs: their consequences for the task, the job and the worker.
 
 use super::{Owner, acknowledge};
 use crate::{
@@ -11,8 +11,8 @@
     },
 };
 
-/// A job that has failed at so many workers is at fault itself: its failures say nothing of the
-/// worker.
+/// A job that has failed at more workers than this is at fault itself: its failures say nothing
+/// about the worker.
 const BLAMED_WORKERS: usize = 2;
 
 impl Owner {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Jobs that are not known and whose ends wait to be counted, since when.
+    /// Unknown jobs whose ends wait to be counted, and since when.
     pub(crate) fn unknown_jobs(&self) -> Vec<(JobId, Steady)> {
         self.unknown.iter().map(|(job, since)| (*job, *since)).collect()
     }
 
-    /// Takes note that nothing need be kept of the ends of a job.
+    /// Records that the ends of a job need not be persisted.
     pub(super) fn forget_ends(&mut self, id: JobId) {
         if self.unknown.remove(&id).is_none() {
             return;
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Counts an end; the version of the job that holds it, or 0 if nothing need be kept.
+    /// Counts an end; returns the version of the job that contains it, or 0 if nothing need be
+    /// persisted.
     fn count(&mut self, id: &Incarnation, end: Ended, now: Now, out: &mut Vec<Effect>) -> u64 {
         let Ended { task, run, how, saved, .. } = end;
         let is_copy = self.copy_mut(task, id).is_some_and(|copy| copy.run == run);
@@ -100,7 +101,7 @@
             self.saves.add(job.id, job.state.is_final());
             return version;
         }
-        // What the end says may be known by another one that is not durable yet.
+        // Another end with the same result may have been counted, and not be durable yet.
         let counts = matches!(how, HowEnded::Done | HowEnded::Failed) && !step_lasts;
         if counts { version } else { 0 }
     }
@@ -156,7 +157,7 @@
         };
         let step = job.step(task.of.step);
         let (lasting, gang, attempts) = (step.lasting, step.gang, job.record.attempts);
-        // A gang has one count, which its first task keeps.
+        // A gang has one count of failures, at its first task.
         let counted = if gang { 0 } else { task.index };
         let Some(entry) = job.task_mut(task.of, counted) else {
             return;
--- a/src/jobs/owner/held.rs
+++ b/src/jobs/owner/held.rs
@@ -1,5 +1,5 @@
-//! What an owner holds back, and for whom: told in the log, since a pool with room and with work
-//! that waits looks the same whether its workers lack an answer, a record or a task.
+//! What an owner holds back, and for whom. It is logged, since a pool with free capacity and
+//! waiting tasks looks the same whether its workers lack an answer, a record or a task.
 
 use super::{Owner, roster::Doubt};
 use crate::model::{
@@ -10,9 +10,9 @@
 /// What keeps a pool's tasks from its workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct Held {
-    /// Tasks of earlier jobs that wait, since a worker that was not asked may run them.
+    /// Tasks of earlier jobs that wait, since a worker that has not been polled may run them.
     pub(crate) tasks: usize,
-    /// Workers to which earlier owners could give work and that have not told all that they hold.
+    /// Workers to which earlier owners could give work and that have not reported all their runs.
     pub(crate) unasked: usize,
     /// Workers that may get work now.
     pub(crate) takers: usize,
@@ -37,7 +37,7 @@
         Held { tasks, unasked: unasked.count(), takers: takers.count() }
     }
 
-    /// How many tasks wait for a doubt to be cleared.
+    /// The number of waiting tasks whose runs are unconfirmed.
     fn held_by(&self, doubt: &Doubt) -> usize {
         let steps = self.jobs.values().filter(|job| job.is_open()).flat_map(|job| {
             job.steps.iter().map(|((time, step), tasks)| {
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -1,11 +1,13 @@
-//! Workers that start again under their name: which incarnation lives, and what may still become of
-//! orders to the one before.
+//! Workers that start again under their name: which incarnation is alive, and what may still happen
+//! to orders to the previous one.
+//!
 //!
 //! An order names the worker only. One that was sent to an incarnation may be carried out by the
-//! next one, seconds later: that has seen no fencing token, knows of no run that was stopped, and
-//! its clock has begun anew. So it gets a token of its own before it gets work: the revision of the
-//! write that lists it in the roster. It is above the tokens of all orders to earlier incarnations,
-//! and below that of every later owner. Once an answer under it has come, they are refused.
+//! next one, seconds later. The next one has seen no fencing token, has no record of stopped runs,
+//! and its clock has restarted. So it gets a token of its own before it gets work: the revision of
+//! the write that lists it in the roster. It is above the tokens of all orders to earlier
+//! incarnations, and below that of every later owner. Once the worker has answered an order with
+//! this token, it refuses those earlier orders.
 
 use super::Owner;
 use crate::{
@@ -24,7 +26,7 @@
 };
 
 impl Owner {
-    /// The incarnations of a worker that are reckoned with: at most one of them lives.
+    /// The tracked incarnations of a worker: at most one of them is alive.
     pub(super) fn incarnations<'a>(
         &'a mut self,
         worker: &'a WorkerId,
@@ -34,7 +36,7 @@
         from_first.take_while(move |incarnation| incarnation.report.id.worker == *worker)
     }
 
-    /// Takes note that the store lists an incarnation under its worker's name, and so no other one.
+    /// Records that the store lists an incarnation under its worker's name, and so no other one.
     pub(super) fn unlist_others(&mut self, listed: &Incarnation, now: Steady) {
         for other in self.incarnations(&listed.worker) {
             if other.report.id != *listed {
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Takes note that another incarnation has answered than the one that was called.
+    /// Records that an incarnation other than the called one has answered.
     pub(super) fn answered_by(&mut self, called: &Incarnation, born: Born, now: Steady) {
         let by = Incarnation::new(called.worker.clone(), Some(born));
         if self.over.contains(&by) {
@@ -56,14 +58,14 @@
         if !self.workers.contains_key(&by) {
             let report = WorkerReport { id: by.clone(), leaves_ms: None, ..worker.report.clone() };
             let mut next = Worker::new(report, now);
-            // Its labels and room may be others: it gets no work before its own entry is listed.
+            // Its labels and resources may differ: it gets no work before its own entry is listed.
             next.bar(now);
             self.workers.insert(by.clone(), next);
         }
         self.succeed(called, &by, now);
     }
 
-    /// Has an incarnation take the place of an earlier one, which is over.
+    /// Replaces an incarnation that has ended by a later one.
     pub(super) fn succeed(&mut self, old: &Incarnation, new: &Incarnation, now: Steady) {
         let Some(before) = self.workers.get(old) else {
             return;
@@ -88,7 +90,7 @@
     }
 
     /// Runs whose starts may have been carried out by the next incarnation: those that this one has
-    /// not listed. Without a start that is told, it is the same one for all that is known.
+    /// not listed. An incarnation without a start time is presumably the same one.
     fn possibly_begun_at_next(&self, worker: &Worker) -> Vec<(TaskId, u32)> {
         let id = &worker.report.id;
         let is_unlisted = |(task, _): &(&TaskId, &u32)| {
@@ -100,7 +102,7 @@
         runs.map(|(task, run)| (*task, *run)).collect()
     }
 
-    /// Replaces a worker of which it was not told when it started by the same one of which it is.
+    /// Replaces a worker without a start time by the same one with its start time.
     fn identify(&mut self, old: &Incarnation, new: &Incarnation, now: Steady) {
         log::info!("worker {old}: known as {new} from now on");
         let tasks: Vec<TaskId> = self.workers[old].copies.keys().copied().collect();
@@ -111,7 +113,7 @@
         self.over.insert(old.clone());
     }
 
-    /// Reckons with a run at a worker that may have begun it, or may yet.
+    /// Assigns a run to a worker that may have begun it, or still may.
     fn bind(&mut self, task: TaskId, run: u32, at: &Incarnation, now: Steady) {
         let Some(job) = self.jobs.get_mut(&task.of.job) else {
             return;
@@ -132,8 +134,8 @@
 }
 
 impl Worker {
-    /// Takes note that it follows another incarnation: the token of orders to that, whether there
-    /// were any, and what it may have held.
+    /// Records that it follows another incarnation: the token of orders to that one, whether there
+    /// were any, and what it may have run.
     fn follow(&mut self, fence: u64, ordered: bool, held: Option<Holding>) {
         self.raise_fence(fence);
         if !self.told_all {
--- a/src/jobs/owner/looks.rs
+++ b/src/jobs/owner/looks.rs
@@ -1,4 +1,4 @@
-//! Looks at workers: what runs there is compared with what is thought to run there.
+//! Polls of workers: the runs that a worker lists are compared with those that the owner expects.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,28 +21,31 @@
     },
 };
 
-/// How long after an unanswered look the next is sent, in milliseconds.
+/// Delay after an unanswered poll until the next is sent, in milliseconds.
 const MISSED_PAUSE_MS: u64 = 150;
 
-/// Looks that go unanswered before a worker that is not listed is taken for gone: a single one may be a
-/// connection that was reset, and a second one its path by way of another node.
+/// The number of unanswered polls after which a worker that is not listed counts as departed: a
+/// single one may be a connection that was reset, and a second one its route through another node.
 const GONE_MISSES: u32 = 3;
 
-/// How long after an unanswered look at such a worker the next is sent, in milliseconds. Hundreds of
-/// hosts may leave a pool within seconds, and each is asked until what it may run has lapsed.
+/// Delay after an unanswered poll of such a worker until the next is sent, in milliseconds.
+/// Hundreds of hosts may leave a pool within seconds, and each is polled until its runs have
+/// expired.
 const GONE_PAUSE_MS: u64 = 500;
 
-/// How long an order to stop may be on its way before it is given again, in milliseconds.
+/// Delay until an order to stop is sent again, in milliseconds.
 const STOP_AGAIN_MS: u64 = 900;
 
-/// How long a worker whose ends cannot be acknowledged yet is left alone, in milliseconds: a look
-/// would not wait, since they are still listed. Most often they are kept within 20.
+/// Pause between polls of a worker whose ends cannot be acknowledged yet, in milliseconds: a poll
+/// would return at once, since the ends are still listed. Most often they are persisted within 20.
 const UNSAVED_LOOK_MS: u64 = 100;
 
-/// Up to which end a look may tell a worker to forget; nothing if it has to wait with that.
+/// The highest end that a poll may acknowledge; none if the poll has to wait until it may.
 ///
-/// The next incarnation numbers its ends anew, and would forget unread those up to this number. So
-/// they are acknowledged neither after a silence nor beside starts that it may carry out.
+///
+/// The next incarnation numbers its ends anew, and would discard those up to this number without
+/// listing them. So ends are acknowledged neither after a silence nor beside starts that the next
+/// incarnation may carry out.
 fn acknowledgement(worker: &Worker, jobs: &BTreeMap<JobId, Job>) -> Option<u64> {
     if !worker.may_start_again() {
         return Some(worker.acknowledged);
@@ -60,7 +63,7 @@
 }
 
 impl Owner {
-    /// Sends the looks that are due.
+    /// Sends the polls that are due.
     pub(super) fn look(&mut self, now: Steady, out: &mut Vec<Effect>) {
         let token = self.token;
         let mixed: BTreeSet<Incarnation> = self.mixed_workers();
@@ -68,7 +71,8 @@
         let mut again = 0;
         let jobs = &self.jobs;
         for worker in self.workers.values_mut() {
-            // A run in doubt does not wait for the look on its way, which may wait for an end.
+            // A run in an unknown phase does not wait for the pending poll, which may wait for an
+            // end.
             let waits = worker.looking.is_some() && !worker.hurried;
             if waits || now < worker.next_look {
                 continue;
@@ -80,7 +84,7 @@
                 continue;
             }
             let acknowledged = acknowledgement.unwrap_or(0);
-            // It is to be answered soon: nothing starts there meanwhile.
+            // It should be answered soon: nothing starts there meanwhile.
             let exclusive = acknowledged != 0 && worker.may_start_again();
             let waits = worker.touched && worker.misses == 0 && !worker.hurried;
             let wait = match waits && !unsaved && !exclusive {
@@ -89,7 +93,8 @@
                 true => LOOK_WAIT_MS,
                 false => 0,
             };
-            // A worker that is silent gets no more time: it may hear without being heard.
+            // The lease of a silent worker is not renewed: it may receive polls though its answers
+            // are lost.
             let gives = worker.touched && worker.misses == 0;
             let until_ms = if gives { worker.give(now) } else { None };
             worker.prove_fence(now);
@@ -110,7 +115,7 @@
         self.counts.again += again;
     }
 
-    /// Takes note of what a look found.
+    /// Processes the result of a poll.
     pub(super) fn looked(
         &mut self,
         id: &Incarnation,
@@ -122,7 +127,7 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        // An older look may still be on its way, and its answer is taken in all the same.
+        // An older poll may still be pending, and its answer is processed too.
         if worker.looking.is_some_and(|newest| newest <= sent) {
             worker.looking = None;
         }
@@ -143,7 +148,8 @@
             OrderEnd::Refused { why: Refusal::Fenced, .. } if worker.bore_fence(sent) => {
                 self.deposed = true;
             }
-            // At an address where it was never heard, another life says nothing of it.
+            // At an address where this worker has never answered, another one proves nothing about
+            // it.
             OrderEnd::Refused { why: Refusal::OtherLife, .. } if worker.heard => {
                 self.bury(id, "another life answers at its address", now.steady);
             }
@@ -153,7 +159,7 @@
                     self.losses.note(now.steady);
                 }
                 if worker.answered.is_some_and(|at| sent < at) {
-                    // It has answered a later look.
+                    // It has answered a later poll.
                     return;
                 }
                 worker.misses += 1;
@@ -212,7 +218,7 @@
         self.forget_ended();
     }
 
-    /// Compares a run that is there with what is thought to be there.
+    /// Compares a listed run with the expected state.
     fn present(
         &mut self,
         id: &Incarnation,
@@ -272,7 +278,7 @@
         self.adopt(id, task, run, percent, sent, now);
     }
 
-    /// What is wrong with a run of a task at a worker, if anything is.
+    /// Why a run of a task at a worker is unexpected, if it is.
     fn stray(&self, id: &Incarnation, task: TaskId) -> Option<Stray> {
         let job = self.jobs.get(&task.of.job);
         let found = job.and_then(|job| Some((job, job.task(task.of, task.index)?)));
@@ -289,8 +295,8 @@
         (elsewhere && !job.step(task.of.step).speculative).then_some(Stray::Elsewhere)
     }
 
-    /// Tells of a run that should not be there. Two runs of one task show here first, whichever of
-    /// the two owners looks.
+    /// Logs a run that should not be there. Two runs of one task are first noticed here, whichever
+    /// of the two owners polls.
     fn note_stray(&mut self, id: &Incarnation, task: TaskId, run: u32, stray: Stray) {
         *self.counts.strays.entry(stray.word()).or_default() += 1;
         let (job, token, why) = (task.of.job, self.token, stray.word());
@@ -342,8 +348,8 @@
         log::info!("job {}: task {task} run {run} at {id}: taken over", task.of.job);
     }
 
-    /// Decides on the runs that are thought to be at a worker and that it does not list. With a list
-    /// of ends that is not whole they may have ended: none counts as gone.
+    /// Decides on the expected runs at a worker that it does not list. If the list of ends is cut
+    /// short, they may have ended: none is removed.
     fn check_unlisted(
         &mut self,
         id: &Incarnation,
@@ -362,7 +368,7 @@
             let Some(copy) = self.copy_mut(task, id) else {
                 continue;
             };
-            // A look that was sent in the same millisecond may have come first.
+            // A poll that was sent in the same millisecond may have come first.
             match copy.phase {
                 Phase::Running if whole && copy.since < sent => {
                     log::warn!("job {}: task {task} at {id}: gone without an end", task.of.job);
@@ -393,8 +399,8 @@
         self.jobs.get_mut(&task.of.job)?.task_mut(task.of, task.index)
     }
 
-    /// Tasks of which a start without an answer may yet be carried out by the next incarnation of a
-    /// silent worker. Lasting tasks are not held back: callers miss them meanwhile.
+    /// Tasks whose unanswered start may still be carried out by the next incarnation of a silent
+    /// worker. Long-running tasks are not held back: callers miss them meanwhile.
     fn awaited_starts(&self, id: &Incarnation, confirmed: Steady) -> BTreeSet<TaskId> {
         let Some(worker) = self.workers.get(id).filter(|worker| worker.may_start_again()) else {
             return BTreeSet::new();
@@ -411,9 +417,9 @@
         worker.copies.keys().filter(is_awaited).copied().collect()
     }
 
-    /// Forgets runs at workers that are silent for so long that everything there has lapsed, and
-    /// workers that are gone. Counted is what had lapsed when the store last confirmed the owner: a
-    /// later one may give a worker more time that is silent here.
+    /// Removes runs at workers that have been silent until all their leases expired, and workers
+    /// that have ended. Only what had expired when the store last confirmed the ownership counts: a
+    /// later owner may renew the lease of a worker that is silent here.
     pub(super) fn drop_lapsed(&mut self, now: Steady) {
         let confirmed = self.confirmed.min(now);
         let lapsed = |worker: &&Worker| worker.misses != 0 && worker.has_lapsed(confirmed);
--- a/src/jobs/owner/pace.rs
+++ b/src/jobs/owner/pace.rs
@@ -1,4 +1,4 @@
-//! The pace of tasks that fill: as fast as the serving tasks beside them allow.
+//! The throttle of background tasks: they run as fast as the serving tasks beside them allow.
 
 use std::collections::BTreeSet;
 
@@ -8,38 +8,38 @@
     model::{id::Incarnation, job::TaskId, unit::Steady, worker::OrderEnd},
 };
 
-/// A tail above this share of its target, in percent, slows what fills down.
+/// A tail latency above this share of its target, in percent, slows background tasks down.
 const HIGH_PERCENT: u64 = 85;
 
-/// A tail below this share of its target, in percent, lets what fills speed up.
+/// A tail latency below this share of its target, in percent, lets background tasks speed up.
 const LOW_PERCENT: u64 = 60;
 
-/// How much faster what fills becomes with each look, in percent of its pace.
+/// Speed that background tasks gain with each poll, in percent of full speed.
 const FASTER_PERCENT: u32 = 20;
 
-/// How long a change of pace is given to show, in milliseconds: the gauge covers half a second.
+/// How long a throttle change takes to show, in milliseconds: the gauge covers half a second.
 const SETTLE_MS: u64 = 500;
 
-/// A run that fills.
+/// A run of a background task.
 struct Filling {
     task: TaskId,
     run: u32,
-    /// Its pace, in percent.
+    /// Its speed, in percent of full speed.
     pace: u32,
-    /// When its pace was last changed.
+    /// When its speed was last changed.
     since: Steady,
 }
 
 /// The runs at a worker that share its processors.
 #[derive(Default)]
 struct Sharing {
-    /// The tails of serving tasks, as shares of their targets in percent.
+    /// The tail latencies of serving tasks, in percent of their targets.
     serving: Vec<u64>,
     filling: Vec<Filling>,
 }
 
 impl Owner {
-    /// The workers on which tasks that fill run beside tasks with a target.
+    /// The workers on which background tasks run beside tasks with a latency target.
     pub(super) fn mixed_workers(&self) -> BTreeSet<Incarnation> {
         if !self.has_filling {
             return BTreeSet::new();
@@ -83,7 +83,7 @@
         sharing
     }
 
-    /// Sets the pace of what fills at a worker by the worst of the tails there.
+    /// Sets the speed of background tasks at a worker by the worst tail latency there.
     pub(super) fn repace(&mut self, id: &Incarnation, now: Steady, out: &mut Vec<Effect>) {
         if !self.has_filling {
             return;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Takes note of an order to change a pace.
+    /// Processes the answer to an order that changes the speed of a run.
     pub(super) fn paced(
         &mut self,
         id: &Incarnation,
@@ -125,7 +125,7 @@
         if matches!(end, OrderEnd::Done(_)) {
             return;
         }
-        // It may or may not have been done: whatever the next look finds is judged afresh.
+        // It may or may not have taken effect: the next poll decides anew.
         log::info!("job {}: task {task} at {id}: pace {percent} not confirmed", task.of.job);
         if let Some(copy) = self.copy_mut(task, id).filter(|copy| copy.pace == percent) {
             copy.pace = if percent == 100 { 99 } else { 100 };
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -1,4 +1,4 @@
-//! What starts where, and what leaves hosts that are being emptied.
+//! What starts where, and what is stopped on hosts that are being drained.
 
 use std::collections::BTreeSet;
 
@@ -19,30 +19,30 @@
     },
 };
 
-/// A task that is thought to need less than this is let finish, in milliseconds: stopping and
+/// A task whose estimated remaining time is below this is not moved, in milliseconds: stopping and
 /// starting it again takes as long.
 const LET_FINISH_MS: u64 = 1_500;
 
-/// After how long a job that waits for a worker is told of, in milliseconds. Each further time
-/// takes twice as long: hundreds may wait at once.
+/// Delay until a waiting job is first logged, in milliseconds. Each further delay is twice as long:
+/// hundreds may wait at once.
 const TELL_WAITING_MS: u64 = 1_000;
 
-/// How often the pause between two tellings doubles at the most.
+/// How often the delay between two log lines of a waiting job doubles at most.
 const TELL_MOST_DOUBLINGS: u32 = 4;
 
 /// How long after a run was taken over an order of the earlier owner may still end it, in
-/// milliseconds: workers take up to 900 to stop a run, and list it as at work meanwhile.
+/// milliseconds: workers take up to 900 to stop a run, and list it as ready meanwhile.
 const STOP_SETTLES_MS: u64 = 1_200;
 
-/// When a worker is asked whether a run on trial has left it alive, in milliseconds after its start:
-/// what it answers then tells that the run has settled.
+/// Delay after an isolated retry starts until its worker is polled, in milliseconds: an answer then
+/// shows that the run has settled.
 pub(super) const TRIAL_LOOK_MS: u64 = SETTLED_MS + 40;
 
-/// The percent at which a lasting task is at work.
+/// The percent at which a long-running task is ready.
 const AT_WORK_PERCENT: u32 = 100;
 
 impl Owner {
-    /// Starts what is due and has room, the most urgent first.
+    /// Starts what is due and finds a worker, the most urgent first.
     pub(super) fn plan(&mut self, now: Now, out: &mut Vec<Effect>) {
         let mut order: Vec<(urgency::Urgency, JobId)> = self
             .jobs
@@ -81,8 +81,8 @@
                 Some(true) if self.is_full_for(of) => false,
                 Some(true) => self.place_gang(of, &waiting, now, out),
                 _ => {
-                    // Each announced trial has a worker that is kept for it, whatever room others
-                    // have not found: nothing else begins there until it has.
+                    // Each announced retry has a worker that is reserved for it, whatever resources
+                    // the others lack: nothing else begins there until it has begun.
                     let (announced, others) = self.split_announced(of, waiting);
                     let mut placed = true;
                     for index in announced {
@@ -113,8 +113,8 @@
         self.jobs.get_mut(&of.job)?.steps.get_mut(&(of.time, of.step))
     }
 
-    /// Whether the present plan has found no room for something that needs no more than the step.
-    /// Room that is kept for tasks that last is not counted.
+    /// Whether the current plan has found no worker for something that needs no more than the step.
+    /// Capacity that is reserved for long-running tasks is not counted.
     fn is_full_for(&self, of: StepId) -> bool {
         let Some(step) = self.step(of).filter(|step| !step.lasting) else {
             return false;
@@ -123,7 +123,7 @@
         self.full.iter().any(|tried| tried.is_within(&charge))
     }
 
-    /// Notes that no worker has room for a step, if room is all that it asks for.
+    /// Records that no worker has the resources for a step, if it has no other requirement.
     fn note_full(&mut self, of: StepId) {
         let Some(job) = self.jobs.get(&of.job) else {
             return;
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Keeps a worker's room for a task that lasts and finds none, or small tasks would take each
-    /// piece of room as soon as it is free.
+    /// Reserves a worker's capacity for a long-running task that finds none; otherwise small tasks
+    /// would take all capacity as soon as it is free.
     fn reserve(&mut self, of: StepId, now: Steady) {
         let Some(job) = self.jobs.get(&of.job) else {
             return;
@@ -149,7 +149,7 @@
         self.reserved.extend(worker);
     }
 
-    /// Tells now and then why the tasks of a step wait.
+    /// Logs from time to time why the tasks of a step wait.
     fn note_waiting(&mut self, of: StepId, now: Steady) {
         let Some(job) = self.jobs.get_mut(&of.job) else {
             return;
@@ -160,7 +160,7 @@
         }
         let step = job.record.steps[of.step as usize].clone();
         let ticketed = job.record.advice.is_some();
-        // The first time starts the clock: a short wait is not told.
+        // The first call only starts the delay: a short wait is not logged.
         let first = job.told_waiting == Steady::default();
         job.told_waiting = now;
         job.times_told += u32::from(!first);
@@ -187,7 +187,8 @@
         };
         let waits = |(index, task): (usize, &crate::jobs::job::Task)| {
             let index = index as u32;
-            // Where it runs is known of one that was taken over, and not how often it has failed.
+            // For a run that was taken over its place is known, but not how often its task has
+            // failed.
             let known = task.accounted && !job.may_have_failed(of, index);
             let certain = known || !doubt.covers(&TaskId { of, index });
             let may = task.not_before <= now && certain && job.may_start(task);
@@ -196,7 +197,7 @@
         tasks.tasks.iter().enumerate().filter_map(waits).collect()
     }
 
-    /// Which tasks of a step have a trial announced at some worker, and which have none.
+    /// Splits the tasks of a step into those with an announced isolated retry and the others.
     fn split_announced(&self, of: StepId, tasks: Vec<u32>) -> (Vec<u32>, Vec<u32>) {
         let is_announced = |index: &u32| {
             let job = self.jobs.get(&of.job);
@@ -206,7 +207,7 @@
         tasks.into_iter().partition(is_announced)
     }
 
-    /// Starts the tasks of a step one by one; tells whether all found room.
+    /// Starts the tasks of a step one by one; returns whether all found a worker.
     fn place_tasks(
         &mut self,
         of: StepId,
@@ -389,7 +390,7 @@
         out.push(Effect::Start { to, start });
     }
 
-    /// Moves work away from workers that leave and from hosts that are being emptied.
+    /// Stops runs on workers that leave and on hosts that are being drained.
     pub(super) fn empty(&mut self, now: Steady, out: &mut Vec<Effect>) {
         let leaving: Vec<Incarnation> = self
             .workers
@@ -414,7 +415,7 @@
         }
     }
 
-    /// Whether a run may be ended so that its worker can leave.
+    /// Whether a run may be stopped so that its worker can leave.
     fn may_leave(&self, task: TaskId, id: &Incarnation, now: Steady) -> bool {
         let Some(job) = self.jobs.get(&task.of.job) else {
             return false;
@@ -432,8 +433,8 @@
             return false;
         };
         if !step.lasting {
-            // Tasks that save go on from where they were; others, and those that are nearly done,
-            // are let finish.
+            // Tasks with checkpoints resume where they were; others, and those that are nearly
+            // done, run to their end.
             let whole = self.durations.expect(&job.record.queue, step.estimate_ms);
             let left = whole * u64::from(100 - copy.percent.min(100)) / 100;
             return step.saves && LET_FINISH_MS < left;
@@ -442,9 +443,9 @@
             return true;
         }
         let at_work = |copy: &Copy| {
-            // A worker that is silent may be gone.
+            // A silent worker may have ended.
             let heard = self.workers.get(&copy.worker).is_some_and(|worker| worker.is_heard(now));
-            // One that was taken over may have been told to stop.
+            // An earlier owner may have ordered a run that was taken over to stop.
             let settled = copy.adopted.is_none_or(|at| STOP_SETTLES_MS <= now.since(at));
             heard && settled && copy.phase == Phase::Running && AT_WORK_PERCENT <= copy.percent
         };
--- a/src/jobs/owner/roster.rs
+++ b/src/jobs/owner/roster.rs
@@ -1,4 +1,5 @@
-//! What a later owner must know of the workers, and what this one knows by what earlier ones kept.
+//! What a later owner must know of the workers, and what earlier owners have persisted for this
+//! one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,25 +20,26 @@
     },
 };
 
-/// Looks in a row that must go unanswered before a worker is kept as silent: a single one may be
-/// a connection that was reset, and the write would cost two calls of the store.
+/// Consecutive unanswered polls after which a worker is persisted as silent: a single one may be a
+/// connection that was reset, and the write would cost two calls of the store.
 const SILENT_MISSES: u32 = 2;
 
-/// How long after a run of a job that is not known was last seen nothing is left to the next owner, in
-/// milliseconds: it is told to stop with each look, and lapses with its worker's time at the latest.
+/// How long after a run of an unknown job was last seen nothing is handed over to the next owner,
+/// in milliseconds: each poll orders it to stop, and it expires with its worker's lease at the
+/// latest.
 const STRANGE_MS: u64 = 5_000;
 
 #[cfg(test)]
 thread_local! {
-    /// How many tasks were put together into doubts, to tell what a plan costs.
+    /// How many tasks were added to unconfirmed sets, to measure the cost of a plan.
     pub(crate) static DOUBTED: std::cell::Cell<usize> = const { std::cell::Cell::new(0) };
 }
 
-/// Tasks of earlier jobs that may run where they cannot be seen.
+/// Tasks of earlier jobs that may run where this owner does not see them.
 pub(super) enum Doubt {
-    /// Any that no worker has told of.
+    /// Any task that no worker has reported.
     All,
-    /// These at the most.
+    /// These at most.
     Only(BTreeSet<TaskId>),
 }
 
@@ -51,7 +53,7 @@
 }
 
 impl Owner {
-    /// Takes over what earlier owners have kept of the pool's workers, listed or not.
+    /// Takes over what earlier owners have persisted of the pool's workers, listed or not.
     pub(crate) fn inherit(
         &mut self,
         workers: Vec<WorkerReport>,
@@ -64,11 +66,11 @@
         self.handed = left.cloned();
         for report in workers {
             let id = report.id.clone();
-            // One that holds nothing matters once it is listed: hosts that have moved away would each
-            // be asked for seconds.
+            // One that holds nothing matters only once it is listed: otherwise each host that has
+            // moved away would be polled for seconds.
             let holds = self.roster.holding(&id).is_some_and(|holding| !holding.is_nothing());
             if holds {
-                // Whoever gave it work has heard it at that address.
+                // The owner that gave it work had an answer from that address.
                 let heard = !report.address.is_empty();
                 self.handle(Event::Worker(report), now, out);
                 self.handle(Event::Unlisted(id.worker.clone()), now, out);
@@ -79,9 +81,9 @@
         }
     }
 
-    /// What is to be left to the next owner by one that orders nothing any more; nothing if it does
-    /// not know all that may run. It holds whether or not writes on their way are done before it: none
-    /// is after it, since their condition is this ownership.
+    /// What to persist for the next owner when this one gives no further orders; none if it does
+    /// not know all that may run. It holds whether or not pending writes take effect before it:
+    /// none can take effect after it, since they are conditional on this ownership.
     pub(crate) fn parting(&self, now: Now) -> Option<Away> {
         let lately = |at| now.steady.since(at) < STRANGE_MS;
         if !self.unknown.is_empty() || self.strange.is_some_and(lately) {
@@ -103,19 +105,19 @@
         Some(Away { silent: silent.collect(), handover })
     }
 
-    /// Whether a run of a task may be somewhere, or has ended with what is not durable yet: the next
-    /// owner knows of that only once its worker has listed the end again.
+    /// Whether a run of a task may exist somewhere, or has ended with a result that is not durable
+    /// yet: the next owner learns of that only once its worker has listed the end again.
     fn may_run_or_count(&self, job: &Job, task: &Task) -> bool {
         let begun = task.run != 0 && task.run != self.first_run;
         let uncounted = job.is_dirty() && (task.done || begun || job.state.is_final());
         !task.copies.is_empty() || uncounted
     }
 
-    /// What may run at a listed worker that does not answer or is to be no longer used; nothing if it
-    /// answers, or is not known that well.
+    /// What may run at a listed worker that does not answer or is no longer to be used; none if it
+    /// answers, or if that is not known.
     fn left_at(&self, id: &Incarnation) -> Option<BTreeSet<TaskId>> {
         let Some(worker) = self.workers.get(id) else {
-            // It is over, or all that it may run has lapsed.
+            // It has ended, or all that it may run has expired.
             return Some(BTreeSet::new());
         };
         if !worker.told_all {
@@ -129,9 +131,9 @@
         (emptied || silent).then(|| worker.copies.keys().copied().collect())
     }
 
-    /// What is to be kept for a later owner, if that is news, in one write that changes the records
-    /// of so many workers at the most. Whoever takes it tells when it is kept; workers get work
-    /// only by what is kept.
+    /// What is to be persisted for a later owner, if that has changed, in one write that changes
+    /// the records of at most `most` workers. The caller reports when it is persisted; workers get
+    /// work only by what is persisted.
     pub(crate) fn roster_note(&mut self, most: usize) -> Option<RosterNote> {
         let holdings = self.holdings();
         let workers = &self.workers;
@@ -142,7 +144,7 @@
         Some(note)
     }
 
-    /// Takes note that the roster is kept, by the write of a revision.
+    /// Records that the roster was persisted by the write with this revision.
     pub(crate) fn rostered(&mut self, note: &RosterNote, revision: Revision) {
         self.roster.kept(note);
         for worker in self.workers.values_mut() {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// What each worker may hold now.
+    /// What each worker may run now.
     fn holdings(&self) -> BTreeMap<Incarnation, Holding> {
         let holding = |worker: &Worker| Some((worker.report.id.clone(), self.holding_of(worker)?));
         self.workers.values().filter_map(holding).collect()
@@ -170,7 +172,7 @@
         (kept.is_some() || !tasks.is_empty()).then_some(Holding::Only(tasks))
     }
 
-    /// Tells once that no task of earlier jobs is held back any more, and what that rests on.
+    /// Logs once that no task of earlier jobs is held back any more, and why.
     pub(super) fn tell_clear(&mut self, doubt: &Doubt, now: Steady) {
         let clear = matches!(doubt, Doubt::Only(tasks) if tasks.is_empty());
         if self.told_clear || !clear {
@@ -185,8 +187,9 @@
         );
     }
 
-    /// The tasks of earlier jobs that may run where this owner does not see them: on workers that
-    /// earlier owners could give work to and that have not told this one all that they hold yet.
+    /// The tasks of earlier jobs that may run where this owner does not see them: on workers to
+    /// which earlier owners could give work and that have not reported all their runs to this one
+    /// yet.
     pub(super) fn doubt(&self, now: Steady) -> Doubt {
         let mut tasks = BTreeSet::new();
         let confirmed = self.confirmed.min(now);
@@ -207,7 +210,7 @@
             }
         }
         match &self.handed {
-            // Once for all workers: after a change of turns hundreds of them are gone.
+            // Once for all workers: after a demand peak hundreds of them are gone.
             Some(handed) if any => tasks.extend(handed.iter().inspect(|_| count_doubted())),
             None if any => return Doubt::All,
             Some(_) | None => {}
@@ -216,7 +219,7 @@
     }
 }
 
-/// Counts, in tests, that a task is put into a doubt.
+/// Counts, in tests, a task that is added to an unconfirmed set.
 fn count_doubted() {
     #[cfg(test)]
     DOUBTED.set(DOUBTED.get() + 1);
--- a/src/jobs/owner/shown.rs
+++ b/src/jobs/owner/shown.rs
@@ -1,4 +1,4 @@
-//! What an owner shows of its pool: for the log, for the fleet's owner, and for other nodes.
+//! The status of an owner's pool: for the log, for the fleet's owner, and for other nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,49 +14,49 @@
     },
 };
 
-/// What a pool does at one moment.
+/// The state of a pool at one moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct Summary {
     pub(crate) jobs: usize,
-    /// Tasks that wait for their turn or for room.
+    /// Tasks that wait for earlier steps or for a worker.
     pub(crate) waiting: usize,
     pub(crate) workers: usize,
     /// Workers that answer.
     pub(crate) touched: usize,
-    /// Of the workers' processor time, in millicores.
+    /// The workers' processor time in use, in millicores.
     pub(crate) used: u32,
     pub(crate) room: u32,
 }
 
-/// The share of a host's processor time, in percent, up to which its use is light.
+/// The use of a host's processor time, in percent, up to which it counts as light.
 const LIGHT_PERCENT: u32 = 50;
 
-/// How the hosts of a pool are used: a hint, as old as the record that tells of it.
+/// How the hosts of a pool are used: a hint, as old as the record that contains it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct HostUsage {
     /// Hosts on which nothing runs.
     #[serde(rename = "i", default)]
     pub(crate) idle: BTreeSet<HostId>,
-    /// Hosts with little to do, none of which lasts: the one with the least first.
+    /// Hosts with a light load and no long-running task, the least loaded first.
     #[serde(rename = "l", default)]
     pub(crate) light: Vec<HostId>,
-    /// Hosts with more to do, none of which lasts: the one with the least first.
+    /// Hosts with a higher load and no long-running task, the least loaded first.
     #[serde(rename = "b", default)]
     pub(crate) busy: Vec<HostId>,
 }
 
-/// A host on which nothing runs or can begin, as long as its mark stands.
+/// A host on which nothing runs or can begin, as long as its drain mark stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Emptied {
     pub(crate) host: HostId,
     /// The worker on which nothing runs.
     pub(crate) worker: Incarnation,
-    /// The revision of the mark for which the host was emptied.
+    /// The revision of the drain mark for which the host was drained.
     pub(crate) mark: Revision,
 }
 
 impl Owner {
-    /// What the pool does now, for the log.
+    /// The current state of the pool, for the log.
     pub(crate) fn summary(&self) -> Summary {
         let mut summary = Summary { jobs: self.jobs.len(), ..Summary::default() };
         for worker in self.workers.values() {
@@ -71,7 +71,7 @@
         summary
     }
 
-    /// How many workers the pool has.
+    /// The number of workers of the pool.
     pub(crate) fn worker_count(&self) -> usize {
         self.workers.len()
     }
@@ -81,7 +81,7 @@
         self.workers.keys().cloned().collect()
     }
 
-    /// The hosts among those to be emptied on whose workers nothing runs or can begin.
+    /// The hosts to be drained on whose workers nothing runs or can begin.
     pub(crate) fn emptied(&self) -> Vec<Emptied> {
         let empty = |worker: &&Worker| {
             self.emptying.contains_key(&worker.report.host) && worker.touched && worker.is_empty()
@@ -115,7 +115,7 @@
         usage
     }
 
-    /// How many jobs of each queue have not begun.
+    /// The number of jobs of each queue that have not begun.
     pub(crate) fn queued(&self) -> BTreeMap<String, usize> {
         let mut queued = BTreeMap::new();
         for job in self.jobs.values() {
--- a/src/jobs/tests/cold.rs
+++ b/src/jobs/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Tests of what an owner concludes from what it does not know.
+//! Tests of the conclusions that an owner draws from missing information.
 
 use super::{Bench, done, id, one_worker, report, step, stored};
 use crate::{
@@ -9,7 +9,7 @@
     model::job::TaskId,
 };
 
-/// The highest end that the owner's next look acknowledges.
+/// The highest end that the owner's next poll acknowledges.
 fn acknowledged(bench: &mut Bench) -> u64 {
     bench.effects.clear();
     bench.now += 1_100;
@@ -21,12 +21,12 @@
     looks.max().expect("a look is due")
 }
 
-/// What users would see: a task that must run once runs again after its end was acknowledged. Another
-/// writer overwrote a job's progress, and the pool passed to another owner, which is not told of the
-/// job until its progress can be read (`KnownJob::stored`). Meanwhile a worker listed the end of a
-/// task of it. The owner took a job that it does not know for one of which nothing need be kept, and
-/// acknowledged the end: the worker forgot it. Once the progress could be read again the task was
-/// started anew. Evidence: this test.
+/// Guards against a second run of a task whose end was acknowledged. Another writer overwrote a
+/// job's progress, and the pool passed to another owner, which receives the job only once its
+/// progress can be read (`KnownJob::stored`). Meanwhile a worker listed the end of a task of the
+/// job. The owner treated the unknown job as one whose ends need not be persisted, and acknowledged
+/// the end, so that the worker discarded it. Once the progress could be read again the task was
+/// started anew.
 #[test]
 fn an_end_of_a_job_that_waits_to_be_read_is_not_acknowledged() {
     let mut bench = Bench::inheriting(&[("w1", "h1")], Away::default());
@@ -48,12 +48,11 @@
     assert_eq!(bench.starts(), vec![], "it is done; forgotten by the worker: {forgotten}");
 }
 
-/// What users would see: a task that must run once runs again after its end was acknowledged. A worker
-/// fell silent, what ran there lapsed, and the task was started at another worker. Both ends were
-/// listed before the store had taken either: the second one changes nothing of the job, so that it
-/// counted as one of which nothing need be kept, and was acknowledged at once. An owner that follows
-/// then, and does not reach the first worker, knows of no end. Evidence: fuzzing of calls and answers,
-/// seed 7002368, and this test.
+/// Guards against a second run of a task whose end was acknowledged (fuzzing seed 7002368). A
+/// worker fell silent, its run expired, and the task was started at another worker. Both ends were
+/// listed before the store had accepted either. The second end changed nothing in the job, so that
+/// it counted as one that need not be persisted, and was acknowledged at once. A later owner that
+/// cannot reach the first worker would then find no end.
 #[test]
 fn a_second_end_of_a_task_is_acknowledged_only_once_the_first_is_durable() {
     let mut bench = one_worker();
--- a/src/jobs/tests/cut.rs
+++ b/src/jobs/tests/cut.rs
@@ -1,10 +1,11 @@
 //! Tests of lists of ends that are cut short.
 //!
-//! What users would see: a task that must run once ran twice. A worker lists 500 ends at once and repeats
-//! them until they are acknowledged, which they are once they are durable. While the store takes no
-//! progress more ends than that can gather. A run whose end was not among the first 500 was listed
-//! neither as running nor as ended, so that its owner took it for gone and started it elsewhere; a
-//! later owner took the worker for one that holds nothing else. Evidence: the tests below.
+//!
+//! They guard against two runs of one task. A worker lists 500 ends at once and repeats them until
+//! they are acknowledged, which requires that they are durable. While the store accepts no
+//! progress, more than 500 can accumulate. A run whose end was not among the first 500 was listed
+//! neither as running nor as ended. Its owner assumed that it was gone and started the task
+//! elsewhere; a later owner assumed that the worker had nothing else.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +19,7 @@
     },
 };
 
-/// The most ends that a worker lists at once, by the contract.
+/// The most ends that a worker lists at once, by the platform's contract.
 const LISTED: u64 = 500;
 
 /// Longer than any run of an earlier owner can go on unseen, in milliseconds.
@@ -36,8 +37,8 @@
     (1..=count.min(LISTED)).map(|number| done(number, task(job, number - 1), run)).collect()
 }
 
-/// An owner whose worker has ended a batch of tasks more than it lists at once, none of them
-/// acknowledged; with the tasks of that last batch.
+/// An owner whose worker has ended up to a batch of tasks more than it lists at once, none of them
+/// acknowledged; with the tasks of the last batch.
 fn unsaved_ends() -> (Bench, Vec<TaskId>) {
     let mut bench = one_worker();
     bench.tell(Event::Job(stored(1, vec![step(LISTED as u32 + ROOM)], 110)));
@@ -74,7 +75,7 @@
 }
 
 /// A later owner that finds the first 500 ends of another job, and behind them the end of a task
-/// that it knows nothing of.
+/// that it has no record of.
 fn later_owner() -> Bench {
     let mut bench = Bench::inheriting(&[("w1", "h1")], Away::default());
     bench.tell(Event::Job(stored(1, vec![step(1)], 50)));
@@ -85,8 +86,7 @@
     bench
 }
 
-/// The end of the task of the first job, which the worker lists once those before are
-/// acknowledged.
+/// The end of the task of the first job, which the worker lists once those before are acknowledged.
 fn hidden_end() -> Ended {
     done(LISTED + 1, task(id(1), 0), 1)
 }
@@ -106,7 +106,7 @@
     assert_eq!(bench.starts(), vec![]);
 }
 
-/// A host that is taken away with an end that nobody has counted loses it.
+/// A host that is taken away with an uncounted end loses it.
 #[test]
 fn a_host_is_not_empty_while_ends_may_not_be_listed_yet() {
     let mut bench = later_owner();
--- a/src/jobs/tests/gone.rs
+++ b/src/jobs/tests/gone.rs
@@ -1,5 +1,5 @@
-//! Tests of what an owner counts of tasks that start again and of runs that should not be there:
-//! by these, somebody who is on call traces a task that ran twice to what its owner believed.
+//! Tests of the counts of restarted tasks and of unexpected runs, by which an operator traces a
+//! task that ran twice to the state that its owner had.
 
 use super::{Bench, done, one_worker, present, report, step, stored, worker_id};
 use crate::{
@@ -113,8 +113,8 @@
     assert_eq!(told, "run 2 at w3: lapsed unseen, 120 ms ago");
 }
 
-/// A later owner may have won the pool though this one's lease holds, and may have given the worker
-/// that is silent here more time: only a write under the condition that there is none tells.
+/// A later owner may have acquired the pool though this one's lease holds, and may have renewed the
+/// lease of the worker that is silent here: only a conditional write shows that there is none.
 #[test]
 fn what_has_lapsed_counts_up_to_when_the_store_confirmed_the_owner() {
     let (mut bench, ..) = running();
--- a/src/jobs/tests/handover.rs
+++ b/src/jobs/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Tests of what an owner leaves to the next one when it gives its pool back.
+//! Tests of what an owner persists for the next one when it releases its pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
     },
 };
 
-/// An owner of workers, each with all that it can run.
+/// An owner of workers, each with as many tasks as it can run.
 fn busy(workers: usize) -> (Bench, BTreeMap<Incarnation, Vec<(TaskId, u32)>>) {
     let mut bench = Bench::new(0);
     for number in 0..workers {
@@ -37,7 +37,7 @@
     (bench, runs)
 }
 
-/// The next owner of the same workers, with jobs that were handed in before it.
+/// The next owner of the same workers, with jobs that are older than its ownership.
 fn next(bench: &Bench, workers: usize, jobs: impl Iterator<Item = (u64, u32)>) -> Bench {
     let away = bench.owner.parting(bench.at()).unwrap_or_default();
     let names: Vec<(String, String)> =
@@ -55,20 +55,18 @@
     (1..).zip(runs).map(|(number, (task, run))| done(number, *task, *run)).collect()
 }
 
-/// A pool of 558 workers started nothing for six seconds: 384 jobs and 3,464 tasks waited, and only
-/// what lasts was at work. The node that owned the pool had been told to end, in the middle of a
-/// turn, while hosts moved away by the hundred; the one that took it up found all workers in the
-/// roster, each of which might run anything, and waited with all tasks of earlier jobs for those
-/// that were gone, 8.7 s. An owner that orders nothing any more knows exactly what may run at its
-/// workers, and left no word of it. Evidence: the counts of waiting jobs and tasks stood still to
-/// the last one while the workers that answered grew from 116 to 266; in another play of that day a
-/// new owner let 300 gone workers go 9.1 s after it took the pool up, all in one moment.
+/// Guards against a pool that starts nothing after a change of owner. The owner of 558 workers was
+/// ordered to shut down during a demand peak, while hosts moved away by the hundred, and persisted
+/// nothing about what may run at its workers. The new owner found all workers in the roster, each
+/// of which might run anything. It held back the tasks of all earlier jobs (384 jobs, 3,464 tasks)
+/// until the departed workers' leases had expired, 8.7 s later. An owner that gives no further
+/// orders knows exactly what may run.
 #[test]
 fn tasks_that_wait_begin_at_the_first_worker_that_answers_a_new_owner() {
     const WORKERS: usize = 550;
     const LIVING: usize = 250;
     let (mut earlier, runs) = busy(WORKERS);
-    // That the first job has begun is durable: what holds its tasks is that they run.
+    // That the first job has begun is durable: its tasks are held back because they run.
     earlier.save();
     let mut bench =
         next(&earlier, WORKERS, [(1, 2_200)].into_iter().chain((2..386).map(|n| (n, 9))));
@@ -91,7 +89,8 @@
     assert!(started.all(|(task, ..)| !may_run.contains(&task.of.job)), "a gone worker may run it");
 }
 
-/// What was counted and is not durable is not known to the next owner before the worker tells it.
+/// An end that was counted but is not durable is unknown to the next owner until the worker lists
+/// it again.
 #[test]
 fn a_task_whose_end_is_not_durable_waits_for_the_worker_that_tells_of_it() {
     let (mut earlier, runs) = busy(2);
@@ -105,7 +104,7 @@
     assert_eq!(started, vec![id(2); 3]);
 }
 
-/// Whoever comes after an owner that has given orders knows nothing by the word of the one before it.
+/// Once an owner has given orders, the handover record of the one before it no longer applies.
 #[test]
 fn what_was_left_counts_for_the_very_next_owner() {
     let (earlier, runs) = busy(2);
@@ -124,7 +123,7 @@
     }
 }
 
-/// The record is read as it was written, and one of before is read too.
+/// The record can be read back, and so can one of an earlier version.
 #[test]
 fn what_is_left_is_read_as_it_was_written() {
     let (earlier, _) = busy(3);
@@ -136,7 +135,7 @@
     assert!(serde_json::from_str::<Away>(r#"{"h":{"o":1,"t":{"no step":[1]}}}"#).is_err());
 }
 
-/// An owner that waits for workers itself has no word to leave.
+/// An owner that still waits for workers has nothing to hand over.
 #[test]
 fn an_owner_that_does_not_know_what_may_run_leaves_no_word_of_it() {
     let mut bench = Bench::inheriting(&[("w0", "h0"), ("w1", "h1")], Away::default());
@@ -146,7 +145,8 @@
     assert!(bench.owner.parting(bench.at()).is_some());
 }
 
-/// A run or an end of a job that the owner does not know may be known to the next one.
+/// A run or an end of a job that the owner does not know may belong to one that the next owner
+/// knows.
 #[test]
 fn runs_and_ends_of_unknown_jobs_leave_no_word() {
     let task: TaskId = format!("{}.0.0.0", id(7)).parse().unwrap();
@@ -158,7 +158,8 @@
     assert_eq!(end.owner.parting(end.at()), None);
 }
 
-/// Hosts that have moved away are not asked for seconds by an owner that knows that nothing runs there.
+/// An owner that knows that nothing runs on hosts that have moved away does not poll them for
+/// seconds.
 #[test]
 fn workers_that_hold_nothing_and_are_not_listed_are_not_asked() {
     let (mut earlier, runs) = busy(3);
@@ -176,8 +177,8 @@
     assert_eq!(asked, [worker_id("w0"), worker_id("w1")].into());
 }
 
-/// Each plan put all that was left together anew for each worker that was not asked yet: after a
-/// change of turns hundreds of workers times thousands of tasks, some hundred times a second.
+/// Each plan added all handed-over tasks anew for each worker that was not polled yet: after a
+/// demand peak hundreds of workers times thousands of tasks, some hundred times a second.
 #[test]
 fn a_plan_does_not_go_through_what_was_left_for_each_worker_anew() {
     const WORKERS: usize = 200;
--- a/src/jobs/tests/incarnations.rs
+++ b/src/jobs/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! Tests of workers that start again under their name: each incarnation counts its ends anew, and
-//! may carry out what was ordered of the one before.
+//! Tests of workers that start again under their name: each incarnation numbers its ends anew, and
+//! may carry out orders to the previous one.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 const FIRST: &str = "w1@1000";
 const NEXT: &str = "w1@2000";
 
-/// An owner and a worker that tells when it started, in its first incarnation.
+/// An owner and a worker that reports its start time, in its first incarnation.
 fn first() -> Bench {
     let mut bench = Bench::new(0);
     bench.tell(Event::Worker(report(FIRST, "h1")));
@@ -29,14 +29,14 @@
     bench
 }
 
-/// A task that was ordered of a worker.
+/// A task that was ordered to start at a worker.
 fn ordered(bench: &mut Bench, job: u64) -> (TaskId, u32, Incarnation) {
     bench.tell(Event::Job(stored(job, vec![step(1)], 110)));
     bench.work();
     bench.starts().pop().expect("a worker takes work")
 }
 
-/// The newest look that was ordered, and the ends that it acknowledges.
+/// The newest poll, and the ends that it acknowledges.
 fn newest_look(bench: &mut Bench) -> (Addressee, u64) {
     bench.work();
     let effects = std::mem::take(&mut bench.effects);
@@ -47,7 +47,7 @@
     looks.last().expect("a look is due")
 }
 
-/// What a look acknowledges, if anything, and how long it waits.
+/// What a poll acknowledges, if anything, and how long it waits.
 fn acknowledging(effect: &Effect) -> Option<(u64, Duration)> {
     match effect {
         Effect::Look { acknowledged, wait, .. } if *acknowledged != 0 => {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A look that was sent to one incarnation is answered by another, or the same.
+/// A poll that was sent to one incarnation is answered by another, or the same.
 fn answer(bench: &mut Bench, to: &str, by: &str, present: Vec<Present>, ended: Vec<Ended>) {
     let born = worker_id(by).born;
     let look = Look { born, clock_ms: 10 + bench.now % 1_000, present, ended };
@@ -65,7 +65,7 @@
     bench.tell(Event::Looked { worker, sent, end: OrderEnd::Done(look) });
 }
 
-/// The worker has started again, which its entry and its answers tell, and may get work.
+/// The worker has started again, as its entry and its answers show, and may get work.
 fn start_again(bench: &mut Bench) {
     bench.now += 400;
     answer(bench, FIRST, NEXT, vec![], vec![]);
@@ -125,7 +125,7 @@
     assert_eq!(newest_look(&mut bench).1, 1);
 }
 
-/// A late look would have the next incarnation forget the end of a start that it carried out.
+/// A late poll would make the next incarnation discard the end of a start that it carried out.
 #[test]
 fn no_start_may_be_on_its_way_beside_a_look_that_acknowledges_ends() {
     let mut bench = first();
@@ -155,7 +155,7 @@
     assert_eq!(newest_look(&mut bench).1, 2);
 }
 
-/// An owner whose start of a task got no answer, with another worker that could take it.
+/// An owner whose start of a task got no answer, with another worker that could take the task.
 fn unanswered(task: Step) -> Bench {
     let mut bench = first();
     bench.tell(Event::Job(stored(1, vec![task], 110)));
@@ -188,7 +188,7 @@
     assert_eq!(bench.starts().len(), 1);
 }
 
-/// Its callers miss it all the while.
+/// Its callers would miss it meanwhile.
 #[test]
 fn a_lasting_task_is_not_held_back_for_a_late_start() {
     let mut bench = unanswered(Step { lasting: true, ..step(1) });
@@ -246,7 +246,7 @@
     bench.touch("w2@1000", vec![]);
     let (task, run, at) = ordered(&mut bench, 1);
     let next = Incarnation::new(at.worker.clone(), Some(Born(2_000))).to_string();
-    // Its answer does not tell which incarnation has begun it.
+    // Its answer does not show which incarnation has begun it.
     bench.started(task, run, &at);
     bench.now += 20;
     answer(&mut bench, &at.to_string(), &next, vec![present(task, run, 0)], vec![]);
@@ -304,7 +304,7 @@
     assert!(bench.owner.is_deposed(), "a look of now bears the token that it has");
 }
 
-/// A node whose view is behind tells of the entry before, and answers overtake one another.
+/// A node with a stale view reports the earlier entry, and answers may arrive out of order.
 #[test]
 fn an_incarnation_that_is_over_does_not_come_back() {
     let mut bench = first();
@@ -316,7 +316,7 @@
     assert_eq!(at, worker_id(NEXT));
 }
 
-/// The time of day of its machine may jump back.
+/// The wall clock of its machine may jump back.
 #[test]
 fn the_next_incarnation_may_say_that_it_started_earlier() {
     let mut bench = first();
@@ -362,7 +362,7 @@
     assert!(until.is_some_and(|until| until < 10_000), "by a clock that stands at {until:?}");
 }
 
-/// Records of versions that did not tell incarnations apart.
+/// Records of versions that did not distinguish incarnations.
 #[test]
 fn a_worker_that_was_kept_without_its_start_is_asked_before_tasks_begin_that_it_may_run() {
     let away = crate::jobs::roster::Away::default();
--- a/src/jobs/tests/looks.rs
+++ b/src/jobs/tests/looks.rs
@@ -1,4 +1,4 @@
-//! Tests of how fast an owner finds out what became of orders that got no answer.
+//! Tests of how fast an owner learns the state of runs whose orders got no answer.
 
 use super::{Bench, one_worker, present, report, step, stored, worker_id};
 use crate::{
@@ -9,7 +9,7 @@
     model::{id::Incarnation, job::TaskId, worker::OrderEnd},
 };
 
-/// The looks that were ordered since the last question: the worker, and how long they wait.
+/// The polls since the last call: the worker, and how long each waits.
 fn looks(bench: &mut Bench) -> Vec<(Incarnation, u64)> {
     let effects = std::mem::take(&mut bench.effects);
     let looks = effects.into_iter().filter_map(|effect| match effect {
@@ -36,7 +36,7 @@
     assert_eq!(looks(&mut bench), vec![(worker_id("w1"), 0)]);
 }
 
-/// The run never began and never will: no end is listed that a look could wait for.
+/// The run never began and never will: no end is listed that a poll could wait for.
 #[test]
 fn a_task_that_did_not_begin_is_free_with_the_look_after_its_stop() {
     let (mut bench, task, run) = unanswered_start();
@@ -74,7 +74,7 @@
     (bench, starts)
 }
 
-/// A worker answers a look with what runs there.
+/// A worker answers a poll with what runs there.
 fn answer(bench: &mut Bench, name: &str, starts: &[(TaskId, u32, Incarnation)]) {
     let here = starts.iter().filter(|(.., worker)| worker.worker.as_str() == name);
     let here = here.map(|(task, run, _)| present(*task, *run, 10)).collect();
@@ -100,7 +100,7 @@
     assert!(waits.contains(&(worker_id("w4"), LOOK_WAIT_MS)), "{waits:?}");
 }
 
-/// One worker that falls silent is no reason to look at the others more often.
+/// One worker that falls silent is no reason to poll the others more often.
 #[test]
 fn one_silent_worker_does_not_hurry_the_looks_at_others() {
     let (mut bench, starts) = busy_pool();
@@ -111,12 +111,12 @@
     assert!(waits.contains(&(worker_id("w4"), LOOK_WAIT_MS)), "{waits:?}");
 }
 
-/// When a turn changes, hundreds of hosts leave a pool within seconds, and each of their workers was
-/// asked up to seven times a second until what it may run had lapsed: 400 that are gone cost more calls
-/// than the 120 that work, most of them by the owner's own node, since others had no answer either.
-/// Evidence: workers that are gone and not listed are three quarters of a pool at such times (439 of
-/// 570 answer, then 168 of 638), and every look at them is lost. Wanted: two looks a second at most,
-/// after half a second in which a worker may only have missed one.
+/// After a demand peak hundreds of hosts leave a pool within seconds. Each of their workers was
+/// polled up to seven times a second until its runs had expired: 400 departed workers cost more
+/// calls than the 120 at work, most of them sent by the owner's own node, since other nodes got no
+/// answer either. Departed and unlisted workers are up to three quarters of a pool then (439 of 570
+/// workers answered, later 168 of 638). The limit is two polls a second, after half a second in
+/// which a worker may only have missed one.
 #[test]
 fn a_worker_that_is_gone_is_asked_ever_less_often() {
     let mut bench = one_worker();
--- a/src/jobs/tests/refusals.rs
+++ b/src/jobs/tests/refusals.rs
@@ -1,5 +1,4 @@
-//! Tests of what an owner makes of an order that was refused: whether the run may still be there, or
-//! may yet begin.
+//! Tests of refused orders: whether the run may still be there, or may still begin.
 
 use super::{Bench, done, one_worker, present, report, step, stored, worker_id};
 use crate::{
@@ -10,8 +9,8 @@
     },
 };
 
-/// Longer than a refused task or worker is left alone, and than an order to stop is waited for, in
-/// milliseconds; short enough that nothing lapses.
+/// Longer than the pause after a refusal, and than the wait for an order to stop, in milliseconds;
+/// short enough that no lease expires.
 const WHILE_MS: u64 = 1_000;
 
 /// Two workers, and a task whose start at one of them is on its way.
@@ -38,11 +37,11 @@
     bench.tell(Event::Stopped { worker: worker_id(at), task, run, end });
 }
 
-/// What users would see: a task that must run once ran twice. A start got no answer and was still on its
-/// way. The order to stop it was refused for another reason than that the worker knew the run to be
-/// over, and was taken for carried out: the next look did not list the run, the task was started
-/// elsewhere, and then the first start arrived. By the contract only a run that was stopped or has
-/// ended is refused from then on. Evidence: this test.
+/// Guards against two runs of one task. A start got no answer and was still on its way. The order
+/// to stop it was refused, but not because the run was over, and the refusal was taken for a stop.
+/// The next poll did not list the run, the task was started elsewhere, and then the first start
+/// arrived. By the platform's contract only a run that was stopped or has ended is refused from
+/// then on.
 #[test]
 fn a_stop_that_was_refused_leaves_the_run_in_doubt() {
     for why in [Refusal::Invalid, Refusal::Late, Refusal::Room, Refusal::Ticket, Refusal::Unwell] {
@@ -62,7 +61,7 @@
     }
 }
 
-/// The worker knows the run, or a later one, to be over: it will not begin.
+/// The worker has seen the end of the run, or of a later one: it will not begin.
 #[test]
 fn a_stop_that_was_refused_as_old_frees_the_task_with_the_next_look() {
     let (mut bench, task, run, at, _) = starting();
@@ -77,9 +76,9 @@
     assert_eq!(bench.starts().len(), 1);
 }
 
-/// What users would see: a task that must run once ran twice. A worker that refuses a start as old has
-/// another run of the task, or one that has ended, and says which only when it is looked at. The
-/// task was started elsewhere before that. Evidence: this test.
+/// Guards against two runs of one task. A worker that refuses a start as old has another run of the
+/// task, or one that has ended, and reports which only when it is polled. The task was started
+/// elsewhere before that poll.
 #[test]
 fn a_start_that_was_refused_as_old_begins_elsewhere_only_after_a_look() {
     let (mut bench, task, run, at, _) = starting();
@@ -92,7 +91,7 @@
     assert_eq!(bench.starts(), vec![], "it is done");
 }
 
-/// As above: the run that is there ends before the task begins anew.
+/// As above: the run that is there ends before the task is started again.
 #[test]
 fn a_start_that_was_refused_for_another_run_waits_until_that_has_ended() {
     let (mut bench, task, run, at, _) = starting();
@@ -108,7 +107,7 @@
     assert_eq!(bench.starts().len(), 1);
 }
 
-/// By the contract the worker has done nothing for these, and never will.
+/// By the platform's contract the worker has done nothing for these orders, and never will.
 #[test]
 fn a_start_that_was_refused_for_good_begins_elsewhere() {
     for why in [Refusal::Late, Refusal::Room, Refusal::Ticket, Refusal::Unwell, Refusal::Invalid] {
@@ -120,7 +119,7 @@
     }
 }
 
-/// A look that is refused says nothing of the runs there.
+/// A refused poll gives no information about the runs there.
 #[test]
 fn a_look_that_was_refused_frees_nothing() {
     for why in [Refusal::Invalid, Refusal::Unwell, Refusal::Late, Refusal::Old] {
--- a/src/jobs/tests/waiting.rs
+++ b/src/jobs/tests/waiting.rs
@@ -1,11 +1,11 @@
-//! Tests of which jobs an owner counts as waiting, and as what it keeps them.
+//! Tests of which jobs an owner counts as waiting, and of the state that it persists for them.
 //!
-//! What users saw: a node said that no job of a queue waited where 36 had waited for five seconds.
-//! The order of events: an owner orders the first start of a job; the start is refused for want of
-//! room, never leaves its node, or dies with its worker; nothing of the job has begun, and it waits
-//! on. The cause: a job was taken for begun, and kept so for all nodes and later owners, when its
-//! first start was decided on, and nothing took that back. Evidence: each of the tests here whose
-//! only start did not begin counted 0 jobs and kept the job as running.
+//!
+//! They guard against a node that reports no waiting job in a queue where 36 had waited for five
+//! seconds. An owner orders the first start of a job; the start is refused for lack of resources,
+//! never leaves its node, or is lost with its worker. Nothing of the job has begun, and it still
+//! waits. Yet the job was counted as begun as soon as its first start was decided, was persisted so
+//! for all nodes and later owners, and that was never undone.
 
 use super::{Bench, done, id, one_worker, present, report, step, stored, worker_id};
 use crate::{
@@ -17,11 +17,10 @@
     },
 };
 
-/// Longer than a refused task or worker is left alone, in milliseconds; short enough that nothing
-/// lapses.
+/// Longer than the pause after a refusal, in milliseconds; short enough that no lease expires.
 const WHILE_MS: u64 = 1_000;
 
-/// How many jobs are counted as waiting, and as what the first was kept last.
+/// How many jobs are counted as waiting, and the last persisted state of the first.
 fn standing(bench: &mut Bench) -> (usize, JobState) {
     let saved = bench.save();
     let kept = saved.iter().rev().find(|(job, _)| *job == id(1));
@@ -130,7 +129,7 @@
     assert_eq!(standing(&mut bench), WAITS);
 }
 
-/// One task that has begun is enough, whatever becomes of the others, and of it.
+/// One task that has begun is enough, whatever happens to it or to the others later.
 #[test]
 fn a_job_of_which_one_task_began_waits_no_more() {
     let mut bench = one_worker();
@@ -173,7 +172,7 @@
     }
 }
 
-/// An answer that comes once the worker was taken for over tells of a run that did begin.
+/// An answer that arrives after the worker was removed as ended shows that the run did begin.
 #[test]
 fn a_job_whose_start_is_answered_late_has_begun() {
     let (mut bench, task, run) = ordered();
@@ -183,7 +182,7 @@
     assert_eq!(standing(&mut bench), BEGUN);
 }
 
-/// The owner before may have been lost before it kept that the job had begun.
+/// The previous owner may have ended before it persisted that the job had begun.
 #[test]
 fn a_job_whose_run_is_taken_over_has_begun() {
     let mut bench = Bench::new(1);
@@ -207,7 +206,7 @@
     assert_eq!(standing(&mut bench), BEGUN);
 }
 
-/// What an earlier owner has kept stays: nothing that it knew can be asked for again.
+/// What an earlier owner has persisted stays: it cannot be queried again.
 #[test]
 fn a_job_that_is_kept_as_begun_stays_so() {
     let mut bench = Bench::new(1);
@@ -219,7 +218,7 @@
     assert_eq!(bench.owner.queued().values().sum::<usize>(), 0);
 }
 
-/// That a job has begun is one change: it is written once, and again only when it has ended.
+/// That a job has begun is one change: it is written once, and again only when the job has ended.
 #[test]
 fn that_a_job_has_begun_is_written_once() {
     let mut bench = one_worker();
