--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -52,7 +52,7 @@
 const PREDECESSOR_MS: u64 = LEASE_MS + OVERTIME_MS;
 
 /// How long after a change of owners a worker that the new owner has not reached may still run
-/// something, in milliseconds: the last order of the previous owner, the task lease on the slowest
+/// something, in milliseconds: the last order of the previous owner, the worker lease on the slowest
 /// clock, and a worker that acts late on its expiry.
 const FENCE_MS: u64 = PREDECESSOR_MS + HOLD_MS * 100 / SLOWEST_PERCENT + CLOCK_DRIFT_MS + LATE_MS;
 
--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -4,7 +4,7 @@
 //! A run that dies with its worker lists no end. So the lost workers are counted here and persisted
 //! with the job, across changes of owner. A worker takes all its runs with it, and most of them are
 //! not the cause. So only a task whose run had just begun is a suspect. Its next run is an isolated
-//! retry: nothing else begins beside it until it has settled. If that worker is lost as well, the
+//! retry: nothing else begins beside it until it is stable. If that worker is lost as well, the
 //! task is the cause.
 
 use std::collections::BTreeSet;
@@ -47,7 +47,7 @@
         let mut lost: Vec<Lost> = runs.map(|task| self.lost_run(worker, *task)).collect();
         let new = lost.iter().filter(|lost| lost.lived < SETTLED_MS).count();
         lost.iter_mut().for_each(|lost| lost.on_trial &= new == 1);
-        // If some had only begun, those that had settled are not the cause. Where many tasks crash
+        // If some had only begun, those that were stable are not the cause. Where many tasks crash
         // their workers, each takes up to eighteen others with it, and a sound long-running task is
         // lost with four such workers within seconds.
         lost.iter_mut().for_each(|lost| lost.cleared = new != 0 && SETTLED_MS <= lost.lived);
@@ -194,10 +194,10 @@
         }
         self.counts.crashes += u64::from(certain);
         let how = if certain { "crashed" } else { "lost" };
-        let (crashed, doubted) = so_far;
+        let (crashed, unconfirmed) = so_far;
         log::info!(
             "job {}: task {task} run {run} at {id}: worker {how} under it after {lived} ms: \
-             {crashed} crashed, {doubted} unconfirmed",
+             {crashed} crashed, {unconfirmed} unconfirmed",
             task.of.job
         );
     }
@@ -281,7 +281,7 @@
 
     /// Persists that a suspect task is about to start at a worker, so that a later owner takes
     /// account of that worker's loss, and keeps other starts away. Returns whether the start must
-    /// wait until that is durable, or until what runs there has settled. The first start after a
+    /// wait until that is durable, or until all runs there are stable. The first start after a
     /// single loss does not wait for the write: most such losses are not caused by the task.
     pub(super) fn announce_isolated_retry(
         &mut self,
--- a/src/jobs/owner/ends.rs
+++ b/src/jobs/owner/ends.rs
@@ -73,11 +73,11 @@
         let Some(job) = self.jobs.get_mut(&task.of.job) else {
             return 0;
         };
-        let (step_lasts, gang) = {
+        let (long_running, gang) = {
             let step = job.step(task.of.step);
             (step.lasting, step.gang)
         };
-        if step_lasts || !matches!(how, HowEnded::Done) {
+        if long_running || !matches!(how, HowEnded::Done) {
             log::info!("job {}: task {task} run {run} at {id}: {}", job.id, how.word());
         }
         let before = job.version;
@@ -92,7 +92,7 @@
             }
         }
         match how {
-            HowEnded::Done if step_lasts => {}
+            HowEnded::Done if long_running => {}
             HowEnded::Done => self.task_done(id, task, gang, task_run.as_ref(), now, out),
             HowEnded::Failed => self.task_failed(id, task, run, now, out),
             HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
@@ -106,7 +106,7 @@
             return version;
         }
         // Another end with the same result may have been counted, and not be durable yet.
-        let counts = matches!(how, HowEnded::Done | HowEnded::Failed) && !step_lasts;
+        let counts = matches!(how, HowEnded::Done | HowEnded::Failed) && !long_running;
         if counts { version } else { 0 }
     }
 
@@ -160,13 +160,13 @@
             return;
         };
         let step = job.step(task.of.step);
-        let (lasting, gang, attempts) = (step.lasting, step.gang, job.record.attempts);
+        let (long_running, gang, attempts) = (step.lasting, step.gang, job.record.attempts);
         // A gang has one count of failures, at its first task.
         let counted = if gang { 0 } else { task.index };
         let Some(entry) = job.task_mut(task.of, counted) else {
             return;
         };
-        let is_new = !lasting && !entry.failed.contains(&run);
+        let is_new = !long_running && !entry.failed.contains(&run);
         entry.failed_at.insert(id.clone());
         let blamed = JOB_FAULT_WORKERS < entry.failed_at.len();
         if is_new {
@@ -176,7 +176,7 @@
         if is_new {
             job.change();
         }
-        let has_failed = !lasting && attempts <= failed && job.is_open();
+        let has_failed = !long_running && attempts <= failed && job.is_open();
         if has_failed {
             job.end(JobState::Failed, now);
             log::info!("job {}: failed: task {task} has failed {failed} times", job.id);
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -46,8 +46,8 @@
     }
 
     /// Records that an incarnation other than the called one has answered.
-    pub(super) fn note_answer_by(&mut self, called: &Incarnation, born: Born, now: Steady) {
-        let by = Incarnation::new(called.worker.clone(), Some(born));
+    pub(super) fn note_answer_by(&mut self, called: &Incarnation, started: Born, now: Steady) {
+        let by = Incarnation::new(called.worker.clone(), Some(started));
         if self.ended_workers.contains(&by) {
             log::warn!("worker {called}: answer ignored: it is from {by}, which has ended");
             return;
--- a/src/jobs/owner/looks.rs
+++ b/src/jobs/owner/looks.rs
@@ -132,7 +132,7 @@
             worker.looking = None;
         }
         let listed = match &end {
-            OrderEnd::Done(look) => look.ended.iter().map(|end| end.number).min(),
+            OrderEnd::Done(response) => response.ended.iter().map(|end| end.number).min(),
             _ => None,
         };
         worker.note_look_end(sent, matches!(end, OrderEnd::Done(_)), listed);
@@ -141,9 +141,9 @@
             return;
         }
         match end {
-            OrderEnd::Done(look) => match look.born.filter(|born| id.born != Some(*born)) {
+            OrderEnd::Done(response) => match response.born.filter(|born| id.born != Some(*born)) {
                 Some(other) => self.note_answer_by(id, other, now.steady),
-                None => self.note_poll_answer(id, sent, look, now, out),
+                None => self.note_poll_answer(id, sent, response, now, out),
             },
             OrderEnd::Refused { why: Refusal::Fenced, .. } if worker.bore_fence(sent) => {
                 self.deposed = true;
@@ -181,14 +181,14 @@
         &mut self,
         id: &Incarnation,
         sent: Steady,
-        look: Look,
+        response: Look,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.read_clock(look.clock_ms, now.steady);
+        worker.read_clock(response.clock_ms, now.steady);
         let was_lost = !worker.touched || !worker.lost.is_empty();
         if !worker.touched {
             worker.touched = true;
@@ -200,18 +200,19 @@
         worker.misses = 0;
         worker.heard = true;
         worker.answered = Some(now.steady);
-        let complete = look.is_whole();
+        let complete = response.is_whole();
         worker.told_all |= complete;
         worker.note_fenced(sent, complete);
         self.clear_crashes_at(id, was_lost);
         self.supersede(id, now.steady);
-        let mut ended = look.ended;
+        let mut ended = response.ended;
         ended.sort_by_key(|end| end.number);
         for end in ended {
             self.note_end(id, end, now, out);
         }
-        let listed: BTreeSet<TaskId> = look.present.iter().map(|present| present.task).collect();
-        for present in look.present {
+        let listed: BTreeSet<TaskId> =
+            response.present.iter().map(|present| present.task).collect();
+        for present in response.present {
             self.note_present_run(id, present, sent, now.steady, out);
         }
         self.check_unlisted_runs(id, &listed, complete, sent, now.steady, out);
@@ -424,8 +425,8 @@
     }
 
     /// Removes runs at workers that have been silent until all their leases expired, and workers
-    /// that have ended. Only what had expired when the store last confirmed the ownership counts: a
-    /// later owner may renew the lease of a worker that is silent here.
+    /// that have presumably ended. Only what had expired when the store last confirmed the ownership
+    /// counts: a later owner may renew the lease of a worker that is silent here.
     pub(super) fn remove_expired_runs(&mut self, now: Steady) {
         let confirmed = self.confirmed.min(now);
         let expired = |worker: &&Worker| worker.misses != 0 && worker.has_lapsed(confirmed);
@@ -449,7 +450,7 @@
             let worker = &self.workers[&id];
             let untouched = !worker.touched && confirmed < self.fenced_until;
             if !worker.is_listed() && !untouched {
-                log::info!("worker {id}: ended: not listed, and silent");
+                log::info!("worker {id}: removed: not listed, and silent");
                 self.remove_silent_worker(&id, now);
             }
         }
--- a/src/jobs/owner/pace.rs
+++ b/src/jobs/owner/pace.rs
@@ -24,9 +24,9 @@
 struct BackgroundRun {
     task: TaskId,
     run: u32,
-    /// Its speed, in percent of full speed.
-    speed: u32,
-    /// When its speed was last changed.
+    /// Its allowed speed, in percent of full speed.
+    throttle_percent: u32,
+    /// When the throttle was last changed.
     since: Steady,
 }
 
@@ -75,8 +75,13 @@
                 continue;
             }
             if step.fills {
-                let (run, speed, since) = (task_run.run, task_run.pace, task_run.since);
-                sharing.background.push(BackgroundRun { task: *task, run, speed, since });
+                let (run, throttle_percent, since) = (task_run.run, task_run.pace, task_run.since);
+                sharing.background.push(BackgroundRun {
+                    task: *task,
+                    run,
+                    throttle_percent,
+                    since,
+                });
             } else {
                 sharing.serving.push(task_run.gauge * 100 / step.target_ms);
             }
@@ -84,23 +89,25 @@
         sharing
     }
 
-    /// Sets the speed of background tasks at a worker by the worst tail latency there.
+    /// Throttles the background tasks at a worker by the worst tail latency there.
     pub(super) fn adjust_throttle(&mut self, id: &Incarnation, now: Steady, out: &mut Vec<Effect>) {
         if !self.has_background {
             return;
         }
         let sharing = self.cpu_sharing(id);
         let worst = sharing.serving.iter().max().copied();
-        for BackgroundRun { task, run, speed, since } in sharing.background {
+        for BackgroundRun { task, run, throttle_percent, since } in sharing.background {
             let wanted = match worst {
                 None => 100,
-                Some(worst) if HIGH_LATENCY_PERCENT < worst => speed / 2,
-                Some(worst) if worst < LOW_LATENCY_PERCENT => (speed + SPEED_UP_PERCENT).min(100),
-                Some(_) => speed,
+                Some(worst) if HIGH_LATENCY_PERCENT < worst => throttle_percent / 2,
+                Some(worst) if worst < LOW_LATENCY_PERCENT => {
+                    (throttle_percent + SPEED_UP_PERCENT).min(100)
+                }
+                Some(_) => throttle_percent,
             };
             let wanted = if wanted < 5 { 0 } else { wanted };
-            let settled = THROTTLE_SETTLE_MS <= now.since(since) || wanted < speed;
-            if wanted == speed || !settled {
+            let settled = THROTTLE_SETTLE_MS <= now.since(since) || wanted < throttle_percent;
+            if wanted == throttle_percent || !settled {
                 continue;
             }
             let Some(worker) = self.workers.get(id) else {
@@ -115,7 +122,7 @@
         }
     }
 
-    /// Processes the answer to an order that changes the speed of a run.
+    /// Processes the answer to an order that throttles a run.
     pub(super) fn note_throttle_result(
         &mut self,
         id: &Incarnation,
@@ -127,7 +134,10 @@
             return;
         }
         // It may or may not have taken effect: the next poll decides anew.
-        log::info!("job {}: task {task} at {id}: speed of {percent} % not confirmed", task.of.job);
+        log::info!(
+            "job {}: task {task} at {id}: throttle to {percent} % not confirmed",
+            task.of.job
+        );
         if let Some(task_run) = self.run_mut(task, id).filter(|task_run| task_run.pace == percent) {
             task_run.pace = if percent == 100 { 99 } else { 100 };
         }
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -35,7 +35,7 @@
 const LATE_STOP_MS: u64 = 1_200;
 
 /// Delay after an isolated retry starts until its worker is polled, in milliseconds: an answer then
-/// shows that the run has settled.
+/// shows that the run is stable.
 pub(super) const ISOLATED_RETRY_POLL_MS: u64 = SETTLED_MS + 40;
 
 /// The percent at which a long-running task is ready.
@@ -345,7 +345,7 @@
         let Some(until_ms) = worker.give(now.steady) else {
             return;
         };
-        let (charge, lasting) = (job.step(of.step).charge(), job.step(of.step).lasting);
+        let (charge, long_running) = (job.step(of.step).charge(), job.step(of.step).lasting);
         let payload = job.record.payload.clone();
         let ticket = job.steps.get(&(of.time, of.step)).and_then(|step| step.tickets.get(id));
         let ticket = ticket.map(|(ticket, _)| ticket.clone()).unwrap_or_default();
@@ -381,7 +381,7 @@
                     of.job
                 );
             }
-            None if lasting => {
+            None if long_running => {
                 log::info!("job {}: task {task} run {run} at {id}: started", of.job);
             }
             None => {}
--- a/src/jobs/owner/roster.rs
+++ b/src/jobs/owner/roster.rs
@@ -180,7 +180,7 @@
             return;
         }
         self.unblocking_logged = true;
-        let asked = self.workers.values().filter(|worker| worker.touched).count();
+        let polled = self.workers.values().filter(|worker| worker.touched).count();
         let (workers, token) = (self.workers.len(), self.token);
         let rest = if self.fenced_until <= now {
             "all other runs have expired"
@@ -188,7 +188,7 @@
             "no other worker may run any"
         };
         log::info!(
-            "jobs: token {token} starts tasks of earlier jobs: {asked} of {workers} workers polled, {rest}"
+            "jobs: token {token} starts tasks of earlier jobs: {polled} of {workers} workers polled, {rest}"
         );
     }
 
--- a/src/jobs/owner/shown.rs
+++ b/src/jobs/owner/shown.rs
@@ -103,7 +103,7 @@
             let share = worker.used.cpu.0 * 100 / worker.report.room.cpu.0.max(1);
             if worker.copies.is_empty() {
                 usage.idle.insert(host);
-            } else if !worker.copies.keys().any(|task| self.is_lasting(task)) {
+            } else if !worker.copies.keys().any(|task| self.is_long_running(task)) {
                 let list = if share <= LIGHT_LOAD_PERCENT { &mut light } else { &mut busy };
                 list.push((share, host));
             }
@@ -125,7 +125,7 @@
         queued
     }
 
-    fn is_lasting(&self, task: &TaskId) -> bool {
+    fn is_long_running(&self, task: &TaskId) -> bool {
         self.jobs.get(&task.of.job).is_some_and(|job| job.step(task.of.step).lasting)
     }
 }
--- a/src/jobs/tests/cut.rs
+++ b/src/jobs/tests/cut.rs
@@ -23,7 +23,7 @@
 const MAX_LISTED: u64 = 500;
 
 /// Longer than any run of an earlier owner can go on unseen, in milliseconds.
-const LONG_MS: u64 = 20_000;
+const AFTER_FENCE_MS: u64 = 20_000;
 
 /// Tasks that fit on one worker.
 const CAPACITY: u32 = 4;
@@ -96,7 +96,7 @@
     let mut harness = later_owner();
     harness.work();
     assert_eq!(harness.starts(), vec![]);
-    harness.now += LONG_MS;
+    harness.now += AFTER_FENCE_MS;
     harness.look("w1", vec![], ends(id(2), MAX_LISTED, 1));
     harness.work();
     assert_eq!(harness.starts(), vec![], "an end does not expire");
--- a/src/jobs/tests/incarnations.rs
+++ b/src/jobs/tests/incarnations.rs
@@ -60,9 +60,9 @@
 /// A poll that was sent to one incarnation is answered by another, or the same.
 fn answer(harness: &mut Bench, to: &str, by: &str, present: Vec<Present>, ended: Vec<Ended>) {
     let born = worker_id(by).born;
-    let look = Look { born, clock_ms: 10 + harness.now % 1_000, present, ended };
+    let response = Look { born, clock_ms: 10 + harness.now % 1_000, present, ended };
     let (worker, sent) = (worker_id(to), Steady::from_millis(harness.now));
-    harness.tell(Event::Looked { worker, sent, end: OrderEnd::Done(look) });
+    harness.tell(Event::Looked { worker, sent, end: OrderEnd::Done(response) });
 }
 
 /// The worker has started again, as its entry and its answers show, and may get work.
--- a/src/jobs/tests/refusals.rs
+++ b/src/jobs/tests/refusals.rs
@@ -11,7 +11,7 @@
 
 /// Longer than the pause after a refusal, and than the wait for an order to stop, in milliseconds;
 /// short enough that no lease expires.
-const WHILE_MS: u64 = 1_000;
+const AFTER_PAUSE_MS: u64 = 1_000;
 
 /// Two workers, and a task whose start at one of them is on its way.
 fn start_pending() -> (Bench, TaskId, u32, &'static str, &'static str) {
@@ -52,7 +52,7 @@
         harness.look(at, vec![], vec![]);
         assert_eq!(harness.stops(), vec![task], "{why:?}");
         refuse_stop(&mut harness, at, task, run, why);
-        harness.now += WHILE_MS;
+        harness.now += AFTER_PAUSE_MS;
         harness.look(at, vec![], vec![]);
         harness.look(other, vec![], vec![]);
         assert_eq!(harness.stops(), vec![task], "{why:?}: it is stopped again");
@@ -83,7 +83,7 @@
 fn a_start_refused_as_old_begins_elsewhere_only_after_a_poll() {
     let (mut harness, task, run, at, _) = start_pending();
     refuse_start(&mut harness, at, task, run, Refusal::Old);
-    harness.now += WHILE_MS;
+    harness.now += AFTER_PAUSE_MS;
     harness.work();
     assert_eq!(harness.starts(), vec![], "it may run there, or may be done");
     harness.look(at, vec![], vec![done(1, task, run)]);
@@ -96,12 +96,12 @@
 fn a_start_refused_for_another_run_waits_until_that_has_ended() {
     let (mut harness, task, run, at, _) = start_pending();
     refuse_start(&mut harness, at, task, run, Refusal::Old);
-    harness.now += WHILE_MS;
+    harness.now += AFTER_PAUSE_MS;
     harness.look(at, vec![present(task, run + 1, 10)], vec![]);
     assert_eq!(harness.stops(), vec![task], "the other run is stopped");
     harness.work();
     assert_eq!(harness.starts(), vec![]);
-    harness.now += WHILE_MS;
+    harness.now += AFTER_PAUSE_MS;
     harness.look(at, vec![], vec![]);
     harness.work();
     assert_eq!(harness.starts().len(), 1);
@@ -113,7 +113,7 @@
     for why in [Refusal::Late, Refusal::Room, Refusal::Ticket, Refusal::Unwell, Refusal::Invalid] {
         let (mut harness, task, run, at, _) = start_pending();
         refuse_start(&mut harness, at, task, run, why);
-        harness.now += WHILE_MS;
+        harness.now += AFTER_PAUSE_MS;
         harness.work();
         assert_eq!(harness.starts().len(), 1, "{why:?}");
     }
@@ -125,7 +125,7 @@
     for why in [Refusal::Invalid, Refusal::Unwell, Refusal::Late, Refusal::Old] {
         let (mut harness, task, run, at, _) = start_pending();
         harness.started(task, run, &worker_id(at));
-        harness.now += WHILE_MS;
+        harness.now += AFTER_PAUSE_MS;
         let sent = harness.at().steady;
         let end = OrderEnd::Refused { why, clock_ms: None };
         harness.tell(Event::Looked { worker: worker_id(at), sent, end });
--- a/src/jobs/tests/waiting.rs
+++ b/src/jobs/tests/waiting.rs
@@ -18,7 +18,7 @@
 };
 
 /// Longer than the pause after a refusal, in milliseconds; short enough that no lease expires.
-const WHILE_MS: u64 = 1_000;
+const AFTER_PAUSE_MS: u64 = 1_000;
 
 /// How many jobs are counted as waiting, and the last persisted state of the first.
 fn waiting_and_state(harness: &mut Bench) -> (usize, JobState) {
@@ -98,7 +98,7 @@
     answer(&mut harness, task, run, OrderEnd::Unknown);
     harness.miss("w1");
     for _ in 0..6 {
-        harness.now += WHILE_MS;
+        harness.now += AFTER_PAUSE_MS;
         harness.work();
         harness.miss("w1");
     }
