--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -1,6 +1,5 @@
 //! Tasks that crash the workers that start them.
 //!
-//!
 //! A run that dies with its worker lists no end. So the lost workers are counted here and persisted
 //! with the job, across changes of owner. A worker takes all its runs with it, and most of them are
 //! not the cause. So only a task whose run had just begun is a suspect. Its next run is an isolated
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -1,7 +1,6 @@
 //! Workers that start again under their name: which incarnation is alive, and what may still happen
 //! to orders to the previous one.
 //!
-//!
 //! An order names the worker only. One that was sent to an incarnation may be carried out by the
 //! next one, seconds later. The next one has seen no fencing token, has no record of stopped runs,
 //! and its clock has restarted. So it gets a token of its own before it gets work: the revision of
--- a/src/jobs/owner/looks.rs
+++ b/src/jobs/owner/looks.rs
@@ -42,7 +42,6 @@
 
 /// The highest end that a poll may acknowledge; none if the poll has to wait until it may.
 ///
-///
 /// The next incarnation numbers its ends anew, and would discard those up to this number without
 /// listing them. So ends are acknowledged neither after a silence nor beside starts that the next
 /// incarnation may carry out.
--- a/src/jobs/owner/roster.rs
+++ b/src/jobs/owner/roster.rs
@@ -62,8 +62,8 @@
         out: &mut Vec<Effect>,
     ) {
         self.roster = Roster::inherited(&workers, away);
-        let left = away.handover.as_ref().and_then(|left| left.for_owner(self.earlier));
-        self.handed_over = left.cloned();
+        let record = away.handover.as_ref().and_then(|record| record.for_owner(self.earlier));
+        self.handed_over = record.cloned();
         for report in workers {
             let id = report.id.clone();
             // One that holds nothing matters only once it is listed: otherwise each host that has
@@ -71,11 +71,11 @@
             let holds = self.roster.holding(&id).is_some_and(|holding| !holding.is_nothing());
             if holds {
                 // The owner that gave it work had an answer from that address.
-                let heard = !report.address.is_empty();
+                let has_answered = !report.address.is_empty();
                 self.handle(Event::Worker(report), now, out);
                 self.handle(Event::Unlisted(id.worker.clone()), now, out);
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.heard = heard;
+                    worker.heard = has_answered;
                 }
             }
         }
--- a/src/jobs/tests/cut.rs
+++ b/src/jobs/tests/cut.rs
@@ -1,6 +1,5 @@
 //! Tests of lists of ends that are cut short.
 //!
-//!
 //! They guard against two runs of one task. A worker lists 500 ends at once and repeats them until
 //! they are acknowledged, which requires that they are durable. While the store accepts no
 //! progress, more than 500 can accumulate. A run whose end was not among the first 500 was listed
--- a/src/jobs/tests/waiting.rs
+++ b/src/jobs/tests/waiting.rs
@@ -1,6 +1,5 @@
 //! Tests of which jobs an owner counts as waiting, and of the state that it persists for them.
 //!
-//!
 //! They guard against a node that reports no waiting job in a queue where 36 had waited for five
 //! seconds. An owner orders the first start of a job; the start is refused for lack of resources,
 //! never leaves its node, or is lost with its worker. Nothing of the job has begun, and it still
