--- a/src/jobs/tests/handover.rs
+++ b/src/jobs/tests/handover.rs
@@ -76,7 +76,7 @@
     harness.work();
     let first = harness.starts();
     assert_eq!(first.len(), 4, "one of {WORKERS} workers was polled, and has four cores");
-    for number in 1..LIVING {
+    for number in 1..RESPONDING {
         let name = format!("w{number}");
         harness.look(&name, vec![], ends(&runs[&worker_id(&name)]));
     }
