--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -34,235 +34,241 @@
 };
 
 #[cfg(test)]
-pub(crate) use roster::DOUBTED;
+pub(crate) use roster::UNCONFIRMED_ADDED;
 pub(crate) use shown::{Emptied, HostUsage};
 
-/// How long a node that is not heard of keeps what it owns, in milliseconds. Three renewals fit.
+/// Duration of a node's lease, in milliseconds: a node that does not renew it keeps what it owns
+/// for this long. Three renewals fit.
 pub(crate) const LEASE_MS: u64 = 2_000;
 
-/// How long an owner that does not reach the store goes on after its lease may be over, in
-/// milliseconds. Most often the store is away for all, and nobody else can own the pool; if there
-/// is another owner, workers that have seen its token obey this one no more.
+/// How long an owner that cannot reach the store keeps giving orders after its lease may have
+/// expired, in milliseconds. Most often the store is unreachable for every node, so that no other
+/// node can own the pool. If there is another owner, workers that have seen its token refuse this
+/// one's orders.
 pub(crate) const OVERTIME_MS: u64 = 3_000;
 
-/// How long an earlier owner may go on giving orders after its ownership has passed on, in
-/// milliseconds: it may not be told.
+/// How long a previous owner may keep giving orders after it has lost the ownership, in
+/// milliseconds: it may not know of the loss.
 const PREDECESSOR_MS: u64 = LEASE_MS + OVERTIME_MS;
 
-/// How long after a change of owners a worker that was not reached may still run something, in
-/// milliseconds: the last order of the earlier owner, held on the slowest clock, by a worker that acts
-/// late on its end.
-const QUIET_MS: u64 = PREDECESSOR_MS + HOLD_MS * 100 / SLOWEST_PERCENT + DRIFT_MS + LATE_MS;
+/// How long after a change of owners a worker that the new owner has not reached may still run
+/// something, in milliseconds: the last order of the previous owner, the worker lease on the slowest
+/// clock, and a worker that acts late on its expiry.
+const FENCE_MS: u64 = PREDECESSOR_MS + HOLD_MS * 100 / SLOWEST_PERCENT + CLOCK_DRIFT_MS + LATE_MS;
 
-/// How far ahead of a worker's clock the owner before may have taken it to be, in milliseconds: 2 %
-/// of the 1.25 s for which a worker without an answer still gets work, twice over.
-const DRIFT_MS: u64 = 50;
+/// How far the previous owner may have overestimated a worker's clock, in milliseconds: 2 % of the
+/// 1.25 s for which a worker without an answer still gets work, doubled.
+const CLOCK_DRIFT_MS: u64 = 50;
 
 /// The owner of one pool's jobs.
 pub(crate) struct Owner {
     /// The revision of the ownership.
     pub(crate) token: u64,
-    /// How many owners came before this one.
+    /// The number of earlier owners.
     earlier: u32,
-    /// Runs of jobs from before this owner are numbered above this.
+    /// Runs of jobs that are older than this owner are numbered above this.
     first_run: u32,
     /// Until then, a worker that has not seen the token may run tasks of earlier jobs.
-    quiet_until: Steady,
-    /// Up to when the store has confirmed that there is no later owner. What time alone suggests
-    /// counts up to then only: a later owner may have reached a worker that is silent here, and have
-    /// let its runs go on.
+    fenced_until: Steady,
+    /// The time up to which the store has confirmed that there is no later owner. Leases count as
+    /// expired only up to this time: a later owner may have reached a worker that is silent here,
+    /// and have renewed the lease of its runs.
     confirmed: Steady,
     jobs: BTreeMap<JobId, Job>,
-    /// Jobs that have ended, under this owner or before. What the store tells of them may be older
-    /// than that.
+    /// Jobs that have ended, under this owner or before. The store's view of them may be older than
+    /// their end.
     ended: HashSet<JobId>,
-    /// Jobs that are not known, with an end that waits to be counted, since when: their records may not
-    /// be readable now, and an end that is acknowledged is not told again.
+    /// Unknown jobs with an uncounted end, and since when. Their records may be unreadable for now,
+    /// and a worker does not list an end again once it is acknowledged.
     unknown: BTreeMap<JobId, Steady>,
     workers: BTreeMap<Incarnation, Worker>,
-    /// What a later owner would find of the workers.
+    /// What a later owner would find in the store about the workers.
     roster: Roster,
-    /// What may run at workers that were not asked, if the owner before has left word of it.
-    handed: Option<BTreeSet<TaskId>>,
-    /// When a run of a job that is not known was last seen.
-    strange: Option<Steady>,
-    /// Workers that are certain to be over. Their reports may be listed a while longer.
-    over: HashSet<Incarnation>,
-    /// Workers whose earlier incarnation had orders of this owner and is reckoned with no more, with
-    /// the highest token of these where it was not the owner's.
-    former: HashMap<WorkerId, u64>,
-    /// Hosts that are being emptied, by the revision of the mark that says so.
-    emptying: BTreeMap<HostId, Revision>,
-    /// Workers whose room is kept, in the present plan, for tasks that last and wait.
+    /// What may run at workers that have not been polled yet, if the previous owner persisted it.
+    handed_over: Option<BTreeSet<TaskId>>,
+    /// When a run of an unknown job was last seen.
+    unknown_seen: Option<Steady>,
+    /// Workers that have certainly ended. The store may list their reports a while longer.
+    ended_workers: HashSet<Incarnation>,
+    /// Workers whose earlier incarnation had orders of this owner and is no longer tracked, with
+    /// the highest token of these orders where it was not the owner's.
+    former_fences: HashMap<WorkerId, u64>,
+    /// Hosts to be drained, by the revision of their drain mark.
+    draining: BTreeMap<HostId, Revision>,
+    /// Workers whose capacity the current plan reserves for long-running tasks that wait.
     reserved: BTreeSet<Incarnation>,
-    /// What no worker has room for, in the present plan: nothing larger is tried.
-    full: Vec<Room>,
-    /// Whether some job had tasks that fill: most pools never do, and need no pace.
-    has_filling: bool,
+    /// Resources that no worker has free, in the current plan: nothing that needs as much is tried.
+    unplaceable: Vec<Room>,
+    /// Whether some job had background tasks: most pools never do, and need no throttling.
+    has_background: bool,
     durations: Durations,
-    losses: Losses,
-    saves: SaveQueue,
+    message_loss: Losses,
+    save_queue: SaveQueue,
     /// Jobs whose end is durable: of their records in the store only the end is of use.
     finished: BTreeSet<JobId>,
     deposed: bool,
     counts: Counts,
-    /// Whether it was told that tasks of earlier jobs may start.
-    told_clear: bool,
-    /// Workers that are silent and not listed, by host, with what was lost there. Each may live until
-    /// another one is heard on its host.
+    /// Whether it was logged that tasks of earlier jobs may start.
+    unblocking_logged: bool,
+    /// Workers that are silent and not listed, by host, with the runs lost there. Each may be alive
+    /// until another worker answers on its host.
     vanished: BTreeMap<HostId, (Incarnation, Vec<Lost>)>,
     /// Tasks that have crashed too many workers, to be given up.
     crashing: Vec<TaskId>,
-    /// Tasks with whose runs workers were lost.
-    marked: BTreeSet<TaskId>,
+    /// Tasks whose runs were lost together with their workers.
+    crash_suspects: BTreeSet<TaskId>,
 }
 
 impl Owner {
-    /// An owner that has just won its pool; `earlier` counts the owners before it.
+    /// An owner that has just acquired its pool; `earlier` counts the owners before it.
     pub(crate) fn new(token: u64, earlier: u32, now: Steady) -> Owner {
         Owner {
             token,
             earlier,
             first_run: earlier * RUNS_PER_OWNER,
-            quiet_until: now.after(if earlier == 0 { 0 } else { QUIET_MS }),
-            // The pool was won by a write, somewhat earlier than now: nothing has lapsed since then.
+            fenced_until: now.after(if earlier == 0 { 0 } else { FENCE_MS }),
+            // The pool was acquired by a write, somewhat earlier than now: nothing has expired
+            // since then.
             confirmed: now,
             jobs: BTreeMap::new(),
             ended: HashSet::new(),
             unknown: BTreeMap::new(),
             workers: BTreeMap::new(),
             roster: Roster::default(),
-            handed: None,
-            strange: None,
-            over: HashSet::new(),
-            former: HashMap::new(),
-            emptying: BTreeMap::new(),
+            handed_over: None,
+            unknown_seen: None,
+            ended_workers: HashSet::new(),
+            former_fences: HashMap::new(),
+            draining: BTreeMap::new(),
             reserved: BTreeSet::new(),
-            full: Vec::new(),
-            has_filling: false,
+            unplaceable: Vec::new(),
+            has_background: false,
             durations: Durations::default(),
-            losses: Losses::default(),
-            saves: SaveQueue::default(),
+            message_loss: Losses::default(),
+            save_queue: SaveQueue::default(),
             finished: BTreeSet::new(),
             deposed: false,
             counts: Counts::default(),
-            told_clear: earlier == 0,
+            unblocking_logged: earlier == 0,
             vanished: BTreeMap::new(),
             crashing: Vec::new(),
-            marked: BTreeSet::new(),
+            crash_suspects: BTreeSet::new(),
         }
     }
 
-    /// Whether a worker has said that there is a later owner.
+    /// Whether a worker has reported a later owner.
     pub(crate) fn is_deposed(&self) -> bool {
         self.deposed
     }
 
-    /// What was counted since this was last asked.
+    /// Returns the counts since the last call.
     pub(crate) fn take_counts(&mut self) -> Counts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Says up to when the store has confirmed that there is no later owner.
+    /// Sets the time up to which the store has confirmed that there is no later owner.
     pub(crate) fn set_confirmed(&mut self, confirmed: Steady) {
         self.confirmed = self.confirmed.max(confirmed);
     }
 
-    /// Whether something waits for the store to confirm that there is no later owner: runs at silent
-    /// workers that have lapsed, or the end of the time in which an earlier owner's may run unseen.
-    /// Whatever else may wait is confirmed within 1 s, by the writes of how many jobs wait.
+    /// Whether something waits for the store to confirm that there is no later owner: runs at
+    /// silent workers that have expired, or the end of the time in which an earlier owner's runs
+    /// may be unseen. Anything else is confirmed within 1 s, by the writes of the number of waiting
+    /// jobs.
     pub(crate) fn awaits_confirmation(&self, now: Steady) -> bool {
-        let lapsed = |worker: &Worker| {
-            let open = worker.misses != 0 && !worker.has_lapsed(self.confirmed);
-            open && worker.has_lapsed(now) && !worker.copies.is_empty()
+        let has_expired = |worker: &Worker| {
+            let is_pending = worker.misses != 0 && !worker.has_lapsed(self.confirmed);
+            is_pending && worker.has_lapsed(now) && !worker.copies.is_empty()
         };
-        let quiet = self.confirmed < self.quiet_until && self.quiet_until <= now;
-        quiet && !self.told_clear || self.workers.values().any(lapsed)
+        let fence_pending = self.confirmed < self.fenced_until && self.fenced_until <= now;
+        fence_pending && !self.unblocking_logged || self.workers.values().any(has_expired)
     }
 
-    /// Takes note of an event.
+    /// Processes an event.
     pub(crate) fn handle(&mut self, event: Event, now: Now, out: &mut Vec<Effect>) {
         match event {
-            Event::Job(stored) => self.add(stored),
+            Event::Job(stored) => self.add_job(stored),
             Event::Removed(id) => {
                 self.ended.remove(&id);
                 self.forget_ends(id);
             }
             Event::Over(id) => self.forget_ends(id),
-            Event::Cancelled(id) => self.cancel(id, now.steady, out),
-            Event::Worker(report) => self.list(report, now.steady),
+            Event::Cancelled(id) => self.cancel_job(id, now.steady, out),
+            Event::Worker(report) => self.note_listed(report, now.steady),
             Event::Elsewhere(report) => {
                 // No incarnation changes its pool.
                 if let Some(worker) = self.workers.get_mut(&report.id) {
                     worker.bar(now.steady);
                 }
                 self.unlist_others(&report.id, now.steady);
-                self.check_place(&report, now.steady);
+                self.poll_conflicting(&report, now.steady);
             }
             Event::Barred(id) => self.incarnations(&id).for_each(|one| one.bar(now.steady)),
             Event::Unlisted(id) => self.incarnations(&id).for_each(|one| one.unlist(now.steady)),
             Event::Started { worker, task, run, end } => {
-                self.started(&worker, task, run, end, now.steady);
+                self.note_start_result(&worker, task, run, end, now.steady);
             }
             Event::Stopped { worker, task, run, end } => {
-                self.stopped(&worker, task, run, end, now.steady);
+                self.note_stop_result(&worker, task, run, end, now.steady);
+            }
+            Event::Looked { worker, sent, end } => {
+                self.note_poll_result(&worker, sent, end, now, out)
             }
-            Event::Looked { worker, sent, end } => self.looked(&worker, sent, end, now, out),
             Event::Paced { worker, task, percent, end } => {
-                self.paced(&worker, task, percent, &end);
+                self.note_throttle_result(&worker, task, percent, &end);
             }
             Event::Advised { step, asked, sent, end } => {
-                self.advised(step, asked, sent, end, now.steady);
+                self.note_tickets(step, asked, sent, end, now.steady);
             }
         }
     }
 
-    /// Does what time and earlier events ask for: looks, stops and starts.
+    /// Does what time and earlier events require: polls, stops and starts.
     pub(crate) fn work(&mut self, now: Now, out: &mut Vec<Effect>) {
-        self.drop_lapsed(now.steady);
+        self.remove_expired_runs(now.steady);
         self.give_up_crashing(now, out);
-        self.look(now.steady, out);
-        self.empty(now.steady, out);
+        self.send_polls(now.steady, out);
+        self.drain(now.steady, out);
         self.plan(now, out);
     }
 
-    /// Says which hosts are to be emptied.
+    /// Sets the hosts to be drained.
     pub(crate) fn set_emptying(&mut self, hosts: BTreeMap<HostId, Revision>) {
-        self.emptying = hosts;
+        self.draining = hosts;
     }
 
-    /// Says that a host is to be emptied, by the revision of its mark, or no longer.
+    /// Sets the drain mark of a host, by its revision, or removes it.
     pub(crate) fn set_mark(&mut self, host: &HostId, mark: Option<Revision>) {
         match mark {
-            Some(mark) => self.emptying.insert(host.clone(), mark),
-            None => self.emptying.remove(host),
+            Some(mark) => self.draining.insert(host.clone(), mark),
+            None => self.draining.remove(host),
         };
     }
 
-    /// How many jobs' progress waits to be written.
+    /// The number of jobs whose progress waits to be written.
     pub(crate) fn unsaved(&self) -> usize {
-        self.saves.len()
+        self.save_queue.len()
     }
 
-    /// Progress to be written, of at most so many jobs. Whoever takes it tells what became of it:
-    /// until then, none of the same jobs is given out again.
-    pub(crate) fn saves(&mut self, most: usize) -> Vec<Save> {
-        let jobs = self.saves.take(most);
+    /// Takes the progress to be written, of at most `limit` jobs. The caller reports the result of
+    /// the writes: until then, none of these jobs is returned again.
+    pub(crate) fn saves(&mut self, limit: usize) -> Vec<Save> {
+        let jobs = self.save_queue.take(limit);
         jobs.into_iter().filter_map(|id| self.save_of(id)).collect()
     }
 
     fn save_of(&mut self, id: JobId) -> Option<Save> {
         let Some(job) = self.jobs.get(&id).filter(|job| job.is_dirty()) else {
-            self.saves.settle(id);
+            self.save_queue.settle(id);
             return None;
         };
         let value = serde_json::to_vec(&job.progress())
-            .inspect_err(|error| log::error!("job {id}: progress not written as JSON: {error}"))
+            .inspect_err(|error| log::error!("job {id}: progress cannot be serialized: {error}"))
             .ok()?;
         Some(Save { job: id, value: value.into(), expects: job.saved_at, version: job.version })
     }
 
-    /// Takes note that progress is durable at a revision; the jobs whose ends it holds.
+    /// Records that progress is durable at a revision; returns the ends of jobs that it contains.
     pub(crate) fn saved(&mut self, saves: &[Save], revision: Revision) -> Vec<JobEnd> {
         let mut ends = Vec::new();
         for save in saves {
@@ -274,7 +280,7 @@
                 }
             }
         }
-        self.settle(saves);
+        self.requeue_unsaved(saves);
         for worker in self.workers.values_mut() {
             acknowledge(worker, &self.jobs);
         }
@@ -282,23 +288,23 @@
         ends
     }
 
-    /// Takes note that progress was not written, or not for certain.
+    /// Records that progress was not written, or not for certain.
     pub(crate) fn not_saved(&mut self, saves: &[Save]) {
-        self.settle(saves);
+        self.requeue_unsaved(saves);
     }
 
-    /// Has those written again that are not durable as they are now.
-    fn settle(&mut self, saves: &[Save]) {
+    /// Queues those again whose durable state is out of date.
+    fn requeue_unsaved(&mut self, saves: &[Save]) {
         for save in saves {
-            self.saves.settle(save.job);
+            self.save_queue.settle(save.job);
             if let Some(job) = self.jobs.get(&save.job).filter(|job| job.is_dirty()) {
-                self.saves.add(save.job, job.state.is_final());
+                self.save_queue.add(save.job, job.state.is_final());
             }
         }
     }
 
-    /// Takes note that a job's progress stands at another revision than was expected, because an
-    /// earlier write whose answer was lost was done after all.
+    /// Sets the revision of a job's stored progress, which differs from the expected one because an
+    /// earlier write without an answer did take effect.
     pub(crate) fn rebase(&mut self, job: JobId, revision: Revision) {
         if let Some(job) = self.jobs.get_mut(&job) {
             job.saved_at = revision;
@@ -309,9 +315,9 @@
         let (ended, finished) = (&mut self.ended, &mut self.finished);
         self.jobs.retain(|id, job| {
             let durable = job.state.is_final() && !job.is_dirty();
-            let over = durable || job.cancelled;
+            let is_over = durable || job.cancelled;
             let mut tasks = job.steps.values().flat_map(|step| &step.tasks);
-            let kept = !over || tasks.any(|task| !task.copies.is_empty());
+            let kept = !is_over || tasks.any(|task| !task.copies.is_empty());
             if !kept {
                 ended.insert(*id);
                 if durable {
@@ -322,26 +328,26 @@
         });
     }
 
-    /// Jobs whose records can go, since their end is durable; at most so many.
-    pub(crate) fn take_finished(&mut self, most: usize) -> Vec<JobId> {
-        let taken: Vec<JobId> = self.finished.iter().take(most).copied().collect();
+    /// Takes at most `limit` jobs whose records can be removed, since their end is durable.
+    pub(crate) fn take_finished(&mut self, limit: usize) -> Vec<JobId> {
+        let taken: Vec<JobId> = self.finished.iter().take(limit).copied().collect();
         for id in &taken {
             self.finished.remove(id);
         }
         taken
     }
 
-    /// Takes note that the records of some jobs may still be there.
+    /// Records that the records of some jobs may still be there.
     pub(crate) fn not_removed(&mut self, jobs: Vec<JobId>) {
         self.finished.extend(jobs);
     }
 
-    fn add(&mut self, stored: StoredJob) {
+    fn add_job(&mut self, stored: StoredJob) {
         let ended = stored.progress.as_ref().is_some_and(|progress| progress.state.is_final());
         if ended {
             self.finished.insert(stored.id);
         }
-        // Runs of jobs that are not known here are stopped where they are seen.
+        // Runs of unknown jobs are stopped wherever a poll finds them.
         let known = self.jobs.contains_key(&stored.id) || self.ended.contains(&stored.id);
         if ended || stored.cancelled {
             self.ended.insert(stored.id);
@@ -358,12 +364,12 @@
             let tasks = job.steps.values_mut().flat_map(|step| &mut step.tasks);
             tasks.for_each(|task| task.accounted = true);
         }
-        self.has_filling |= job.record.steps.iter().any(|step| step.fills);
-        self.marked.extend(job.marked_tasks());
+        self.has_background |= job.record.steps.iter().any(|step| step.fills);
+        self.crash_suspects.extend(job.marked_tasks());
         self.jobs.insert(id, job);
     }
 
-    fn cancel(&mut self, id: JobId, now: Steady, out: &mut Vec<Effect>) {
+    fn cancel_job(&mut self, id: JobId, now: Steady, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -382,48 +388,48 @@
             for (index, task) in tasks.tasks.iter().enumerate() {
                 let of = crate::model::job::StepId { job: id, time: *time, step: *step };
                 let task_id = TaskId { of, index: index as u32 };
-                runs.extend(task.copies.iter().map(|copy| (task_id, copy.worker.clone())));
+                runs.extend(task.copies.iter().map(|task_run| (task_id, task_run.worker.clone())));
             }
         }
         for (task, worker) in runs {
-            self.stop(task, &worker, now, out);
+            self.stop_run(task, &worker, now, out);
         }
     }
 
     /// Orders a run to be stopped, unless that has been done.
-    fn stop(&mut self, task: TaskId, at: &Incarnation, now: Steady, out: &mut Vec<Effect>) {
+    fn stop_run(&mut self, task: TaskId, at: &Incarnation, now: Steady, out: &mut Vec<Effect>) {
         let token = self.token;
         let Some(worker) = self.workers.get(at) else {
             return;
         };
         let to = worker.addressee(token);
-        let Some(copy) = self.copy_mut(task, at) else {
+        let Some(task_run) = self.run_mut(task, at) else {
             return;
         };
-        if matches!(copy.phase, Phase::Stopping | Phase::Stopped(_)) {
+        if matches!(task_run.phase, Phase::Stopping | Phase::Stopped(_)) {
             return;
         }
-        copy.phase = Phase::Stopping;
-        copy.since = now;
-        out.push(Effect::Stop { to, task, run: copy.run });
+        task_run.phase = Phase::Stopping;
+        task_run.since = now;
+        out.push(Effect::Stop { to, task, run: task_run.run });
     }
 
-    /// Takes note that a run of a job is known to have begun. That a start was ordered proves nothing:
-    /// it may be refused, or lost with its worker, and the job waits on.
+    /// Records that a run of a job has certainly begun. An ordered start proves nothing: it may be
+    /// refused, or lost with its worker, and the job still waits.
     fn note_begun(&mut self, id: JobId) {
         if self.jobs.get_mut(&id).is_some_and(Job::begin) {
-            self.saves.add(id, false);
+            self.save_queue.add(id, false);
         }
     }
 
-    fn copy_mut(&mut self, task: TaskId, at: &Incarnation) -> Option<&mut crate::jobs::job::Copy> {
+    fn run_mut(&mut self, task: TaskId, at: &Incarnation) -> Option<&mut crate::jobs::job::Copy> {
         let job = self.jobs.get_mut(&task.of.job)?;
         let task = job.task_mut(task.of, task.index)?;
-        task.copies.iter_mut().find(|copy| copy.worker == *at)
+        task.copies.iter_mut().find(|task_run| task_run.worker == *at)
     }
 
-    /// Removes a copy that is certain not to run any more.
-    fn drop_copy(
+    /// Removes a run that certainly does not run any more.
+    fn remove_run(
         &mut self,
         task: TaskId,
         at: &Incarnation,
@@ -433,22 +439,22 @@
         let job = self.jobs.get_mut(&task.of.job)?;
         let charge = job.step(task.of.step).charge();
         let entry = job.task_mut(task.of, task.index)?;
-        let place = entry.copies.iter().position(|copy| copy.worker == *at)?;
-        let copy = entry.copies.remove(place);
+        let place = entry.copies.iter().position(|task_run| task_run.worker == *at)?;
+        let task_run = entry.copies.remove(place);
         if !matches!(why, Gone::Lapsed | Gone::WorkerOver) && entry.trial_at.is_some() {
-            self.withdraw_trial(task);
+            self.withdraw_isolated_retry(task);
         }
         let entry = self.task_mut(task)?;
-        let previous = Previous { worker: at.clone(), run: copy.run, why, at: now };
+        let previous = Previous { worker: at.clone(), run: task_run.run, why, at: now };
         entry.previous = Some(Box::new(previous));
         if let Some(worker) = self.workers.get_mut(at) {
             worker.vacate(task, &charge);
         }
-        Some(copy)
+        Some(task_run)
     }
 
-    fn list(&mut self, report: WorkerReport, now: Steady) {
-        if self.over.contains(&report.id) {
+    fn note_listed(&mut self, report: WorkerReport, now: Steady) {
+        if self.ended_workers.contains(&report.id) {
             return;
         }
         self.unlist_others(&report.id, now);
@@ -456,10 +462,10 @@
             worker.list(report, now);
             return;
         }
-        self.check_place(&report, now);
+        self.poll_conflicting(&report, now);
         let mut worker = Worker::new(report, now);
         worker.rostered = self.roster.holding(&worker.report.id) == Some(&Holding::Any);
-        if let Some(fence) = self.former.get(&worker.report.id.worker)
+        if let Some(fence) = self.former_fences.get(&worker.report.id.worker)
             && !worker.rostered
         {
             worker.raise_fence(*fence);
@@ -468,9 +474,9 @@
         self.workers.insert(worker.report.id.clone(), worker);
     }
 
-    /// Has those looked at whose place a report claims. Which of them lives is not told by the
-    /// reports, since one may be written long after its worker is over.
-    fn check_place(&mut self, claim: &WorkerReport, now: Steady) {
+    /// Schedules polls of the workers that have the host or address of a report. Reports do not
+    /// show which of them is alive, since one may be written long after its worker has ended.
+    fn poll_conflicting(&mut self, claim: &WorkerReport, now: Steady) {
         for worker in self.workers.values_mut() {
             if shares_place(&worker.report, claim) {
                 worker.next_look = now;
@@ -478,8 +484,9 @@
         }
     }
 
-    /// Forgets those that were heard at the address where another worker has just answered. That a
-    /// report names their host proves nothing: another writer may have written it.
+    /// Removes the workers that have answered at the address where another worker has just
+    /// answered. A report that names the same host proves nothing: another writer may have written
+    /// it.
     fn supersede(&mut self, by: &Incarnation, now: Steady) {
         let Some(report) = self.workers.get(by).map(|worker| &worker.report) else {
             return;
@@ -492,40 +499,41 @@
         let others = self.workers.values().filter(is_over);
         let others: Vec<Incarnation> = others.map(|w| w.report.id.clone()).collect();
         for id in others {
-            self.bury(&id, "another life answers in its place", now);
+            self.remove_ended_worker(&id, "another worker has answered at its address", now);
         }
         let earlier = self.incarnations(&by.worker).map(|one| one.report.id.clone());
         let earlier: Vec<Incarnation> = earlier.filter(|id| id != by).collect();
         for id in earlier {
-            self.succeed(&id, by, now);
+            self.replace_incarnation(&id, by, now);
         }
-        self.heard_on(&host, by, now);
+        self.note_answer_on(&host, by, now);
     }
 
-    /// Forgets a worker that is certain to be over, and with it all that ran there.
-    fn bury(&mut self, id: &Incarnation, why: &str, now: Steady) {
+    /// Removes a worker that has certainly ended, and with it all that ran there.
+    fn remove_ended_worker(&mut self, id: &Incarnation, why: &str, now: Steady) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        log::info!("worker {id}: over: {why}; {} runs with it", worker.copies.len());
-        for Lost { task, .. } in self.lose(id, now) {
-            self.drop_copy(task, id, Gone::WorkerOver, now);
+        log::info!("worker {id}: ended: {why}; {} runs lost with it", worker.copies.len());
+        for Lost { task, .. } in self.note_worker_loss(id, now) {
+            self.remove_run(task, id, Gone::WorkerOver, now);
         }
-        self.remove_crashed(id, now);
-        self.over.insert(id.clone());
+        self.remove_crashed_worker(id, now);
+        self.ended_workers.insert(id.clone());
     }
 }
 
-/// How long after an order that never left its node the next is sent, in milliseconds: by then
+/// Delay after an order that never left its node until the next is sent, in milliseconds: by then
 /// another node makes the worker's calls.
-const UNSENT_PAUSE_MS: u64 = 20;
+const UNSENT_RETRY_MS: u64 = 20;
 
-/// Whether two different workers cannot live at one time: a host runs one, and so does an address.
+/// Whether two different workers cannot be alive at the same time: a host runs one, and so does an
+/// address.
 fn shares_place(one: &WorkerReport, other: &WorkerReport) -> bool {
     one.id != other.id && (one.host == other.host || one.address == other.address)
 }
 
-/// Lets the ends be acknowledged that are counted durably.
+/// Allows the ends to be acknowledged whose count is durable.
 fn acknowledge(worker: &mut Worker, jobs: &BTreeMap<JobId, Job>) {
     while let Some(end) = worker.unacknowledged.front() {
         let durable = |version| jobs.get(&end.job).is_none_or(|job| version <= job.durable);
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -1,6 +1,6 @@
 //! Answers to orders that start and stop runs.
 
-use super::{Owner, UNSENT_PAUSE_MS};
+use super::{Owner, UNSENT_RETRY_MS};
 use crate::{
     jobs::{
         gone::Gone,
@@ -15,11 +15,12 @@
     },
 };
 
-/// How long a task or worker is left alone after an order was refused, in milliseconds: one look.
+/// How long a task or worker gets no further order after a refusal, in milliseconds: the time of
+/// one poll.
 const REFUSED_PAUSE_MS: u64 = 150;
 
 impl Owner {
-    pub(super) fn started(
+    pub(super) fn note_start_result(
         &mut self,
         at: &Incarnation,
         task: TaskId,
@@ -33,19 +34,19 @@
         {
             worker.read_clock_of_order(clock_ms, now);
         }
-        // Also where the run is no longer reckoned with: it did begin.
+        // Even if the run is no longer tracked: it did begin.
         if matches!(end, OrderEnd::Done(_)) {
             self.note_begun(task.of.job);
         }
-        let Some(copy) = self.copy_mut(task, at).filter(|copy| copy.run == run) else {
+        let Some(task_run) = self.run_mut(task, at).filter(|task_run| task_run.run == run) else {
             return;
         };
         match end {
             OrderEnd::Done(_) => {
-                if matches!(copy.phase, Phase::Starting | Phase::Unknown) {
-                    copy.phase = Phase::Running;
-                    copy.since = now;
-                    copy.began.get_or_insert(now);
+                if matches!(task_run.phase, Phase::Starting | Phase::Unknown) {
+                    task_run.phase = Phase::Running;
+                    task_run.since = now;
+                    task_run.began.get_or_insert(now);
                     if let Some(worker) = self.workers.get_mut(at) {
                         worker.note_begun(task, now);
                     }
@@ -53,11 +54,11 @@
             }
             OrderEnd::Unknown => {
                 log::info!("job {}: task {task} run {run} at {at}: no answer", task.of.job);
-                if copy.phase == Phase::Starting {
-                    copy.phase = Phase::Unknown;
-                    copy.since = now;
+                if task_run.phase == Phase::Starting {
+                    task_run.phase = Phase::Unknown;
+                    task_run.since = now;
                 }
-                self.losses.note(now);
+                self.message_loss.note(now);
                 if let Some(worker) = self.workers.get_mut(at) {
                     worker.next_look = now;
                     worker.hurried = true;
@@ -65,9 +66,9 @@
             }
             OrderEnd::Refused { why, .. } => self.start_refused(at, task, why, now),
             OrderEnd::Unsent => {
-                self.drop_copy(task, at, Gone::Unsent, now);
+                self.remove_run(task, at, Gone::Unsent, now);
                 if let Some(entry) = self.task_mut(task) {
-                    entry.not_before = now.after(UNSENT_PAUSE_MS);
+                    entry.not_before = now.after(UNSENT_RETRY_MS);
                 }
             }
         }
@@ -76,10 +77,11 @@
     fn start_refused(&mut self, at: &Incarnation, task: TaskId, why: Refusal, now: Steady) {
         log::info!("job {}: task {task} at {at}: refused: {why:?}", task.of.job);
         match why {
-            // It has a run of the task that is not below this one, or had one: the next look tells.
-            Refusal::Old => self.ask_what_is_there(at, task, now),
+            // It has, or had, a run of the task with this number or a higher one: the next poll
+            // shows which.
+            Refusal::Old => self.poll_for_run(at, task, now),
             _ => {
-                self.drop_copy(task, at, Gone::Refused(why), now);
+                self.remove_run(task, at, Gone::Refused(why), now);
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.of.job) {
@@ -97,7 +99,11 @@
         }
         match why {
             Refusal::Fenced => self.deposed = true,
-            Refusal::OtherLife => self.bury(at, "another life answers at its address", now),
+            Refusal::OtherLife => self.remove_ended_worker(
+                at,
+                "orders at its address are refused by another worker",
+                now,
+            ),
             Refusal::Unwell | Refusal::Room => {
                 if let Some(worker) = self.workers.get_mut(at) {
                     worker.pause(now.after(REFUSED_PAUSE_MS));
@@ -107,7 +113,7 @@
         }
     }
 
-    pub(super) fn stopped(
+    pub(super) fn note_stop_result(
         &mut self,
         at: &Incarnation,
         task: TaskId,
@@ -120,19 +126,22 @@
                 if let Some(worker) = self.workers.get_mut(at) {
                     worker.read_clock_of_order(clock_ms, now);
                 }
-                let mut unseen = false;
-                if let Some(copy) = self.copy_mut(task, at).filter(|copy| copy.run == run) {
-                    copy.phase = Phase::Stopped(now);
-                    copy.since = now;
-                    unseen = copy.began.is_none();
+                let mut never_began = false;
+                if let Some(task_run) =
+                    self.run_mut(task, at).filter(|task_run| task_run.run == run)
+                {
+                    task_run.phase = Phase::Stopped(now);
+                    task_run.since = now;
+                    never_began = task_run.began.is_none();
                 }
-                // No end will be listed of a run that never began.
-                if let Some(worker) = self.workers.get_mut(at).filter(|_| unseen) {
+                // A run that never began lists no end.
+                if let Some(worker) = self.workers.get_mut(at).filter(|_| never_began) {
                     worker.hurried = true;
                 }
             }
             OrderEnd::Refused { why: Refusal::Fenced, .. } => {
-                // The next incarnation refuses by a token of this owner what bears the one before.
+                // The next incarnation has a token of its own and refuses orders under the one
+                // before.
                 let worker = self.workers.get(at);
                 self.deposed |= match worker {
                     Some(worker) => worker.fence() == 0 && worker.guard == Guard::Clear,
@@ -140,16 +149,21 @@
                 };
             }
             OrderEnd::Refused { why: Refusal::OtherLife, .. } => {
-                self.bury(at, "another life answers at its address", now);
+                self.remove_ended_worker(
+                    at,
+                    "orders at its address are refused by another worker",
+                    now,
+                );
             }
-            // The worker knows the run, or a later one, to be over: it will not begin.
+            // The worker has seen the end of the run, or of a later one: it will not begin.
             OrderEnd::Refused { why: Refusal::Old, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: old", task.of.job);
-                if self.copy_mut(task, at).is_some_and(|copy| copy.run == run) {
-                    self.ask_what_is_there(at, task, now);
+                if self.run_mut(task, at).is_some_and(|task_run| task_run.run == run) {
+                    self.poll_for_run(at, task, now);
                 }
             }
-            // Nothing was done, and a start on its way may yet begin: it is stopped again.
+            // Nothing was done, and a start on its way may still begin: the next poll stops it
+            // again.
             OrderEnd::Refused { why, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
             }
@@ -157,12 +171,12 @@
         }
     }
 
-    /// Has a worker looked at that will not begin a run any more: what it does not list from now on
-    /// is not there.
-    fn ask_what_is_there(&mut self, at: &Incarnation, task: TaskId, now: Steady) {
-        if let Some(copy) = self.copy_mut(task, at) {
-            copy.phase = Phase::Stopped(now);
-            copy.since = now;
+    /// Polls a worker that will not begin a run any more: if its answer does not list the run, the
+    /// run is not there.
+    fn poll_for_run(&mut self, at: &Incarnation, task: TaskId, now: Steady) {
+        if let Some(task_run) = self.run_mut(task, at) {
+            task_run.phase = Phase::Stopped(now);
+            task_run.since = now;
         }
         if let Some(worker) = self.workers.get_mut(at) {
             worker.next_look = now;
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -1,11 +1,12 @@
-//! Workers that start again under their name: which incarnation lives, and what may still become of
-//! orders to the one before.
+//! Workers that start again under their name: which incarnation is alive, and what may still happen
+//! to orders to the previous one.
 //!
 //! An order names the worker only. One that was sent to an incarnation may be carried out by the
-//! next one, seconds later: that has seen no fencing token, knows of no run that was stopped, and
-//! its clock has begun anew. So it gets a token of its own before it gets work: the revision of the
-//! write that lists it in the roster. It is above the tokens of all orders to earlier incarnations,
-//! and below that of every later owner. Once an answer under it has come, they are refused.
+//! next one, seconds later. The next one has seen no fencing token, has no record of stopped runs,
+//! and its clock has restarted. So it gets a token of its own before it gets work: the revision of
+//! the write that lists it in the roster. It is above the tokens of all orders to earlier
+//! incarnations, and below that of every later owner. Once the worker has answered an order with
+//! this token, it refuses those earlier orders.
 
 use super::Owner;
 use crate::{
@@ -24,7 +25,7 @@
 };
 
 impl Owner {
-    /// The incarnations of a worker that are reckoned with: at most one of them lives.
+    /// The tracked incarnations of a worker: at most one of them is alive.
     pub(super) fn incarnations<'a>(
         &'a mut self,
         worker: &'a WorkerId,
@@ -34,7 +35,7 @@
         from_first.take_while(move |incarnation| incarnation.report.id.worker == *worker)
     }
 
-    /// Takes note that the store lists an incarnation under its worker's name, and so no other one.
+    /// Records that the store lists an incarnation under its worker's name, and so no other one.
     pub(super) fn unlist_others(&mut self, listed: &Incarnation, now: Steady) {
         for other in self.incarnations(&listed.worker) {
             if other.report.id != *listed {
@@ -43,11 +44,11 @@
         }
     }
 
-    /// Takes note that another incarnation has answered than the one that was called.
-    pub(super) fn answered_by(&mut self, called: &Incarnation, born: Born, now: Steady) {
-        let by = Incarnation::new(called.worker.clone(), Some(born));
-        if self.over.contains(&by) {
-            log::warn!("worker {called}: not heard: an answer of {by}, which is over");
+    /// Records that an incarnation other than the called one has answered.
+    pub(super) fn note_answer_by(&mut self, called: &Incarnation, started: Born, now: Steady) {
+        let by = Incarnation::new(called.worker.clone(), Some(started));
+        if self.ended_workers.contains(&by) {
+            log::warn!("worker {called}: answer ignored: it is from {by}, which has ended");
             return;
         }
         let Some(worker) = self.workers.get(called) else {
@@ -56,15 +57,20 @@
         if !self.workers.contains_key(&by) {
             let report = WorkerReport { id: by.clone(), leaves_ms: None, ..worker.report.clone() };
             let mut next = Worker::new(report, now);
-            // Its labels and room may be others: it gets no work before its own entry is listed.
+            // Its labels and resources may differ: it gets no work before its own entry is listed.
             next.bar(now);
             self.workers.insert(by.clone(), next);
         }
-        self.succeed(called, &by, now);
+        self.replace_incarnation(called, &by, now);
     }
 
-    /// Has an incarnation take the place of an earlier one, which is over.
-    pub(super) fn succeed(&mut self, old: &Incarnation, new: &Incarnation, now: Steady) {
+    /// Replaces an incarnation that has ended by a later one.
+    pub(super) fn replace_incarnation(
+        &mut self,
+        old: &Incarnation,
+        new: &Incarnation,
+        now: Steady,
+    ) {
         let Some(before) = self.workers.get(old) else {
             return;
         };
@@ -74,12 +80,12 @@
         match old.born {
             Some(_) => {
                 self.counts.started_again += 1;
-                self.bury(old, &format!("it has started again, as {new}"), now);
+                self.remove_ended_worker(old, &format!("it has started again as {new}"), now);
             }
             None => self.identify(old, new, now),
         }
         for (task, run) in bound {
-            self.bind(task, run, new, now);
+            self.assign_run(task, run, new, now);
         }
         if let Some(worker) = self.workers.get_mut(new) {
             worker.follow(fence, ordered, held);
@@ -88,31 +94,32 @@
     }
 
     /// Runs whose starts may have been carried out by the next incarnation: those that this one has
-    /// not listed. Without a start that is told, it is the same one for all that is known.
+    /// not listed. An incarnation without a start time is presumably the same one.
     fn possibly_begun_at_next(&self, worker: &Worker) -> Vec<(TaskId, u32)> {
         let id = &worker.report.id;
         let is_unlisted = |(task, _): &(&TaskId, &u32)| {
             let entry = self.jobs.get(&task.of.job).and_then(|job| job.task(task.of, task.index));
-            let mut copies = entry.into_iter().flat_map(|entry| &entry.copies);
-            id.born.is_none() || copies.any(|copy| copy.worker == *id && !copy.listed)
+            let mut task_runs = entry.into_iter().flat_map(|entry| &entry.copies);
+            id.born.is_none()
+                || task_runs.any(|task_run| task_run.worker == *id && !task_run.listed)
         };
         let runs = worker.copies.iter().filter(is_unlisted);
         runs.map(|(task, run)| (*task, *run)).collect()
     }
 
-    /// Replaces a worker of which it was not told when it started by the same one of which it is.
+    /// Replaces a worker without a start time by the same one with its start time.
     fn identify(&mut self, old: &Incarnation, new: &Incarnation, now: Steady) {
-        log::info!("worker {old}: known as {new} from now on");
+        log::info!("worker {old}: identified as {new}");
         let tasks: Vec<TaskId> = self.workers[old].copies.keys().copied().collect();
         for task in tasks {
-            self.drop_copy(task, old, Gone::WorkerOver, now);
+            self.remove_run(task, old, Gone::WorkerOver, now);
         }
         self.workers.remove(old);
-        self.over.insert(old.clone());
+        self.ended_workers.insert(old.clone());
     }
 
-    /// Reckons with a run at a worker that may have begun it, or may yet.
-    fn bind(&mut self, task: TaskId, run: u32, at: &Incarnation, now: Steady) {
+    /// Assigns a run to a worker that may have begun it, or still may.
+    fn assign_run(&mut self, task: TaskId, run: u32, at: &Incarnation, now: Steady) {
         let Some(job) = self.jobs.get_mut(&task.of.job) else {
             return;
         };
@@ -120,7 +127,7 @@
         let Some(entry) = job.task_mut(task.of, task.index) else {
             return;
         };
-        if entry.copies.iter().any(|copy| copy.worker == *at) {
+        if entry.copies.iter().any(|task_run| task_run.worker == *at) {
             return;
         }
         entry.copies.push(Copy::new(at.clone(), run, Phase::Unknown, now));
@@ -132,8 +139,8 @@
 }
 
 impl Worker {
-    /// Takes note that it follows another incarnation: the token of orders to that, whether there
-    /// were any, and what it may have held.
+    /// Records that it follows another incarnation: the token of orders to that one, whether there
+    /// were any, and what it may have run.
     fn follow(&mut self, fence: u64, ordered: bool, held: Option<Holding>) {
         self.raise_fence(fence);
         if !self.told_all {
--- a/src/jobs/owner/looks.rs
+++ b/src/jobs/owner/looks.rs
@@ -1,11 +1,11 @@
-//! Looks at workers: what runs there is compared with what is thought to run there.
+//! Polls of workers: the runs that a worker lists are compared with those that the owner expects.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     time::Duration,
 };
 
-use super::{Owner, UNSENT_PAUSE_MS, acknowledge};
+use super::{Owner, UNSENT_RETRY_MS, acknowledge};
 use crate::{
     jobs::{
         event::Effect,
@@ -21,28 +21,30 @@
     },
 };
 
-/// How long after an unanswered look the next is sent, in milliseconds.
-const MISSED_PAUSE_MS: u64 = 150;
+/// Delay after an unanswered poll until the next is sent, in milliseconds.
+const POLL_RETRY_MS: u64 = 150;
 
-/// Looks that go unanswered before a worker that is not listed is taken for gone: a single one may be a
-/// connection that was reset, and a second one its path by way of another node.
-const GONE_MISSES: u32 = 3;
+/// The number of unanswered polls after which a worker that is not listed counts as departed: a
+/// single one may be a connection that was reset, and a second one its route through another node.
+const DEPARTED_MISSES: u32 = 3;
 
-/// How long after an unanswered look at such a worker the next is sent, in milliseconds. Hundreds of
-/// hosts may leave a pool within seconds, and each is asked until what it may run has lapsed.
-const GONE_PAUSE_MS: u64 = 500;
+/// Delay after an unanswered poll of such a worker until the next is sent, in milliseconds.
+/// Hundreds of hosts may leave a pool within seconds, and each is polled until its runs have
+/// expired.
+const DEPARTED_RETRY_MS: u64 = 500;
 
-/// How long an order to stop may be on its way before it is given again, in milliseconds.
-const STOP_AGAIN_MS: u64 = 900;
+/// Delay until an order to stop is sent again, in milliseconds.
+const STOP_RETRY_MS: u64 = 900;
 
-/// How long a worker whose ends cannot be acknowledged yet is left alone, in milliseconds: a look
-/// would not wait, since they are still listed. Most often they are kept within 20.
-const UNSAVED_LOOK_MS: u64 = 100;
+/// Pause between polls of a worker whose ends cannot be acknowledged yet, in milliseconds: a poll
+/// would return at once, since the ends are still listed. Most often they are persisted within 20.
+const UNSAVED_POLL_PAUSE_MS: u64 = 100;
 
-/// Up to which end a look may tell a worker to forget; nothing if it has to wait with that.
+/// The highest end that a poll may acknowledge; none if the poll has to wait until it may.
 ///
-/// The next incarnation numbers its ends anew, and would forget unread those up to this number. So
-/// they are acknowledged neither after a silence nor beside starts that it may carry out.
+/// The next incarnation numbers its ends anew, and would discard those up to this number without
+/// listing them. So ends are acknowledged neither after a silence nor beside starts that the next
+/// incarnation may carry out.
 fn acknowledgement(worker: &Worker, jobs: &BTreeMap<JobId, Job>) -> Option<u64> {
     if !worker.may_start_again() {
         return Some(worker.acknowledged);
@@ -52,51 +54,53 @@
     }
     let is_unanswered = |task: &TaskId| {
         let entry = jobs.get(&task.of.job).and_then(|job| job.task(task.of, task.index));
-        let mut copies = entry.into_iter().flat_map(|entry| &entry.copies);
-        copies.any(|copy| copy.worker == worker.report.id && copy.is_unanswered())
+        let mut task_runs = entry.into_iter().flat_map(|entry| &entry.copies);
+        task_runs.any(|task_run| task_run.worker == worker.report.id && task_run.is_unanswered())
     };
     let waits = worker.copies.keys().any(is_unanswered);
     (!waits).then_some(worker.acknowledged)
 }
 
 impl Owner {
-    /// Sends the looks that are due.
-    pub(super) fn look(&mut self, now: Steady, out: &mut Vec<Effect>) {
+    /// Sends the polls that are due.
+    pub(super) fn send_polls(&mut self, now: Steady, out: &mut Vec<Effect>) {
         let token = self.token;
         let mixed: BTreeSet<Incarnation> = self.mixed_workers();
-        let hasty = self.losses.are_many(self.workers.len(), now);
-        let mut again = 0;
+        let short_polls = self.message_loss.are_many(self.workers.len(), now);
+        let mut resent = 0;
         let jobs = &self.jobs;
         for worker in self.workers.values_mut() {
-            // A run in doubt does not wait for the look on its way, which may wait for an end.
+            // A run in an unknown phase does not wait for the pending poll, which may wait for an
+            // end.
             let waits = worker.looking.is_some() && !worker.hurried;
             if waits || now < worker.next_look {
                 continue;
             }
             let acknowledgement = acknowledgement(worker, jobs);
             let unsaved = !worker.unacknowledged.is_empty() || acknowledgement.is_none();
-            let lately = worker.answered.is_some_and(|at| now.since(at) < UNSAVED_LOOK_MS);
-            if unsaved && lately {
+            let recently = worker.answered.is_some_and(|at| now.since(at) < UNSAVED_POLL_PAUSE_MS);
+            if unsaved && recently {
                 continue;
             }
             let acknowledged = acknowledgement.unwrap_or(0);
-            // It is to be answered soon: nothing starts there meanwhile.
+            // It should be answered soon: nothing starts there meanwhile.
             let exclusive = acknowledged != 0 && worker.may_start_again();
             let waits = worker.touched && worker.misses == 0 && !worker.hurried;
             let wait = match waits && !unsaved && !exclusive {
-                true if hasty && !worker.copies.is_empty() => HASTY_LOOK_WAIT_MS,
+                true if short_polls && !worker.copies.is_empty() => HASTY_LOOK_WAIT_MS,
                 true if mixed.contains(&worker.report.id) => LOOK_WAIT_MS / 2,
                 true => LOOK_WAIT_MS,
                 false => 0,
             };
-            // A worker that is silent gets no more time: it may hear without being heard.
-            let gives = worker.touched && worker.misses == 0;
-            let until_ms = if gives { worker.give(now) } else { None };
+            // The lease of a silent worker is not renewed: it may receive polls though its answers
+            // are lost.
+            let renews = worker.touched && worker.misses == 0;
+            let until_ms = if renews { worker.give(now) } else { None };
             worker.prove_fence(now);
             worker.looking = Some(now);
             worker.look_wait = wait;
             worker.hurried = false;
-            again += u64::from(worker.misses != 0);
+            resent += u64::from(worker.misses != 0);
             if exclusive {
                 worker.acknowledge(acknowledged, now);
             }
@@ -107,11 +111,11 @@
                 wait: Duration::from_millis(wait),
             });
         }
-        self.counts.again += again;
+        self.counts.again += resent;
     }
 
-    /// Takes note of what a look found.
-    pub(super) fn looked(
+    /// Processes the result of a poll.
+    pub(super) fn note_poll_result(
         &mut self,
         id: &Incarnation,
         sent: Steady,
@@ -122,12 +126,12 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        // An older look may still be on its way, and its answer is taken in all the same.
+        // An older poll may still be pending, and its answer is processed too.
         if worker.looking.is_some_and(|newest| newest <= sent) {
             worker.looking = None;
         }
         let listed = match &end {
-            OrderEnd::Done(look) => look.ended.iter().map(|end| end.number).min(),
+            OrderEnd::Done(response) => response.ended.iter().map(|end| end.number).min(),
             _ => None,
         };
         worker.note_look_end(sent, matches!(end, OrderEnd::Done(_)), listed);
@@ -136,84 +140,90 @@
             return;
         }
         match end {
-            OrderEnd::Done(look) => match look.born.filter(|born| id.born != Some(*born)) {
-                Some(other) => self.answered_by(id, other, now.steady),
-                None => self.found(id, sent, look, now, out),
+            OrderEnd::Done(response) => match response.born.filter(|born| id.born != Some(*born)) {
+                Some(other) => self.note_answer_by(id, other, now.steady),
+                None => self.note_poll_answer(id, sent, response, now, out),
             },
             OrderEnd::Refused { why: Refusal::Fenced, .. } if worker.bore_fence(sent) => {
                 self.deposed = true;
             }
-            // At an address where it was never heard, another life says nothing of it.
+            // At an address where this worker has never answered, another one proves nothing about
+            // it.
             OrderEnd::Refused { why: Refusal::OtherLife, .. } if worker.heard => {
-                self.bury(id, "another life answers at its address", now.steady);
+                self.remove_ended_worker(
+                    id,
+                    "orders at its address are refused by another worker",
+                    now.steady,
+                );
             }
-            OrderEnd::Unsent => worker.next_look = now.steady.after(UNSENT_PAUSE_MS),
+            OrderEnd::Unsent => worker.next_look = now.steady.after(UNSENT_RETRY_MS),
             OrderEnd::Refused { .. } | OrderEnd::Unknown => {
                 if worker.misses == 0 {
-                    self.losses.note(now.steady);
+                    self.message_loss.note(now.steady);
                 }
                 if worker.answered.is_some_and(|at| sent < at) {
-                    // It has answered a later look.
+                    // It has answered a later poll.
                     return;
                 }
                 worker.misses += 1;
-                let is_gone = !worker.is_listed() && GONE_MISSES <= worker.misses;
-                let pause = if is_gone { GONE_PAUSE_MS } else { MISSED_PAUSE_MS };
+                let has_departed = !worker.is_listed() && DEPARTED_MISSES <= worker.misses;
+                let pause = if has_departed { DEPARTED_RETRY_MS } else { POLL_RETRY_MS };
                 worker.next_look = now.steady.after(pause);
                 if worker.misses == 1 {
-                    log::info!("worker {id}: lost: a look got no answer");
+                    log::info!("worker {id}: lost: a poll got no answer");
                 }
             }
         }
     }
 
-    fn found(
+    fn note_poll_answer(
         &mut self,
         id: &Incarnation,
         sent: Steady,
-        look: Look,
+        response: Look,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        worker.read_clock(look.clock_ms, now.steady);
+        worker.read_clock(response.clock_ms, now.steady);
         let was_lost = !worker.touched || !worker.lost.is_empty();
         if !worker.touched {
             worker.touched = true;
             worker.assume_held();
         }
         if worker.misses != 0 {
-            log::info!("worker {id}: back after {} looks without an answer", worker.misses);
+            log::info!("worker {id}: back after {} unanswered polls", worker.misses);
         }
         worker.misses = 0;
         worker.heard = true;
         worker.answered = Some(now.steady);
-        let whole = look.is_whole();
-        worker.told_all |= whole;
-        worker.note_fenced(sent, whole);
+        let complete = response.is_whole();
+        worker.told_all |= complete;
+        worker.note_fenced(sent, complete);
         self.clear_crashes_at(id, was_lost);
         self.supersede(id, now.steady);
-        let mut ended = look.ended;
+        let mut ended = response.ended;
         ended.sort_by_key(|end| end.number);
         for end in ended {
-            self.ended(id, end, now, out);
+            self.note_end(id, end, now, out);
         }
-        let listed: BTreeSet<TaskId> = look.present.iter().map(|present| present.task).collect();
-        for present in look.present {
-            self.present(id, present, sent, now.steady, out);
+        let listed: BTreeSet<TaskId> =
+            response.present.iter().map(|present| present.task).collect();
+        for present in response.present {
+            self.note_present_run(id, present, sent, now.steady, out);
         }
-        self.check_unlisted(id, &listed, whole, sent, now.steady, out);
+        self.check_unlisted_runs(id, &listed, complete, sent, now.steady, out);
         if let Some(worker) = self.workers.get_mut(id) {
             acknowledge(worker, &self.jobs);
         }
-        self.repace(id, now.steady, out);
+        self.adjust_throttle(id, now.steady, out);
         self.forget_ended();
     }
 
-    /// Compares a run that is there with what is thought to be there.
-    fn present(
+    /// Compares a listed run with the expected state.
+    fn note_present_run(
         &mut self,
         id: &Incarnation,
         found: Present,
@@ -223,27 +233,27 @@
     ) {
         let Present { task, run, saved, percent, gauge } = found;
         self.note_begun(task.of.job);
-        let stray = self.stray(id, task);
+        let unexpected = self.why_unexpected(id, task);
         let job = task.of.job;
         if !self.jobs.contains_key(&job) && !self.ended.contains(&job) {
-            self.strange = Some(now);
+            self.unknown_seen = Some(now);
         }
-        if let Some(copy) = self.copy_mut(task, id).filter(|copy| copy.run == run) {
-            if copy.percent < percent || copy.began.is_none() {
-                copy.moved = now;
+        if let Some(task_run) = self.run_mut(task, id).filter(|task_run| task_run.run == run) {
+            if task_run.percent < percent || task_run.began.is_none() {
+                task_run.moved = now;
             }
-            copy.percent = percent;
-            copy.gauge = gauge;
-            copy.listed = true;
-            let stopping = matches!(copy.phase, Phase::Stopping | Phase::Stopped(_));
-            copy.began.get_or_insert(now);
-            match copy.phase {
+            task_run.percent = percent;
+            task_run.gauge = gauge;
+            task_run.listed = true;
+            let stopping = matches!(task_run.phase, Phase::Stopping | Phase::Stopped(_));
+            task_run.began.get_or_insert(now);
+            match task_run.phase {
                 Phase::Starting | Phase::Unknown => {
-                    copy.phase = Phase::Running;
-                    copy.since = now;
+                    task_run.phase = Phase::Running;
+                    task_run.since = now;
                 }
-                Phase::Stopping if STOP_AGAIN_MS < now.since(copy.since) => {
-                    copy.since = now;
+                Phase::Stopping if STOP_RETRY_MS < now.since(task_run.since) => {
+                    task_run.since = now;
                     self.counts.again += 1;
                     self.send_stop(id, task, run, out);
                 }
@@ -254,26 +264,26 @@
             {
                 entry.saved = saved;
             }
-            self.has_lived(id, task, now);
-            if let Some(stray) = stray {
+            self.note_run_alive(id, task, now);
+            if let Some(unexpected) = unexpected {
                 if !stopping {
-                    self.note_stray(id, task, run, stray);
+                    self.log_unexpected_run(id, task, run, unexpected);
                 }
-                self.stop(task, id, now, out);
+                self.stop_run(task, id, now, out);
             }
             return;
         }
-        let other = self.copy_mut(task, id).map(|_| Stray::OtherRun);
-        if let Some(stray) = stray.or(other) {
-            self.note_stray(id, task, run, stray);
+        let other = self.run_mut(task, id).map(|_| Stray::OtherRun);
+        if let Some(unexpected) = unexpected.or(other) {
+            self.log_unexpected_run(id, task, run, unexpected);
             self.send_stop(id, task, run, out);
             return;
         }
-        self.adopt(id, task, run, percent, sent, now);
+        self.adopt_run(id, task, run, percent, sent, now);
     }
 
-    /// What is wrong with a run of a task at a worker, if anything is.
-    fn stray(&self, id: &Incarnation, task: TaskId) -> Option<Stray> {
+    /// Why a run of a task at a worker is unexpected, if it is.
+    fn why_unexpected(&self, id: &Incarnation, task: TaskId) -> Option<Stray> {
         let job = self.jobs.get(&task.of.job);
         let found = job.and_then(|job| Some((job, job.task(task.of, task.index)?)));
         let Some((job, entry)) = found else {
@@ -285,20 +295,20 @@
         if !job.is_open() {
             return Some(Stray::NoJob);
         }
-        let elsewhere = entry.copies.iter().any(|copy| copy.worker != *id);
+        let elsewhere = entry.copies.iter().any(|task_run| task_run.worker != *id);
         (elsewhere && !job.step(task.of.step).speculative).then_some(Stray::Elsewhere)
     }
 
-    /// Tells of a run that should not be there. Two runs of one task show here first, whichever of
-    /// the two owners looks.
-    fn note_stray(&mut self, id: &Incarnation, task: TaskId, run: u32, stray: Stray) {
-        *self.counts.strays.entry(stray.word()).or_default() += 1;
-        let (job, token, why) = (task.of.job, self.token, stray.word());
+    /// Logs a run that should not be there. Two runs of one task are first noticed here, whichever
+    /// of the two owners polls.
+    fn log_unexpected_run(&mut self, id: &Incarnation, task: TaskId, run: u32, unexpected: Stray) {
+        *self.counts.strays.entry(unexpected.word()).or_default() += 1;
+        let (job, token, why) = (task.of.job, self.token, unexpected.word());
         let entry = self.jobs.get(&job).and_then(|job| job.task(task.of, task.index));
         let others = entry.iter().flat_map(|entry| &entry.copies);
         let others: Vec<String> =
-            others.map(|copy| format!("run {} at {}", copy.run, copy.worker)).collect();
-        let level = if stray == Stray::NoJob { log::Level::Info } else { log::Level::Warn };
+            others.map(|task_run| format!("run {} at {}", task_run.run, task_run.worker)).collect();
+        let level = if unexpected == Stray::NoJob { log::Level::Info } else { log::Level::Warn };
         log::log!(
             level,
             "job {job}: task {task} run {run} at {id}: stopped by token {token}: {why} {others:?}"
@@ -306,7 +316,7 @@
     }
 
     /// Takes over a run that an earlier owner started.
-    fn adopt(
+    fn adopt_run(
         &mut self,
         id: &Incarnation,
         task: TaskId,
@@ -342,13 +352,13 @@
         log::info!("job {}: task {task} run {run} at {id}: taken over", task.of.job);
     }
 
-    /// Decides on the runs that are thought to be at a worker and that it does not list. With a list
-    /// of ends that is not whole they may have ended: none counts as gone.
-    fn check_unlisted(
+    /// Decides on the expected runs at a worker that it does not list. If the list of ends is cut
+    /// short, they may have ended: none is removed.
+    fn check_unlisted_runs(
         &mut self,
         id: &Incarnation,
         listed: &BTreeSet<TaskId>,
-        whole: bool,
+        complete: bool,
         sent: Steady,
         now: Steady,
         out: &mut Vec<Effect>,
@@ -359,22 +369,22 @@
         let missing: Vec<TaskId> =
             worker.copies.keys().filter(|task| !listed.contains(task)).copied().collect();
         for task in missing {
-            let Some(copy) = self.copy_mut(task, id) else {
+            let Some(task_run) = self.run_mut(task, id) else {
                 continue;
             };
-            // A look that was sent in the same millisecond may have come first.
-            match copy.phase {
-                Phase::Running if whole && copy.since < sent => {
+            // A poll that was sent in the same millisecond may have come first.
+            match task_run.phase {
+                Phase::Running if complete && task_run.since < sent => {
                     log::warn!("job {}: task {task} at {id}: gone without an end", task.of.job);
-                    self.drop_copy(task, id, Gone::Unlisted, now);
+                    self.remove_run(task, id, Gone::Unlisted, now);
                 }
-                Phase::Stopped(at) if whole && at < sent => {
-                    self.drop_copy(task, id, Gone::Stopped, now);
+                Phase::Stopped(at) if complete && at < sent => {
+                    self.remove_run(task, id, Gone::Stopped, now);
                 }
-                Phase::Unknown => self.stop(task, id, now, out),
-                Phase::Stopping if STOP_AGAIN_MS < now.since(copy.since) => {
-                    copy.since = now;
-                    let run = copy.run;
+                Phase::Unknown => self.stop_run(task, id, now, out),
+                Phase::Stopping if STOP_RETRY_MS < now.since(task_run.since) => {
+                    task_run.since = now;
+                    let run = task_run.run;
                     self.counts.again += 1;
                     self.send_stop(id, task, run, out);
                 }
@@ -393,8 +403,8 @@
         self.jobs.get_mut(&task.of.job)?.task_mut(task.of, task.index)
     }
 
-    /// Tasks of which a start without an answer may yet be carried out by the next incarnation of a
-    /// silent worker. Lasting tasks are not held back: callers miss them meanwhile.
+    /// Tasks whose unanswered start may still be carried out by the next incarnation of a silent
+    /// worker. Long-running tasks are not held back: callers miss them meanwhile.
     fn awaited_starts(&self, id: &Incarnation, confirmed: Steady) -> BTreeSet<TaskId> {
         let Some(worker) = self.workers.get(id).filter(|worker| worker.may_start_again()) else {
             return BTreeSet::new();
@@ -403,42 +413,44 @@
             let Some(job) = self.jobs.get(&task.of.job) else {
                 return false;
             };
-            let copies = job.task(task.of, task.index).into_iter().flat_map(|entry| &entry.copies);
-            let mut here = copies.filter(|copy| copy.worker == *id);
-            let late = |copy: &Copy| confirmed < copy.since.after(LATE_ORDER_MS + LATE_MS);
-            !job.step(task.of.step).lasting && here.any(|copy| copy.is_unanswered() && late(copy))
+            let task_runs =
+                job.task(task.of, task.index).into_iter().flat_map(|entry| &entry.copies);
+            let mut here = task_runs.filter(|task_run| task_run.worker == *id);
+            let late = |task_run: &Copy| confirmed < task_run.since.after(LATE_ORDER_MS + LATE_MS);
+            !job.step(task.of.step).lasting
+                && here.any(|task_run| task_run.is_unanswered() && late(task_run))
         };
         worker.copies.keys().filter(is_awaited).copied().collect()
     }
 
-    /// Forgets runs at workers that are silent for so long that everything there has lapsed, and
-    /// workers that are gone. Counted is what had lapsed when the store last confirmed the owner: a
-    /// later one may give a worker more time that is silent here.
-    pub(super) fn drop_lapsed(&mut self, now: Steady) {
+    /// Removes runs at workers that have been silent until all their leases expired, and workers
+    /// that have presumably ended. Only what had expired when the store last confirmed the ownership
+    /// counts: a later owner may renew the lease of a worker that is silent here.
+    pub(super) fn remove_expired_runs(&mut self, now: Steady) {
         let confirmed = self.confirmed.min(now);
-        let lapsed = |worker: &&Worker| worker.misses != 0 && worker.has_lapsed(confirmed);
-        let lapsed: Vec<Incarnation> =
-            self.workers.values().filter(lapsed).map(|w| w.report.id.clone()).collect();
-        for id in lapsed {
+        let expired = |worker: &&Worker| worker.misses != 0 && worker.has_lapsed(confirmed);
+        let expired: Vec<Incarnation> =
+            self.workers.values().filter(expired).map(|w| w.report.id.clone()).collect();
+        for id in expired {
             let awaited = self.awaited_starts(&id, confirmed);
             let worker = &self.workers[&id];
             if !awaited.is_empty() && awaited.len() == worker.copies.len() {
                 continue;
             }
-            for Lost { task, .. } in self.lose(&id, now) {
+            for Lost { task, .. } in self.note_worker_loss(&id, now) {
                 if !awaited.contains(&task) {
                     log::info!("job {}: task {task} at {id}: lapsed unseen", task.of.job);
-                    self.drop_copy(task, &id, Gone::Lapsed, now);
+                    self.remove_run(task, &id, Gone::Lapsed, now);
                 }
             }
             if !awaited.is_empty() {
                 continue;
             }
             let worker = &self.workers[&id];
-            let untouched = !worker.touched && confirmed < self.quiet_until;
+            let untouched = !worker.touched && confirmed < self.fenced_until;
             if !worker.is_listed() && !untouched {
-                log::info!("worker {id}: over: not listed, and silent");
-                self.remove_silent(&id, now);
+                log::info!("worker {id}: removed: not listed, and silent");
+                self.remove_silent_worker(&id, now);
             }
         }
     }
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -1,8 +1,8 @@
-//! What starts where, and what leaves hosts that are being emptied.
+//! What starts where, and what is stopped on hosts that are being drained.
 
 use std::collections::BTreeSet;
 
-use super::{Owner, roster::Doubt};
+use super::{Owner, roster::Unconfirmed};
 use crate::{
     jobs::{
         event::Effect,
@@ -19,30 +19,30 @@
     },
 };
 
-/// A task that is thought to need less than this is let finish, in milliseconds: stopping and
+/// A task whose estimated remaining time is below this is not moved, in milliseconds: stopping and
 /// starting it again takes as long.
-const LET_FINISH_MS: u64 = 1_500;
+const MOVE_MIN_REMAINING_MS: u64 = 1_500;
 
-/// After how long a job that waits for a worker is told of, in milliseconds. Each further time
-/// takes twice as long: hundreds may wait at once.
-const TELL_WAITING_MS: u64 = 1_000;
+/// Delay until a waiting job is first logged, in milliseconds. Each further delay is twice as long:
+/// hundreds may wait at once.
+const WAITING_LOG_MS: u64 = 1_000;
 
-/// How often the pause between two tellings doubles at the most.
-const TELL_MOST_DOUBLINGS: u32 = 4;
+/// How often the delay between two log lines of a waiting job doubles at most.
+const WAITING_LOG_MAX_DOUBLINGS: u32 = 4;
 
 /// How long after a run was taken over an order of the earlier owner may still end it, in
-/// milliseconds: workers take up to 900 to stop a run, and list it as at work meanwhile.
-const STOP_SETTLES_MS: u64 = 1_200;
+/// milliseconds: workers take up to 900 to stop a run, and list it as ready meanwhile.
+const LATE_STOP_MS: u64 = 1_200;
 
-/// When a worker is asked whether a run on trial has left it alive, in milliseconds after its start:
-/// what it answers then tells that the run has settled.
-pub(super) const TRIAL_LOOK_MS: u64 = SETTLED_MS + 40;
+/// Delay after an isolated retry starts until its worker is polled, in milliseconds: an answer then
+/// shows that the run is stable.
+pub(super) const ISOLATED_RETRY_POLL_MS: u64 = SETTLED_MS + 40;
 
-/// The percent at which a lasting task is at work.
-const AT_WORK_PERCENT: u32 = 100;
+/// The percent at which a long-running task is ready.
+const READY_PERCENT: u32 = 100;
 
 impl Owner {
-    /// Starts what is due and has room, the most urgent first.
+    /// Starts what is due and finds a worker, the most urgent first.
     pub(super) fn plan(&mut self, now: Now, out: &mut Vec<Effect>) {
         let mut order: Vec<(urgency::Urgency, JobId)> = self
             .jobs
@@ -52,16 +52,16 @@
             .collect();
         order.sort();
         self.reserved.clear();
-        self.full.clear();
-        self.end_trials();
-        let doubt = self.doubt(now.steady);
-        self.tell_clear(&doubt, now.steady);
+        self.unplaceable.clear();
+        self.end_isolated_retries();
+        let unconfirmed = self.unconfirmed(now.steady);
+        self.log_unblocking(&unconfirmed, now.steady);
         for (_, id) in order {
-            self.plan_job(id, &doubt, now, out);
+            self.plan_job(id, &unconfirmed, now, out);
         }
     }
 
-    fn plan_job(&mut self, id: JobId, doubt: &Doubt, now: Now, out: &mut Vec<Effect>) {
+    fn plan_job(&mut self, id: JobId, unconfirmed: &Unconfirmed, now: Now, out: &mut Vec<Effect>) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
@@ -73,22 +73,22 @@
             .collect();
         for (time, step) in due {
             let of = StepId { job: id, time, step };
-            let waiting = self.waiting(of, doubt, now.steady);
+            let waiting = self.waiting_tasks(of, unconfirmed, now.steady);
             if waiting.is_empty() {
                 continue;
             }
             let placed = match self.step(of).map(|step| step.gang) {
-                Some(true) if self.is_full_for(of) => false,
+                Some(true) if self.is_unplaceable(of) => false,
                 Some(true) => self.place_gang(of, &waiting, now, out),
                 _ => {
-                    // Each announced trial has a worker that is kept for it, whatever room others
-                    // have not found: nothing else begins there until it has.
+                    // Each announced retry has a worker that is reserved for it, whatever resources
+                    // the others lack: nothing else begins there until it has begun.
                     let (announced, others) = self.split_announced(of, waiting);
                     let mut placed = true;
                     for index in announced {
                         placed &= self.place_tasks(of, &[index], now, out);
                     }
-                    let tried = others.is_empty() || !self.is_full_for(of);
+                    let tried = others.is_empty() || !self.is_unplaceable(of);
                     tried && self.place_tasks(of, &others, now, out) && placed
                 }
             };
@@ -97,15 +97,15 @@
                 tasks.starved = (!placed).then_some(since);
             }
             if !placed {
-                self.reserve(of, now.steady);
-                self.note_waiting(of, now.steady);
-                self.ask(of, now.steady, out);
+                self.reserve_worker(of, now.steady);
+                self.log_waiting(of, now.steady);
+                self.request_tickets(of, now.steady, out);
             }
         }
     }
 
     pub(super) fn scene(&self, now: Steady) -> Scene<'_> {
-        let (workers, emptying) = (&self.workers, &self.emptying);
+        let (workers, emptying) = (&self.workers, &self.draining);
         Scene { workers, emptying, reserved: &self.reserved, now }
     }
 
@@ -113,31 +113,32 @@
         self.jobs.get_mut(&of.job)?.steps.get_mut(&(of.time, of.step))
     }
 
-    /// Whether the present plan has found no room for something that needs no more than the step.
-    /// Room that is kept for tasks that last is not counted.
-    fn is_full_for(&self, of: StepId) -> bool {
+    /// Whether the current plan has found no worker for something that needs no more than the step.
+    /// Capacity that is reserved for long-running tasks is not counted.
+    fn is_unplaceable(&self, of: StepId) -> bool {
         let Some(step) = self.step(of).filter(|step| !step.lasting) else {
             return false;
         };
         let charge = step.charge();
-        self.full.iter().any(|tried| tried.is_within(&charge))
+        self.unplaceable.iter().any(|tried| tried.is_within(&charge))
     }
 
-    /// Notes that no worker has room for a step, if room is all that it asks for.
-    fn note_full(&mut self, of: StepId) {
+    /// Records that no worker has the resources for a step, if it has no other requirement.
+    fn note_unplaceable(&mut self, of: StepId) {
         let Some(job) = self.jobs.get(&of.job) else {
             return;
         };
         let step = job.step(of.step);
-        let picky = !step.label.is_empty() || step.apart != 0 || job.record.advice.is_some();
-        if !picky && !step.lasting {
-            self.full.push(step.charge());
+        let is_constrained =
+            !step.label.is_empty() || step.apart != 0 || job.record.advice.is_some();
+        if !is_constrained && !step.lasting {
+            self.unplaceable.push(step.charge());
         }
     }
 
-    /// Keeps a worker's room for a task that lasts and finds none, or small tasks would take each
-    /// piece of room as soon as it is free.
-    fn reserve(&mut self, of: StepId, now: Steady) {
+    /// Reserves a worker's capacity for a long-running task that finds none; otherwise small tasks
+    /// would take all capacity as soon as it is free.
+    fn reserve_worker(&mut self, of: StepId, now: Steady) {
         let Some(job) = self.jobs.get(&of.job) else {
             return;
         };
@@ -149,25 +150,25 @@
         self.reserved.extend(worker);
     }
 
-    /// Tells now and then why the tasks of a step wait.
-    fn note_waiting(&mut self, of: StepId, now: Steady) {
+    /// Logs from time to time why the tasks of a step wait.
+    fn log_waiting(&mut self, of: StepId, now: Steady) {
         let Some(job) = self.jobs.get_mut(&of.job) else {
             return;
         };
-        let pause = TELL_WAITING_MS << job.times_told.min(TELL_MOST_DOUBLINGS);
+        let pause = WAITING_LOG_MS << job.times_told.min(WAITING_LOG_MAX_DOUBLINGS);
         if now.since(job.told_waiting) < pause {
             return;
         }
         let step = job.record.steps[of.step as usize].clone();
         let ticketed = job.record.advice.is_some();
-        // The first time starts the clock: a short wait is not told.
+        // The first call only starts the delay: a short wait is not logged.
         let first = job.told_waiting == Steady::default();
         job.told_waiting = now;
         job.times_told += u32::from(!first);
         let Some(tasks) = job.steps.get(&(of.time, of.step)).filter(|_| !first) else {
             return;
         };
-        let (workers, emptying) = (&self.workers, &self.emptying);
+        let (workers, emptying) = (&self.workers, &self.draining);
         let scene = Scene { workers, emptying, reserved: &self.reserved, now };
         let refusals = scene.refusals(&step, tasks, ticketed);
         log::info!("job {}: step {of} waits: {refusals:?}", of.job);
@@ -178,7 +179,7 @@
     }
 
     /// The tasks of a step that wait to be started.
-    fn waiting(&self, of: StepId, doubt: &Doubt, now: Steady) -> Vec<u32> {
+    fn waiting_tasks(&self, of: StepId, unconfirmed: &Unconfirmed, now: Steady) -> Vec<u32> {
         let Some(job) = self.jobs.get(&of.job) else {
             return Vec::new();
         };
@@ -187,16 +188,17 @@
         };
         let waits = |(index, task): (usize, &crate::jobs::job::Task)| {
             let index = index as u32;
-            // Where it runs is known of one that was taken over, and not how often it has failed.
+            // For a run that was taken over its place is known, but not how often its task has
+            // failed.
             let known = task.accounted && !job.may_have_failed(of, index);
-            let certain = known || !doubt.covers(&TaskId { of, index });
+            let certain = known || !unconfirmed.covers(&TaskId { of, index });
             let may = task.not_before <= now && certain && job.may_start(task);
             (task.is_waiting() && may).then_some(index)
         };
         tasks.tasks.iter().enumerate().filter_map(waits).collect()
     }
 
-    /// Which tasks of a step have a trial announced at some worker, and which have none.
+    /// Splits the tasks of a step into those with an announced isolated retry and the others.
     fn split_announced(&self, of: StepId, tasks: Vec<u32>) -> (Vec<u32>, Vec<u32>) {
         let is_announced = |index: &u32| {
             let job = self.jobs.get(&of.job);
@@ -206,7 +208,7 @@
         tasks.into_iter().partition(is_announced)
     }
 
-    /// Starts the tasks of a step one by one; tells whether all found room.
+    /// Starts the tasks of a step one by one; returns whether all found a worker.
     fn place_tasks(
         &mut self,
         of: StepId,
@@ -215,16 +217,16 @@
         out: &mut Vec<Effect>,
     ) -> bool {
         for index in waiting {
-            let announced = self.announced_trial(TaskId { of, index: *index }, now.steady);
+            let announced = self.announced_isolated_retry(TaskId { of, index: *index }, now.steady);
             let Some(worker) = announced.or_else(|| self.worker_for(of, *index, None, now.steady))
             else {
-                self.note_full(of);
+                self.note_unplaceable(of);
                 return false;
             };
-            if self.announce_trial(TaskId { of, index: *index }, &worker, now.steady) {
+            if self.announce_isolated_retry(TaskId { of, index: *index }, &worker, now.steady) {
                 continue;
             }
-            self.start(of, *index, &worker, None, now, out);
+            self.start_run(of, *index, &worker, None, now, out);
         }
         true
     }
@@ -320,11 +322,11 @@
             task.saved = saved.clone();
         }
         for (index, worker) in places {
-            self.start(of, index, &worker, Some(saved.clone()), now, out);
+            self.start_run(of, index, &worker, Some(saved.clone()), now, out);
         }
     }
 
-    fn start(
+    fn start_run(
         &mut self,
         of: StepId,
         index: u32,
@@ -343,7 +345,7 @@
         let Some(until_ms) = worker.give(now.steady) else {
             return;
         };
-        let (charge, lasting) = (job.step(of.step).charge(), job.step(of.step).lasting);
+        let (charge, long_running) = (job.step(of.step).charge(), job.step(of.step).lasting);
         let payload = job.record.payload.clone();
         let ticket = job.steps.get(&(of.time, of.step)).and_then(|step| step.tickets.get(id));
         let ticket = ticket.map(|(ticket, _)| ticket.clone()).unwrap_or_default();
@@ -362,7 +364,7 @@
         worker.occupy(task, run, &charge);
         if entry.suspect {
             worker.trial = Some(task);
-            worker.next_look = now.steady.after(TRIAL_LOOK_MS);
+            worker.next_look = now.steady.after(ISOLATED_RETRY_POLL_MS);
             worker.hurried = true;
             log::info!(
                 "job {}: task {task} run {run} at {id}: on trial: {} workers were lost under it",
@@ -379,7 +381,7 @@
                     of.job
                 );
             }
-            None if lasting => {
+            None if long_running => {
                 log::info!("job {}: task {task} run {run} at {id}: started", of.job);
             }
             None => {}
@@ -389,33 +391,33 @@
         out.push(Effect::Start { to, start });
     }
 
-    /// Moves work away from workers that leave and from hosts that are being emptied.
-    pub(super) fn empty(&mut self, now: Steady, out: &mut Vec<Effect>) {
-        let leaving: Vec<Incarnation> = self
+    /// Stops runs on workers that leave and on hosts that are being drained.
+    pub(super) fn drain(&mut self, now: Steady, out: &mut Vec<Effect>) {
+        let to_drain: Vec<Incarnation> = self
             .workers
             .values()
             .filter(|worker| {
-                worker.report.leaves_ms.is_some() || self.emptying.contains_key(&worker.report.host)
+                worker.report.leaves_ms.is_some() || self.draining.contains_key(&worker.report.host)
             })
             .filter(|worker| !worker.copies.is_empty())
             .map(|worker| worker.report.id.clone())
             .collect();
-        for id in leaving {
+        for id in to_drain {
             let tasks: Vec<TaskId> = self.workers[&id].copies.keys().copied().collect();
             for task in tasks {
-                if self.may_leave(task, &id, now) {
+                if self.may_stop_for_leave(task, &id, now) {
                     log::info!(
                         "job {}: task {task} at {id}: stopped: its worker is to leave",
                         task.of.job
                     );
-                    self.stop(task, &id, now, out);
+                    self.stop_run(task, &id, now, out);
                 }
             }
         }
     }
 
-    /// Whether a run may be ended so that its worker can leave.
-    fn may_leave(&self, task: TaskId, id: &Incarnation, now: Steady) -> bool {
+    /// Whether a run may be stopped so that its worker can leave.
+    fn may_stop_for_leave(&self, task: TaskId, id: &Incarnation, now: Steady) -> bool {
         let Some(job) = self.jobs.get(&task.of.job) else {
             return false;
         };
@@ -426,29 +428,35 @@
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
-        let copy = tasks.tasks.get(task.index as usize);
-        let copy = copy.and_then(|task| task.copies.iter().find(|copy| copy.worker == *id));
-        let Some(copy) = copy.filter(|copy| copy.phase == Phase::Running) else {
+        let task_run = tasks.tasks.get(task.index as usize);
+        let task_run =
+            task_run.and_then(|task| task.copies.iter().find(|task_run| task_run.worker == *id));
+        let Some(task_run) = task_run.filter(|task_run| task_run.phase == Phase::Running) else {
             return false;
         };
         if !step.lasting {
-            // Tasks that save go on from where they were; others, and those that are nearly done,
-            // are let finish.
-            let whole = self.durations.expect(&job.record.queue, step.estimate_ms);
-            let left = whole * u64::from(100 - copy.percent.min(100)) / 100;
-            return step.saves && LET_FINISH_MS < left;
+            // Tasks with checkpoints resume where they were; others, and those that are nearly
+            // done, run to their end.
+            let estimate = self.durations.expect(&job.record.queue, step.estimate_ms);
+            let left = estimate * u64::from(100 - task_run.percent.min(100)) / 100;
+            return step.saves && MOVE_MIN_REMAINING_MS < left;
         }
         if worker.report.leaves_ms.is_some() || step.may_miss == 0 {
             return true;
         }
-        let at_work = |copy: &Copy| {
-            // A worker that is silent may be gone.
-            let heard = self.workers.get(&copy.worker).is_some_and(|worker| worker.is_heard(now));
-            // One that was taken over may have been told to stop.
-            let settled = copy.adopted.is_none_or(|at| STOP_SETTLES_MS <= now.since(at));
-            heard && settled && copy.phase == Phase::Running && AT_WORK_PERCENT <= copy.percent
+        let is_ready = |task_run: &Copy| {
+            // A silent worker may have ended.
+            let answers =
+                self.workers.get(&task_run.worker).is_some_and(|worker| worker.is_heard(now));
+            // An earlier owner may have ordered a run that was taken over to stop.
+            let is_certain = task_run.adopted.is_none_or(|at| LATE_STOP_MS <= now.since(at));
+            answers
+                && is_certain
+                && task_run.phase == Phase::Running
+                && READY_PERCENT <= task_run.percent
         };
-        let away = tasks.tasks.iter().filter(|task| !task.copies.iter().any(at_work)).count();
-        (away as u32) < step.may_miss
+        let unavailable =
+            tasks.tasks.iter().filter(|task| !task.copies.iter().any(is_ready)).count();
+        (unavailable as u32) < step.may_miss
     }
 }
