--- a/src/jobs/fleet.rs
+++ b/src/jobs/fleet.rs
@@ -1,8 +1,9 @@
-//! The work of all pools together: hosts are emptied for upkeep and for other pools, maintained,
-//! and moved to where they are needed. Decisions only: what is known and the present time go in.
+//! The fleet owner: drains hosts for upkeep and for other pools, has them maintained, and moves
+//! them to the pools that need them. A state machine without I/O: a snapshot and the current time
+//! go in, effects come out.
 //!
-//! A host is touched only after its pool's owner has written that nothing runs there any more, and
-//! that owner starts nothing there while the host is marked to leave.
+//! A host is maintained or moved only after its pool's owner has recorded that nothing runs there
+//! any more. That owner starts nothing on the host while its drain mark is set.
 
 mod calls;
 mod marks;
@@ -19,7 +20,7 @@
 use serde::{Deserialize, Serialize};
 
 use self::{
-    calls::{Call, CallState, Pace},
+    calls::{Call, CallState, RateLimiter},
     marks::Marks,
     wave::WaveWrites,
 };
@@ -32,32 +33,33 @@
 
 pub(crate) use marks::Mark;
 
-/// How often the list of hosts is read while something is under way, in milliseconds.
-const LIST_BUSY_MS: u64 = 250;
+/// How often the host list is read while upkeep or moves are in progress, in milliseconds.
+const BUSY_LIST_INTERVAL_MS: u64 = 250;
 
-/// How often it is read otherwise, in milliseconds.
-const LIST_IDLE_MS: u64 = 2_000;
+/// How often the host list is read otherwise, in milliseconds.
+const IDLE_LIST_INTERVAL_MS: u64 = 2_000;
 
-/// How long a host that does not come is called, in milliseconds.
-const COMING_MOST_MS: u64 = 10_000;
+/// How long a switched-off host may take to join a pool before its move is given up, in
+/// milliseconds.
+const INCOMING_TIMEOUT_MS: u64 = 10_000;
 
-/// How long after a write that failed the same is decided on again, in milliseconds: longer than a
-/// write takes that is done late.
-const WRITE_AGAIN_MS: u64 = 500;
+/// How long after a failed write the same decision may be made again, in milliseconds: longer than
+/// a delayed write takes to be committed.
+const WRITE_RETRY_MS: u64 = 500;
 
-/// How large pools are.
+/// Settings for the size of pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Sizing {
-    /// The share of a pool's processor time that demand may take before hosts are added, in
-    /// percent: tasks do not fill hosts to the brim.
+    /// The share of a pool's processor time that demand may use before hosts are added, in percent.
+    /// Tasks do not fill a host completely.
     pub(crate) full_percent: u64,
-    /// The share, in percent, of the growth of its demand over the last second that a pool is
-    /// prepared for before it comes: hosts take about two seconds to come.
+    /// The share, in percent, of the growth in demand over the last second that is added to the
+    /// forecast. Hosts take about two seconds to join a pool.
     pub(crate) growth_percent: u64,
-    /// Hosts that a pool has beside those that its demand fills.
+    /// Spare hosts of a pool beyond those that its demand fills.
     pub(crate) margin_hosts: usize,
-    /// How long a pool keeps hosts that it needed, in milliseconds: a move is paid for like a
-    /// second of a host.
+    /// How long a pool keeps hosts after its demand has dropped, in milliseconds: a move costs as
+    /// much as one second of a host.
     pub(crate) shrink_after_ms: u64,
 }
 
@@ -67,308 +69,315 @@
     }
 }
 
-/// Why a host is to be emptied.
+/// The action for which a host must be empty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Leave {
-    /// For upkeep, as part of a wave.
+    /// Upkeep, as part of this wave.
     Upkeep(u64),
-    /// For another pool.
+    /// A move to this pool.
     Move(PoolId),
 }
 
-/// What a pool asks for now.
+/// The current demand of a pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Demand {
-    /// Processor time of what runs or could run, in millicores, of jobs that can end in time.
+    /// Processor time of the tasks that run or are ready to run, in millicores, of jobs that can
+    /// still end in time.
     pub(crate) cpu: u64,
-    /// The same, of jobs that cannot.
+    /// The same for jobs that cannot.
     pub(crate) late: u64,
-    /// Hosts over which its tasks must be spread.
+    /// Number of hosts over which its lasting tasks must be spread.
     pub(crate) spread: usize,
-    /// Whether some of it ends by itself.
+    /// Whether some of the tasks end by themselves.
     pub(crate) ends: bool,
-    /// Processor time, in millicores, that it takes to keep up with what came lately, and how
-    /// many jobs these were.
+    /// Processor time, in millicores, that it takes to keep up with the jobs that arrived recently,
+    /// and how many jobs these were.
     pub(crate) arriving: u64,
     pub(crate) arrivals: u32,
 }
 
-/// What a pool has and asks for, for the log.
+/// Size and demand of a pool, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PoolSummary {
     pub(crate) pool: PoolId,
     /// Hosts in the pool, whatever their phase.
     pub(crate) listed: usize,
-    /// Hosts that are up and stay.
-    pub(crate) free: usize,
-    /// Hosts that are to come.
+    /// Hosts that are up and not marked for draining.
+    pub(crate) available: usize,
+    /// Hosts that are expected to join.
     pub(crate) expected: usize,
-    /// Hosts that its demand asks for.
+    /// Hosts that its demand needs.
     pub(crate) wanted: usize,
-    /// Processor time that work which can be in time asks for, in cores.
+    /// Processor time demanded by work that can still end in time, in cores.
     pub(crate) cores: u64,
-    /// The same of late work.
-    pub(crate) late: u64,
+    /// Processor time demanded by late work, in cores.
+    pub(crate) late_cores: u64,
 }
 
 impl fmt::Display for PoolSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let PoolSummary { pool, listed, free, expected, wanted, cores, late } = self;
+        let PoolSummary { pool, listed, available, expected, wanted, cores, late_cores } = self;
         write!(
             f,
-            "fleet: pool {pool}: {listed} hosts, {free} stay, {expected} come, {wanted} wanted for \
-             {cores} cores, {late} of late work"
+            "fleet: pool {pool}: {listed} hosts, {available} available, {expected} expected, \
+             {wanted} wanted for {cores} cores, {late_cores} cores of late work"
         )
     }
 }
 
-/// What is known when the fleet's owner decides.
+/// The input of one plan of the fleet owner.
 pub(crate) struct Scene<'a> {
     pub(crate) config: &'a QueueConfig,
     pub(crate) demands: &'a BTreeMap<PoolId, Demand>,
-    /// The revision up to which the view is known.
+    /// The store revision that the view has reached.
     pub(crate) known: Revision,
     pub(crate) leaves: &'a BTreeMap<HostId, Mark>,
-    /// Hosts that are empty, by the worker that was.
+    /// Drained hosts, with the worker that was found empty.
     pub(crate) empties: &'a BTreeMap<HostId, WorkerId>,
     pub(crate) upkeeps: &'a [Upkeep],
-    /// Hosts that had their upkeep, by wave.
+    /// Hosts whose upkeep is recorded as done, by wave.
     pub(crate) maintained: &'a BTreeMap<u64, BTreeSet<HostId>>,
-    /// Waves that were reported as done.
+    /// Waves that have been reported as done.
     pub(crate) reported: &'a BTreeSet<u64>,
-    /// Hosts on which nothing runs, as their pools' owners last wrote.
+    /// Hosts on which nothing runs, as last published by their pools' owners.
     pub(crate) idle: &'a BTreeSet<HostId>,
-    /// Hosts with little to do, as their pools' owners last wrote: by pool, the one with the least
-    /// first.
+    /// Hosts with a light load, as last published by their pools' owners: within each pool, the
+    /// least loaded first.
     pub(crate) light: &'a [HostId],
-    /// Hosts with more to do, none of which lasts: by pool, the one with the least first.
+    /// Hosts with a higher load and no lasting task: within each pool, the least loaded first.
     pub(crate) busy: &'a [HostId],
-    /// Hosts that an earlier owner has called so lately that another must not yet.
+    /// Hosts that an earlier owner has called so recently that this one must not call them yet.
     pub(crate) resting: &'a BTreeSet<HostId>,
 }
 
-/// What the fleet's owner wants done.
+/// An action that the fleet owner wants carried out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FleetEffect {
-    /// Read the list of hosts.
+    /// Read the host list.
     List,
-    /// Mark a host to leave.
+    /// Set the drain mark of a host.
     Mark(HostId, Leave),
-    /// Take the mark away that stands at a revision.
+    /// Remove the drain mark that was written at this revision.
     Unmark(HostId, Revision),
-    /// Have a host maintained.
+    /// Have a host maintained for a wave.
     Maintain(HostId, u64),
-    /// Move a host.
+    /// Move a host to a pool.
     Move(HostId, PoolId),
-    /// Keep that hosts have had their upkeep, and take their marks away.
+    /// Record that the upkeep of hosts is done for a wave, and remove their drain marks.
     Maintained(BTreeSet<HostId>, u64),
-    /// Tell the operator how far a wave is.
+    /// Report to the operator that a wave has begun, or that it is done.
     Report(u64, bool),
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum WriteEnd {
-    /// Done, at this revision.
+    /// Committed at this revision.
     Done(Revision),
-    /// Not done, since something is otherwise; the host's mark as it stands, if there is one.
+    /// Not committed because a condition did not hold; carries the host's current mark, if any.
     Refused(Option<Mark>),
-    /// No answer, or none that tells: it may be done, or be done later.
+    /// No conclusive answer: it may have been committed, or may be later.
     Lost,
 }
 
-/// What became of a call that changes a host.
+/// The result of a call that maintains or moves a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallEnd {
+    /// The platform has begun the action.
     Begun,
-    /// Not done, and never will be.
+    /// Not begun, and never will be.
     NotBegun,
-    /// No answer that tells: it may be done, or be done later.
+    /// No conclusive answer: it may have begun, or may begin later.
     Unknown,
-    /// The platform took no more calls.
+    /// Rejected by the rate limit of the platform.
     Limited,
 }
 
-/// A host that is off and comes to a pool.
+/// A switched-off host that is joining a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Coming {
+struct Incoming {
     pool: PoolId,
     since: Steady,
 }
 
-/// The owner of the fleet's work.
+/// The fleet owner.
 pub(crate) struct Fleet {
     pub(crate) token: u64,
     sizing: Sizing,
     calls: BTreeMap<HostId, Call>,
-    pace: Pace,
-    /// Hosts that are off and come to a pool: nothing runs there, so that they need no mark.
-    coming: BTreeMap<HostId, Coming>,
+    rate_limiter: RateLimiter,
+    /// Switched-off hosts that are joining a pool. Nothing runs there, so they need no drain mark.
+    incoming: BTreeMap<HostId, Incoming>,
     marks: Marks,
-    /// What was written of waves.
+    /// The state of this owner's writes for each wave.
     waves: BTreeMap<u64, WaveWrites>,
-    /// Pools that have had work that ends: the others are left as the operator made them.
-    worked: BTreeSet<PoolId>,
+    /// Pools that have had work that ends by itself. Only these give up hosts that they do not
+    /// need; the others keep the size that the operator gave them.
+    active_pools: BTreeSet<PoolId>,
     hosts: BTreeMap<HostId, ListedHost>,
     /// The processor time of a host, in millicores.
     host_cpu: u64,
-    /// When the newest list was asked for.
-    listed: Option<Steady>,
-    listing: bool,
+    /// When the latest host list was requested.
+    listed_at: Option<Steady>,
+    list_pending: bool,
     next_list: Steady,
-    /// Hosts wanted of late, by pool.
-    demands: BTreeMap<PoolId, VecDeque<(Steady, usize)>>,
-    /// Processor time asked for of late, by pool, in millicores.
-    asked: BTreeMap<PoolId, VecDeque<(Steady, u64)>>,
+    /// Recent numbers of wanted hosts, by pool.
+    recent_wanted: BTreeMap<PoolId, VecDeque<(Steady, usize)>>,
+    /// Recent demand for processor time, by pool, in millicores.
+    recent_cpu: BTreeMap<PoolId, VecDeque<(Steady, u64)>>,
 }
 
 impl Fleet {
-    /// An owner that has just won the work.
+    /// A fleet owner that has just acquired its ownership.
     pub(crate) fn new(token: u64, sizing: Sizing, now: Steady) -> Fleet {
         Fleet {
             token,
             sizing,
             calls: BTreeMap::new(),
-            pace: Pace::default(),
-            coming: BTreeMap::new(),
+            rate_limiter: RateLimiter::default(),
+            incoming: BTreeMap::new(),
             marks: Marks::default(),
             waves: BTreeMap::new(),
-            worked: BTreeSet::new(),
+            active_pools: BTreeSet::new(),
             hosts: BTreeMap::new(),
             host_cpu: 0,
-            listed: None,
-            listing: false,
+            listed_at: None,
+            list_pending: false,
             next_list: now,
-            demands: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            recent_wanted: BTreeMap::new(),
+            recent_cpu: BTreeMap::new(),
         }
     }
 
-    /// Counts, in tests, that a plan looks at a host or a mark: what it costs must grow with the
-    /// hosts, not with the hosts times the marks.
-    fn count_look(&self) {
-        self.marks.count_look();
+    /// Counts, in tests, a visit of a host or a mark by a plan. The cost of a plan must grow with
+    /// the number of hosts, not with hosts times marks.
+    fn count_visit(&self) {
+        self.marks.count_visit();
     }
 
-    /// How often a host or a mark was looked at since this was last asked.
+    /// Returns the number of visits of hosts and marks, and resets it.
     #[cfg(test)]
-    pub(crate) fn take_looks(&self) -> usize {
-        self.marks.looks.take()
+    pub(crate) fn take_visits(&self) -> usize {
+        self.marks.visits.take()
     }
 
-    /// Takes note of a list that was asked for at a moment; nothing if it was not read.
+    /// Updates the hosts from a list that was requested at `sent`; `None` if reading it failed.
     pub(crate) fn heard_list(&mut self, sent: Steady, hosts: Option<Vec<ListedHost>>) {
-        self.listing = false;
+        self.list_pending = false;
         if let Some(hosts) = hosts {
             self.hosts = hosts.into_iter().map(|host| (host.host.clone(), host)).collect();
-            self.listed = Some(sent);
-            self.note_rooms();
+            self.listed_at = Some(sent);
+            self.update_host_cpu();
         }
     }
 
-    /// What is to be done now.
-    pub(crate) fn plan(&mut self, scene: &Scene<'_>, now: Steady) -> Vec<FleetEffect> {
+    /// Decides what to do now.
+    pub(crate) fn plan(&mut self, snapshot: &Scene<'_>, now: Steady) -> Vec<FleetEffect> {
         let mut out = Vec::new();
-        self.note_demand(scene, now);
-        self.marks.refresh(scene, now);
-        self.list(scene, now, &mut out);
-        if self.listed.is_none() {
+        self.record_demand(snapshot, now);
+        self.marks.refresh(snapshot, now);
+        self.request_list(snapshot, now, &mut out);
+        if self.listed_at.is_none() {
             return out;
         }
-        self.finish(scene, now, &mut out);
-        self.call(scene, now, &mut out);
-        // Those that were not called yet are decided on anew.
+        self.finish_actions(snapshot, now, &mut out);
+        self.make_calls(snapshot, now, &mut out);
+        // Incoming hosts that were not called yet are chosen again below.
         let calls = &self.calls;
-        self.coming.retain(|host, _| calls.contains_key(host));
-        for upkeep in scene.upkeeps {
-            self.wave(scene, upkeep, now, &mut out);
+        self.incoming.retain(|host, _| calls.contains_key(host));
+        for upkeep in snapshot.upkeeps {
+            self.advance_wave(snapshot, upkeep, now, &mut out);
         }
-        self.size(scene, now, &mut out);
+        self.resize_pools(snapshot, now, &mut out);
         out
     }
 
-    /// Whether something is decided for a host already, shown by the view or not.
-    fn is_taken(&self, host: &HostId) -> bool {
-        self.marks.is_taken(host) || self.coming.contains_key(host)
+    /// Whether an action is already pending for a host, whether or not the view shows it.
+    fn is_pending(&self, host: &HostId) -> bool {
+        self.marks.is_pending(host) || self.incoming.contains_key(host)
     }
 
-    fn list(&mut self, scene: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
-        if self.listing || now < self.next_list {
+    fn request_list(&mut self, snapshot: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
+        if self.list_pending || now < self.next_list {
             return;
         }
-        let waves = scene.upkeeps.iter().any(|upkeep| !scene.reported.contains(&upkeep.wave));
-        let busy =
-            waves || !scene.leaves.is_empty() || !self.calls.is_empty() || !self.coming.is_empty();
-        self.listing = true;
-        self.next_list = now.after(if busy { LIST_BUSY_MS } else { LIST_IDLE_MS });
+        let waves = snapshot.upkeeps.iter().any(|upkeep| !snapshot.reported.contains(&upkeep.wave));
+        let busy = waves
+            || !snapshot.leaves.is_empty()
+            || !self.calls.is_empty()
+            || !self.incoming.is_empty();
+        self.list_pending = true;
+        self.next_list =
+            now.after(if busy { BUSY_LIST_INTERVAL_MS } else { IDLE_LIST_INTERVAL_MS });
         out.push(FleetEffect::List);
     }
 
-    /// Ends what the list shows to be over.
-    fn finish(&mut self, scene: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
-        let Some(listed) = self.listed else {
+    /// Finishes the actions that the host list shows to be complete.
+    fn finish_actions(&mut self, snapshot: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
+        let Some(listed_at) = self.listed_at else {
             return;
         };
         let mut maintained: BTreeMap<u64, BTreeSet<HostId>> = BTreeMap::new();
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (host, mark) in self.marks.iter() {
-            let Some(known) = self.hosts.get(host) else {
-                // It has gone for good.
-                over.push(host.clone());
+            let Some(entry) = self.hosts.get(host) else {
+                // The host was removed from the fleet.
+                finished.push(host.clone());
                 continue;
             };
-            let up = known.phase == HostPhase::Up;
-            match &mark.leave {
+            let up = entry.phase == HostPhase::Up;
+            match &mark.action {
                 Leave::Upkeep(wave) => {
-                    let state = self.call_state(host, &mark.leave);
-                    let begun = matches!(state, Some(CallState::Begun(at)) if at < listed);
-                    if self.is_kept(scene, *wave, host) {
-                        over.push(host.clone());
-                    } else if begun && up && self.marks.settled(host).is_some() {
+                    let state = self.call_state(host, &mark.action);
+                    let begun = matches!(state, Some(CallState::Begun(at)) if at < listed_at);
+                    if self.is_maintained(snapshot, *wave, host) {
+                        finished.push(host.clone());
+                    } else if begun && up && self.marks.confirmed_mark(host).is_some() {
                         maintained.entry(*wave).or_default().insert(host.clone());
                     }
                 }
-                Leave::Move(pool) if up && known.pool == *pool => over.push(host.clone()),
+                Leave::Move(pool) if up && entry.pool == *pool => finished.push(host.clone()),
                 Leave::Move(_) => {}
             }
         }
-        for host in over {
+        for host in finished {
             self.calls.remove(&host);
-            self.unmark(&host, out);
+            self.remove_mark(&host, out);
         }
         for (wave, hosts) in maintained {
-            self.keep(wave, hosts, now, out);
+            self.write_maintained(wave, hosts, now, out);
         }
         let hosts = &self.hosts;
-        self.coming.retain(|host, coming| {
-            let Some(known) = hosts.get(host) else {
+        self.incoming.retain(|host, incoming| {
+            let Some(entry) = hosts.get(host) else {
                 return false;
             };
-            let there = known.phase == HostPhase::Up && known.pool == coming.pool;
-            let given_up = COMING_MOST_MS < now.since(coming.since);
-            !there && (!given_up || known.phase == HostPhase::Moving)
+            let has_arrived = entry.phase == HostPhase::Up && entry.pool == incoming.pool;
+            let is_overdue = INCOMING_TIMEOUT_MS < now.since(incoming.since);
+            !has_arrived && (!is_overdue || entry.phase == HostPhase::Moving)
         });
-        let (marks, coming) = (&self.marks, &self.coming);
+        let (marks, incoming) = (&self.marks, &self.incoming);
         self.calls.retain(|host, call| {
-            let comes = |coming: &Coming| call.purpose == Leave::Move(coming.pool.clone());
-            marks.get(host).is_some_and(|mark| mark.leave == call.purpose)
-                || coming.get(host).is_some_and(comes)
-                || call.state == CallState::OnItsWay
+            let matches_call =
+                |incoming: &Incoming| call.action == Leave::Move(incoming.pool.clone());
+            marks.get(host).is_some_and(|mark| mark.action == call.action)
+                || incoming.get(host).is_some_and(matches_call)
+                || call.state == CallState::InFlight
         });
     }
 
-    /// By pool, the hosts that are up and not marked to leave. What is idle comes first: it leaves
-    /// at once.
-    fn staying(&self, scene: &Scene<'_>) -> BTreeMap<&PoolId, Vec<HostId>> {
-        let mut staying: BTreeMap<&PoolId, Vec<HostId>> = BTreeMap::new();
-        for known in self.hosts.values().inspect(|_| self.count_look()) {
-            if known.phase == HostPhase::Up && !self.is_taken(&known.host) {
-                staying.entry(&known.pool).or_default().push(known.host.clone());
+    /// By pool, the hosts that are up and have no pending action. Idle ones come first, since they
+    /// can be drained at once.
+    fn available_hosts(&self, snapshot: &Scene<'_>) -> BTreeMap<&PoolId, Vec<HostId>> {
+        let mut available: BTreeMap<&PoolId, Vec<HostId>> = BTreeMap::new();
+        for entry in self.hosts.values().inspect(|_| self.count_visit()) {
+            if entry.phase == HostPhase::Up && !self.is_pending(&entry.host) {
+                available.entry(&entry.pool).or_default().push(entry.host.clone());
             }
         }
-        for hosts in staying.values_mut() {
-            hosts.sort_by_cached_key(|host| !scene.idle.contains(host));
+        for hosts in available.values_mut() {
+            hosts.sort_by_cached_key(|host| !snapshot.idle.contains(host));
         }
-        staying
+        available
     }
 }
--- a/src/jobs/fleet/calls.rs
+++ b/src/jobs/fleet/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that change hosts: which are made, and how far they are.
+//! Calls to the platform that maintain or move hosts: which ones are made, and their state.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,262 +9,272 @@
     worker::{HostPhase, ListedHost},
 };
 
-/// How long after a call without an answer it is made again, in milliseconds. A call that was
-/// carried out is answered as done.
-const CALL_AGAIN_MS: u64 = 300;
+/// How long after a call without an answer it is retried, in milliseconds. The platform answers a
+/// repeated call as done if the first one was carried out.
+const CALL_RETRY_MS: u64 = 300;
 
-/// Calls that may be on their way at one time: what the platform allows in a second.
-const CALLS_MOST: usize = 64;
+/// The most calls in flight at one time: what the platform may allow per second.
+const MAX_CALLS_IN_FLIGHT: usize = 64;
 
-/// How long no call is made after one that the platform did not take, in milliseconds: what it takes
-/// in a second has a quarter of its room again by then.
-const LIMITED_PAUSE_MS: u64 = 250;
+/// How long no call is made after the platform has rejected one, in milliseconds: a quarter of the
+/// platform's limit per second is free again by then.
+const RATE_LIMIT_PAUSE_MS: u64 = 250;
 
-/// Over how long the platform counts the calls that it takes, in milliseconds.
-const COUNTED_MS: u64 = 1_000;
+/// The window over which the platform counts calls, in milliseconds.
+const RATE_WINDOW_MS: u64 = 1_000;
 
-/// The least calls in that time, however many were not taken: an earlier owner's calls may have filled
-/// it, and with a quarter more each second 64 are reached again after 7 s.
-const CALLS_LEAST: usize = 16;
+/// The lower bound of the limit, in calls per window, however many calls are rejected: the calls of
+/// an earlier owner may have used up the window. Growing by a quarter each second, the limit is
+/// back at 64 after 7 s.
+const MIN_CALL_RATE: usize = 16;
 
-/// How many calls are made in a second, by what the platform took: with each host tried again on its
-/// own, calls that are not taken come again and again before those that are worth more.
+/// Adapts the rate of calls to what the platform accepts. If each host were retried independently,
+/// rejected calls would be repeated ahead of calls of higher priority.
 #[derive(Debug, Default)]
-pub(super) struct Pace {
-    /// The most that may be made; nothing as long as all were taken.
-    most: Option<usize>,
-    /// When the bound was last changed.
-    changed: Steady,
-    /// When the last calls were made that were taken, or may be.
-    made: VecDeque<Steady>,
-    not_before: Steady,
+pub(super) struct RateLimiter {
+    /// The limit in calls per window; `None` until a call has been rejected.
+    limit: Option<usize>,
+    /// When the limit was last changed.
+    limit_changed: Steady,
+    /// When the calls of the current window were made, without those that were rejected.
+    recent_calls: VecDeque<Steady>,
+    paused_until: Steady,
 }
 
-impl Pace {
-    /// How many calls may be made now. The bound rises by a quarter a second as long as all are
-    /// taken, since others may have used what was allowed.
-    fn room(&mut self, now: Steady) -> usize {
-        self.forget(now);
-        if now < self.not_before {
+impl RateLimiter {
+    /// How many calls may be made now. The limit rises by a quarter per second as long as no call
+    /// is rejected, since other nodes may have used up the platform's limit before.
+    fn available(&mut self, now: Steady) -> usize {
+        self.expire(now);
+        if now < self.paused_until {
             return 0;
         }
-        let Some(most) = &mut self.most else {
+        let Some(limit) = &mut self.limit else {
             return usize::MAX;
         };
-        if COUNTED_MS <= now.since(self.changed) {
-            *most += most.div_ceil(4);
-            self.changed = now;
+        if RATE_WINDOW_MS <= now.since(self.limit_changed) {
+            *limit += limit.div_ceil(4);
+            self.limit_changed = now;
         }
-        most.saturating_sub(self.made.len())
+        limit.saturating_sub(self.recent_calls.len())
     }
 
-    /// Leaves out calls that no longer count.
-    fn forget(&mut self, now: Steady) {
-        while self.made.front().is_some_and(|at| COUNTED_MS <= now.since(*at)) {
-            self.made.pop_front();
+    /// Drops calls that are older than the window.
+    fn expire(&mut self, now: Steady) {
+        while self.recent_calls.front().is_some_and(|at| RATE_WINDOW_MS <= now.since(*at)) {
+            self.recent_calls.pop_front();
         }
     }
 
-    /// Takes note that a call was not taken.
-    fn limited(&mut self, now: Steady) {
-        self.forget(now);
-        self.made.pop_back();
-        let most = self.made.len().max(CALLS_LEAST);
-        self.most = Some(self.most.map_or(most, |before| before.min(most)));
-        self.changed = now;
-        self.not_before = now.after(LIMITED_PAUSE_MS);
+    /// Lowers the limit after a call was rejected.
+    fn back_off(&mut self, now: Steady) {
+        self.expire(now);
+        self.recent_calls.pop_back();
+        let limit = self.recent_calls.len().max(MIN_CALL_RATE);
+        self.limit = Some(self.limit.map_or(limit, |current| current.min(limit)));
+        self.limit_changed = now;
+        self.paused_until = now.after(RATE_LIMIT_PAUSE_MS);
     }
 }
 
-/// What a call is worth: the first comes first.
+/// The priority of a call, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Worth {
-    /// To a pool that lacks hosts for work that can be in time.
-    Lacking,
+enum CallPriority {
+    /// A move to a pool that lacks hosts for work that can still end in time.
+    Shortage,
     Upkeep,
-    /// To a pool that has what it needs now.
-    More,
-    /// To the pool whose hosts are off.
+    /// A move to a pool that has the hosts that it needs now.
+    Extra,
+    /// A move to the pool whose hosts are switched off.
     Off,
 }
 
-/// A call that changes a host, and what it is for: what became of a move says nothing of upkeep.
+/// A call that maintains or moves a host. Its state counts only for the same action: the result of
+/// a move says nothing about upkeep.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Call {
-    pub(super) purpose: Leave,
+    pub(super) action: Leave,
     pub(super) state: CallState,
 }
 
-/// How far a call that changes a host is.
+/// The state of a call that maintains or moves a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallState {
-    OnItsWay,
-    /// No answer, or none that counts: to be made again.
-    Again(Steady),
-    /// Not done for certain, and decided on anew no sooner than then.
-    Undone(Steady),
-    /// Begun for certain.
+    InFlight,
+    /// No conclusive answer: to be retried at this time.
+    RetryAt(Steady),
+    /// Certain not to have begun; nothing new is decided for the host before this time.
+    NotBegun(Steady),
+    /// Certain to have begun; known since this time.
     Begun(Steady),
 }
 
 impl Fleet {
-    /// Takes note of what became of a call.
-    pub(crate) fn called(&mut self, host: &HostId, purpose: Leave, end: CallEnd, now: Steady) {
-        let state = match end {
+    /// Records the result of a call.
+    pub(crate) fn called(&mut self, host: &HostId, action: Leave, result: CallEnd, now: Steady) {
+        let state = match result {
             CallEnd::Begun => CallState::Begun(now),
-            CallEnd::NotBegun => CallState::Undone(now.after(CALL_AGAIN_MS)),
-            CallEnd::Unknown => CallState::Again(now.after(CALL_AGAIN_MS)),
+            CallEnd::NotBegun => CallState::NotBegun(now.after(CALL_RETRY_MS)),
+            CallEnd::Unknown => CallState::RetryAt(now.after(CALL_RETRY_MS)),
             CallEnd::Limited => {
-                self.pace.limited(now);
-                // An earlier call may have had no answer.
-                CallState::Again(self.pace.not_before)
+                self.rate_limiter.back_off(now);
+                // An earlier call may have begun without an answer: the host may be away.
+                CallState::RetryAt(self.rate_limiter.paused_until)
             }
         };
-        self.calls.insert(host.clone(), Call { purpose, state });
+        self.calls.insert(host.clone(), Call { action, state });
     }
 
-    /// How far the call for a purpose is, if one was made.
-    pub(super) fn call_state(&self, host: &HostId, purpose: &Leave) -> Option<CallState> {
-        self.calls.get(host).filter(|call| call.purpose == *purpose).map(|call| call.state)
+    /// The state of the call for an action, if one was made.
+    pub(super) fn call_state(&self, host: &HostId, action: &Leave) -> Option<CallState> {
+        self.calls.get(host).filter(|call| call.action == *action).map(|call| call.state)
     }
 
-    fn note_call(&mut self, host: &HostId, purpose: Leave) {
-        self.calls.insert(host.clone(), Call { purpose, state: CallState::OnItsWay });
+    fn record_call(&mut self, host: &HostId, action: Leave) {
+        self.calls.insert(host.clone(), Call { action, state: CallState::InFlight });
     }
 
-    /// Whether a call that was made may have taken, or may yet take, its host away.
+    /// Whether a call may have taken its host out of service, or may yet do so.
     pub(super) fn may_be_away(&self, host: &HostId) -> bool {
         let state = self.calls.get(host).map(|call| call.state);
-        !matches!(state, None | Some(CallState::Undone(_)))
+        !matches!(state, None | Some(CallState::NotBegun(_)))
     }
 
-    /// Makes the calls for hosts that are empty, those that are worth most first: fewer are taken in
-    /// a second than hosts are due at a change of turns.
-    pub(super) fn call(&mut self, scene: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
-        let under_way =
-            self.calls.values().filter(|call| call.state == CallState::OnItsWay).count();
-        let mut room = CALLS_MOST.saturating_sub(under_way).min(self.pace.room(now));
-        if room == 0 {
+    /// Makes the calls for hosts that are empty, by priority: when the demand peak passes from one
+    /// pool to another, more hosts are due than the platform accepts calls per second.
+    pub(super) fn make_calls(
+        &mut self,
+        snapshot: &Scene<'_>,
+        now: Steady,
+        out: &mut Vec<FleetEffect>,
+    ) {
+        let in_flight =
+            self.calls.values().filter(|call| call.state == CallState::InFlight).count();
+        let mut allowed =
+            MAX_CALLS_IN_FLIGHT.saturating_sub(in_flight).min(self.rate_limiter.available(now));
+        if allowed == 0 {
             return;
         }
-        let mut away = self.away(scene);
-        for host in self.by_worth(scene) {
-            let Some(leave) = self.due(scene, &host, &away, now) else {
+        let mut away = self.away_by_wave(snapshot);
+        for host in self.hosts_by_priority(snapshot) {
+            let Some(action) = self.due_action(snapshot, &host, &away, now) else {
                 continue;
             };
-            if let Leave::Upkeep(wave) = leave
+            if let Leave::Upkeep(wave) = action
                 && !self.may_be_away(&host)
             {
                 *away.entry(wave).or_default() += 1;
             }
-            if let Some(coming) = self.coming.get_mut(&host)
+            if let Some(incoming) = self.incoming.get_mut(&host)
                 && !self.calls.contains_key(&host)
             {
-                coming.since = now;
+                incoming.since = now;
             }
-            self.note_call(&host, leave.clone());
-            self.pace.made.push_back(now);
-            out.push(match leave {
+            self.record_call(&host, action.clone());
+            self.rate_limiter.recent_calls.push_back(now);
+            out.push(match action {
                 Leave::Upkeep(wave) => FleetEffect::Maintain(host, wave),
                 Leave::Move(pool) => FleetEffect::Move(host, pool),
             });
-            room -= 1;
-            if room == 0 {
+            allowed -= 1;
+            if allowed == 0 {
                 break;
             }
         }
     }
 
-    /// The hosts that come to a pool or are marked to leave, those whose calls are worth most first.
-    fn by_worth(&self, scene: &Scene<'_>) -> Vec<HostId> {
-        let mut lacking = self.lacking(scene);
-        let mut worth = |leave: &Leave| match leave {
-            Leave::Upkeep(_) => Worth::Upkeep,
-            Leave::Move(pool) if scene.config.pools.get(pool).is_some_and(|rules| rules.off) => {
-                Worth::Off
+    /// The hosts that are joining a pool or have a drain mark, by the priority of their calls.
+    fn hosts_by_priority(&self, snapshot: &Scene<'_>) -> Vec<HostId> {
+        let mut shortages = self.shortages(snapshot);
+        let mut priority = |action: &Leave| match action {
+            Leave::Upkeep(_) => CallPriority::Upkeep,
+            Leave::Move(pool) if snapshot.config.pools.get(pool).is_some_and(|rules| rules.off) => {
+                CallPriority::Off
             }
-            Leave::Move(pool) => match lacking.get_mut(pool).filter(|hosts| **hosts != 0) {
+            Leave::Move(pool) => match shortages.get_mut(pool).filter(|hosts| **hosts != 0) {
                 Some(hosts) => {
                     *hosts -= 1;
-                    Worth::Lacking
+                    CallPriority::Shortage
                 }
-                None => Worth::More,
+                None => CallPriority::Extra,
             },
         };
-        let mut hosts: Vec<(Worth, &HostId)> = Vec::new();
-        for (host, coming) in &self.coming {
-            hosts.push((worth(&Leave::Move(coming.pool.clone())), host));
+        let mut hosts: Vec<(CallPriority, &HostId)> = Vec::new();
+        for (host, incoming) in &self.incoming {
+            hosts.push((priority(&Leave::Move(incoming.pool.clone())), host));
         }
         for (host, mark) in self.marks.iter() {
-            hosts.push((worth(&mark.leave), host));
+            hosts.push((priority(&mark.action), host));
         }
-        // Stable: a host that is off comes before one that another pool gives.
-        hosts.sort_by_key(|(worth, _)| *worth);
-        let free = hosts.into_iter().filter(|(_, host)| !scene.resting.contains(*host));
-        free.map(|(_, host)| host.clone()).collect()
+        // The sort is stable: a switched-off host comes before one from another pool.
+        hosts.sort_by_key(|(priority, _)| *priority);
+        let callable = hosts.into_iter().filter(|(_, host)| !snapshot.resting.contains(*host));
+        callable.map(|(_, host)| host.clone()).collect()
     }
 
-    /// By pool, how many hosts it lacks for the work that can be in time, beside those that are
-    /// there and stay. Those whose calls were made are among the ones to be called for.
-    fn lacking<'a>(&self, scene: &Scene<'a>) -> BTreeMap<&'a PoolId, usize> {
-        let staying = self.staying(scene);
-        let lacks = |(pool, demand): (&'a PoolId, &Demand)| {
-            let has = staying.get(pool).map_or(0, Vec::len);
-            (pool, self.needed(demand).saturating_sub(has))
+    /// By pool, how many hosts it lacks, beyond its available ones, for the work that can still end
+    /// in time. Hosts that were already called count as lacking.
+    fn shortages<'a>(&self, snapshot: &Scene<'a>) -> BTreeMap<&'a PoolId, usize> {
+        let available_hosts = self.available_hosts(snapshot);
+        let shortage = |(pool, demand): (&'a PoolId, &Demand)| {
+            let available = available_hosts.get(pool).map_or(0, Vec::len);
+            (pool, self.needed(demand).saturating_sub(available))
         };
-        scene.demands.iter().map(lacks).collect()
+        snapshot.demands.iter().map(shortage).collect()
     }
 
-    /// What a host that comes or is marked is to be called for now, with so many away for each wave.
-    fn due(
+    /// The action for which a joining or marked host is to be called now; `away` counts the hosts
+    /// that are away for each wave.
+    fn due_action(
         &self,
-        scene: &Scene<'_>,
+        snapshot: &Scene<'_>,
         host: &HostId,
         away: &BTreeMap<u64, usize>,
         now: Steady,
     ) -> Option<Leave> {
-        if let Some(coming) = self.coming.get(host) {
+        if let Some(incoming) = self.incoming.get(host) {
             let due = match self.calls.get(host).map(|call| call.state) {
                 None => true,
-                Some(CallState::Again(at) | CallState::Undone(at)) => at <= now,
-                Some(CallState::OnItsWay | CallState::Begun(_)) => false,
+                Some(CallState::RetryAt(at) | CallState::NotBegun(at)) => at <= now,
+                Some(CallState::InFlight | CallState::Begun(_)) => false,
             };
-            return due.then(|| Leave::Move(coming.pool.clone()));
+            return due.then(|| Leave::Move(incoming.pool.clone()));
         }
-        let (leave, _) = self.marks.settled(host)?;
-        let again = match self.calls.get(host) {
+        let (marked, _) = self.marks.confirmed_mark(host)?;
+        let is_retry = match self.calls.get(host) {
             None => false,
-            Some(Call { purpose, state: CallState::Again(at) })
-                if purpose == leave && *at <= now =>
+            Some(Call { action, state: CallState::RetryAt(at) })
+                if action == marked && *at <= now =>
             {
                 true
             }
-            Some(Call { state: CallState::Undone(at), .. }) if *at <= now => false,
+            Some(Call { state: CallState::NotBegun(at), .. }) if *at <= now => false,
             Some(_) => return None,
         };
-        let known = self.hosts.get(host)?;
-        let ready = known.phase == HostPhase::Up && self.is_empty(scene, known);
-        if !again && !ready {
+        let entry = self.hosts.get(host)?;
+        let is_ready = entry.phase == HostPhase::Up && self.is_empty(snapshot, entry);
+        if !is_retry && !is_ready {
             return None;
         }
-        let due = match leave {
+        let due = match marked {
             Leave::Upkeep(wave) => {
-                let most = scene.upkeeps.iter().find(|upkeep| upkeep.wave == *wave);
-                let most = most.map_or(0, |upkeep| upkeep.at_once as usize);
+                let max_away = snapshot.upkeeps.iter().find(|upkeep| upkeep.wave == *wave);
+                let max_away = max_away.map_or(0, |upkeep| upkeep.at_once as usize);
                 let away = away.get(wave).copied().unwrap_or_default();
-                !self.is_kept(scene, *wave, host) && (again || away < most)
+                !self.is_maintained(snapshot, *wave, host) && (is_retry || away < max_away)
             }
-            // Its mark may outlast the move by as much as the view is behind.
-            Leave::Move(pool) => known.phase != HostPhase::Up || known.pool != *pool,
+            // The view may still show the mark after the move.
+            Leave::Move(pool) => entry.phase != HostPhase::Up || entry.pool != *pool,
         };
-        due.then(|| leave.clone())
+        due.then(|| marked.clone())
     }
 
-    /// Whether nothing runs on a host: its owner has said so of its present worker, or it is off.
-    fn is_empty(&self, scene: &Scene<'_>, known: &ListedHost) -> bool {
-        let off = scene.config.pools.get(&known.pool).is_some_and(|rules| rules.off);
-        match &known.worker {
-            Some(worker) => off || scene.empties.get(&known.host) == Some(worker),
+    /// Whether nothing runs on a host: its pool's owner has recorded that for its current worker,
+    /// or the host is switched off.
+    fn is_empty(&self, snapshot: &Scene<'_>, entry: &ListedHost) -> bool {
+        let off = snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.off);
+        match &entry.worker {
+            Some(worker) => off || snapshot.empties.get(&entry.host) == Some(worker),
             None => off,
         }
     }
--- a/src/jobs/fleet/marks.rs
+++ b/src/jobs/fleet/marks.rs
@@ -1,103 +1,103 @@
-//! Which hosts are marked to leave: by the answers of the owner's own writes, and by the view where
-//! these say nothing.
+//! The drain marks of hosts, combined from the results of the owner's own writes and, where there
+//! are none, from the view.
 //!
-//! A view may be seconds behind. An owner that took from it what it has ordered itself would order
-//! it again until the view shows it, and the work of that makes the view later still.
+//! A view may be stale by seconds. An owner that relied on it for its own orders would repeat them
+//! until the view shows them, and that load would delay the view further.
 
 use std::collections::BTreeMap;
 
-use super::{Fleet, FleetEffect, Leave, Scene, WRITE_AGAIN_MS, WriteEnd};
+use super::{Fleet, FleetEffect, Leave, Scene, WRITE_RETRY_MS, WriteEnd};
 use crate::model::{
     id::HostId,
     unit::{Revision, Steady},
 };
 
-/// Marks, written or taken away, that the view may fail to show at one time. With a view a quarter of
-/// a second behind, all of the 64 calls a second that a platform may allow are made (512 moves in 8 s,
-/// in a test's model of the store and the node, as with 256); with one that falls further behind
-/// fewer are, so that a late view makes less work: with 256 a node with 4 ms for each change fell 4.3 s
-/// behind by what it had ordered.
-const UNSHOWN_MOST: usize = 32;
+/// The most writes and removals of marks that the view does not show yet. If the view lags by a
+/// quarter of a second, this allows all of the 64 calls per second that a platform may accept (512
+/// moves in 8 s in a simulation of the store and the node, the same as with 256). If it lags more,
+/// fewer calls are made, so that a stale view causes less load: with 256, a node that takes 4 ms
+/// per change fell 4.3 s behind because of its own orders.
+const MAX_UNSEEN_MARKS: usize = 32;
 
-/// A mark as it stands in the store.
+/// A drain mark as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Mark {
     pub(crate) leave: Leave,
     pub(crate) revision: Revision,
 }
 
-/// How far a write of a host's mark is.
+/// The state of the latest write of a host's mark.
 #[derive(Debug, Clone)]
 enum MarkWrite {
     Marking(Leave),
-    /// Done, and not shown yet.
+    /// Committed, and not shown by the view yet.
     Marked(Mark),
-    /// The mark is being taken away.
+    /// The mark is being removed.
     Unmarking(Mark),
-    /// Failed: nothing more is decided for the host until then.
-    Resting(Steady),
+    /// Failed: nothing is decided for the host before this time.
+    BackingOff(Steady),
 }
 
-/// A mark that was taken away.
+/// A mark that was removed.
 #[derive(Debug, Clone, Copy)]
 struct Removal {
     mark: Revision,
-    /// From this revision on the view is right again.
+    /// The revision of the removal, or that of the mark if the removal's is not known.
     until: Revision,
 }
 
-/// A mark as far as it is known.
+/// A mark as known to the owner.
 #[derive(Debug, Clone)]
 pub(super) struct KnownMark {
-    pub(super) leave: Leave,
-    /// The revision at which it stands for certain.
-    pub(super) standing: Option<Revision>,
+    pub(super) action: Leave,
+    /// The revision of the mark if it is certain to be stored.
+    pub(super) confirmed: Option<Revision>,
 }
 
 /// The marks of all hosts.
 #[derive(Debug, Default)]
 pub(super) struct Marks {
     known: BTreeMap<HostId, KnownMark>,
-    /// When each was first known.
+    /// When each mark was first known.
     since: BTreeMap<HostId, Steady>,
     writes: BTreeMap<HostId, MarkWrite>,
     removals: BTreeMap<HostId, Removal>,
-    /// How often a host or a mark was looked at.
+    /// How often a host or a mark was visited.
     #[cfg(test)]
-    pub(super) looks: std::cell::Cell<usize>,
+    pub(super) visits: std::cell::Cell<usize>,
 }
 
 impl Marks {
-    /// Puts together what the view shows and what was answered.
-    pub(super) fn refresh(&mut self, scene: &Scene<'_>, now: Steady) {
-        let shown = |host: &HostId| scene.leaves.get(host).map(|mark| mark.revision);
+    /// Combines the marks that the view shows with the results of writes.
+    pub(super) fn refresh(&mut self, snapshot: &Scene<'_>, now: Steady) {
+        let shown = |host: &HostId| snapshot.leaves.get(host).map(|mark| mark.revision);
         self.removals.retain(|host, removal| {
-            scene.known < removal.until || shown(host).is_some_and(|at| at <= removal.mark)
+            snapshot.known < removal.until || shown(host).is_some_and(|at| at <= removal.mark)
         });
         self.writes.retain(|host, write| match write {
             MarkWrite::Marking(_) | MarkWrite::Unmarking(_) => true,
             MarkWrite::Marked(mark) => {
-                scene.known < mark.revision && shown(host).is_none_or(|at| at < mark.revision)
+                snapshot.known < mark.revision && shown(host).is_none_or(|at| at < mark.revision)
             }
-            MarkWrite::Resting(until) => now < *until,
+            MarkWrite::BackingOff(until) => now < *until,
         });
         let removals = &self.removals;
-        let stands = |(host, mark): &(&HostId, &Mark)| {
+        let is_current = |(host, mark): &(&HostId, &Mark)| {
             removals.get(*host).is_none_or(|removal| removal.mark < mark.revision)
         };
         let known =
-            |mark: &Mark| KnownMark { leave: mark.leave.clone(), standing: Some(mark.revision) };
-        self.known = scene
+            |mark: &Mark| KnownMark { action: mark.leave.clone(), confirmed: Some(mark.revision) };
+        self.known = snapshot
             .leaves
             .iter()
-            .filter(stands)
+            .filter(is_current)
             .map(|(host, mark)| (host.clone(), known(mark)))
             .collect();
         for (host, write) in &self.writes {
             let mark = match write {
-                MarkWrite::Marking(leave) => KnownMark { leave: leave.clone(), standing: None },
+                MarkWrite::Marking(action) => KnownMark { action: action.clone(), confirmed: None },
                 MarkWrite::Marked(mark) | MarkWrite::Unmarking(mark) => known(mark),
-                MarkWrite::Resting(_) => continue,
+                MarkWrite::BackingOff(_) => continue,
             };
             self.known.insert(host.clone(), mark);
         }
@@ -109,15 +109,15 @@
         }
     }
 
-    /// All marks, also those that are on their way.
+    /// All marks, including those whose write is in flight.
     pub(super) fn iter(&self) -> impl Iterator<Item = (&HostId, &KnownMark)> {
-        self.known.iter().inspect(|_| self.count_look())
+        self.known.iter().inspect(|_| self.count_visit())
     }
 
-    /// Counts, in tests, that a host or a mark is looked at.
-    pub(super) fn count_look(&self) {
+    /// Counts, in tests, a visit of a host or a mark.
+    pub(super) fn count_visit(&self) {
         #[cfg(test)]
-        self.looks.set(self.looks.get() + 1);
+        self.visits.set(self.visits.get() + 1);
     }
 
     /// The mark of a host.
@@ -125,61 +125,71 @@
         self.known.get(host)
     }
 
-    /// Since when a host has been known to be marked.
+    /// When the mark of a host was first known.
     pub(super) fn since(&self, host: &HostId) -> Option<Steady> {
         self.since.get(host).copied()
     }
 
-    /// Whether something is decided for a host, or was and failed just now.
-    pub(super) fn is_taken(&self, host: &HostId) -> bool {
+    /// Whether a host is marked, or a write of its mark is in flight or has just failed.
+    pub(super) fn is_pending(&self, host: &HostId) -> bool {
         self.known.contains_key(host) || self.writes.contains_key(host)
     }
 
-    /// The mark of a host that stands for certain and that nothing is being written of.
-    pub(super) fn settled(&self, host: &HostId) -> Option<(&Leave, Revision)> {
-        let busy = match self.writes.get(host) {
+    /// The mark of a host, if it is certain to be stored and no write of it is in flight.
+    pub(super) fn confirmed_mark(&self, host: &HostId) -> Option<(&Leave, Revision)> {
+        let in_progress = match self.writes.get(host) {
             None | Some(MarkWrite::Marked(_)) => false,
-            Some(MarkWrite::Marking(_) | MarkWrite::Unmarking(_) | MarkWrite::Resting(_)) => true,
+            Some(MarkWrite::Marking(_) | MarkWrite::Unmarking(_) | MarkWrite::BackingOff(_)) => {
+                true
+            }
         };
-        let known = self.known.get(host).filter(|_| !busy)?;
-        Some((&known.leave, known.standing?))
+        let known = self.known.get(host).filter(|_| !in_progress)?;
+        Some((&known.action, known.confirmed?))
     }
 
-    /// Whether one more mark may be written now. Removals count, and are not held back: they end work.
-    fn has_room(&self) -> bool {
-        let rests = |write: &&MarkWrite| matches!(write, MarkWrite::Resting(_));
-        let open = self.writes.values().filter(|write| !rests(write)).count();
-        open + self.removals.len() < UNSHOWN_MOST
+    /// Whether one more mark may be written now. Removals count towards the limit, but are not
+    /// limited themselves: they finish work.
+    fn can_mark(&self) -> bool {
+        let backs_off = |write: &&MarkWrite| matches!(write, MarkWrite::BackingOff(_));
+        let open = self.writes.values().filter(|write| !backs_off(write)).count();
+        open + self.removals.len() < MAX_UNSEEN_MARKS
     }
 
-    /// Notes that a mark is being taken away: its revision, unless nothing may be written of it.
-    pub(super) fn take_away(&mut self, host: &HostId) -> Option<Revision> {
-        let (leave, revision) = self.settled(host)?;
-        let mark = Mark { leave: leave.clone(), revision };
+    /// Records that the mark of a host is being removed. Returns its revision, or `None` if it
+    /// cannot be removed now.
+    pub(super) fn begin_removal(&mut self, host: &HostId) -> Option<Revision> {
+        let (action, revision) = self.confirmed_mark(host)?;
+        let mark = Mark { leave: action.clone(), revision };
         self.writes.insert(host.clone(), MarkWrite::Unmarking(mark));
         Some(revision)
     }
 
-    /// Takes note of how a mark's write ended.
-    fn marked(&mut self, host: &HostId, leave: &Leave, end: &WriteEnd, now: Steady) {
-        let mark = match end {
-            WriteEnd::Done(revision) => Some(Mark { leave: leave.clone(), revision: *revision }),
-            // That of an earlier try without an answer.
-            WriteEnd::Refused(standing) => standing.clone(),
+    /// Records the result of writing a mark.
+    fn note_mark_result(&mut self, host: &HostId, action: &Leave, result: &WriteEnd, now: Steady) {
+        let mark = match result {
+            WriteEnd::Done(revision) => Some(Mark { leave: action.clone(), revision: *revision }),
+            // Written by an earlier attempt without an answer.
+            WriteEnd::Refused(current) => current.clone(),
             WriteEnd::Lost => None,
         };
-        let rests = MarkWrite::Resting(now.after(WRITE_AGAIN_MS));
-        self.writes.insert(host.clone(), mark.map_or(rests, MarkWrite::Marked));
+        let back_off = MarkWrite::BackingOff(now.after(WRITE_RETRY_MS));
+        self.writes.insert(host.clone(), mark.map_or(back_off, MarkWrite::Marked));
     }
 
-    /// Takes note of how the removal of a mark ended.
-    pub(super) fn unmarked(&mut self, host: &HostId, mark: Revision, end: &WriteEnd, now: Steady) {
-        let until = match end {
+    /// Records the result of removing a mark.
+    pub(super) fn note_unmark_result(
+        &mut self,
+        host: &HostId,
+        mark: Revision,
+        result: &WriteEnd,
+        now: Steady,
+    ) {
+        let until = match result {
             WriteEnd::Done(revision) => Some(*revision),
-            // Taken away by an earlier try without an answer.
-            WriteEnd::Refused(standing) => {
-                let stands = standing.as_ref().is_some_and(|standing| standing.revision == mark);
-                (!stands).then_some(mark)
+            // Removed by an earlier attempt without an answer.
+            WriteEnd::Refused(current) => {
+                let remains = current.as_ref().is_some_and(|current| current.revision == mark);
+                (!remains).then_some(mark)
             }
             WriteEnd::Lost => None,
         };
@@ -189,60 +199,67 @@
                 self.removals.insert(host.clone(), Removal { mark, until });
             }
             None => {
-                let rests = MarkWrite::Resting(now.after(WRITE_AGAIN_MS));
-                self.writes.insert(host.clone(), rests);
+                let back_off = MarkWrite::BackingOff(now.after(WRITE_RETRY_MS));
+                self.writes.insert(host.clone(), back_off);
             }
         }
     }
 
-    /// Takes note of how a write ended that took a mark away besides.
-    pub(super) fn taken_away(&mut self, host: &HostId, end: &WriteEnd, now: Steady) {
+    /// Records the result of a write of a wave that also removes the mark of a host.
+    pub(super) fn note_batch_result(&mut self, host: &HostId, result: &WriteEnd, now: Steady) {
         let Some(MarkWrite::Unmarking(mark)) = self.writes.get(host) else {
             return;
         };
         let revision = mark.revision;
-        // What refused that write says nothing of the mark.
-        let end = match end {
+        // The condition that failed may not be the one on the mark.
+        let result = match result {
             WriteEnd::Done(at) => WriteEnd::Done(*at),
             WriteEnd::Refused(_) | WriteEnd::Lost => WriteEnd::Lost,
         };
-        self.unmarked(host, revision, &end, now);
+        self.note_unmark_result(host, revision, &result, now);
     }
 }
 
 impl Fleet {
-    /// Has a host marked to leave, if the view has come far enough.
-    pub(super) fn mark(
+    /// Orders the drain mark of a host, unless too many earlier marks are not shown by the view
+    /// yet.
+    pub(super) fn mark_draining(
         &mut self,
         host: HostId,
-        leave: Leave,
+        action: Leave,
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
-        if !self.marks.has_room() {
+        if !self.marks.can_mark() {
             return;
         }
         let marks = &mut self.marks;
-        marks.writes.insert(host.clone(), MarkWrite::Marking(leave.clone()));
-        marks.known.insert(host.clone(), KnownMark { leave: leave.clone(), standing: None });
+        marks.writes.insert(host.clone(), MarkWrite::Marking(action.clone()));
+        marks.known.insert(host.clone(), KnownMark { action: action.clone(), confirmed: None });
         marks.since.insert(host.clone(), now);
-        out.push(FleetEffect::Mark(host, leave));
+        out.push(FleetEffect::Mark(host, action));
     }
 
-    /// Has a host's mark taken away.
-    pub(super) fn unmark(&mut self, host: &HostId, out: &mut Vec<FleetEffect>) {
-        if let Some(revision) = self.marks.take_away(host) {
+    /// Orders the removal of a host's mark.
+    pub(super) fn remove_mark(&mut self, host: &HostId, out: &mut Vec<FleetEffect>) {
+        if let Some(revision) = self.marks.begin_removal(host) {
             out.push(FleetEffect::Unmark(host.clone(), revision));
         }
     }
 
-    /// Takes note of how a write ended.
-    pub(crate) fn written(&mut self, effect: &FleetEffect, end: &WriteEnd, now: Steady) {
+    /// Records the result of a write.
+    pub(crate) fn written(&mut self, effect: &FleetEffect, result: &WriteEnd, now: Steady) {
         match effect {
-            FleetEffect::Mark(host, leave) => self.marks.marked(host, leave, end, now),
-            FleetEffect::Unmark(host, mark) => self.marks.unmarked(host, *mark, end, now),
-            FleetEffect::Maintained(hosts, wave) => self.kept(hosts, *wave, end, now),
-            FleetEffect::Report(wave, done) => self.reported(*wave, *done, end, now),
+            FleetEffect::Mark(host, action) => {
+                self.marks.note_mark_result(host, action, result, now)
+            }
+            FleetEffect::Unmark(host, mark) => {
+                self.marks.note_unmark_result(host, *mark, result, now)
+            }
+            FleetEffect::Maintained(hosts, wave) => {
+                self.note_maintained_result(hosts, *wave, result, now)
+            }
+            FleetEffect::Report(wave, done) => self.note_report_result(*wave, *done, result, now),
             FleetEffect::List | FleetEffect::Maintain(..) | FleetEffect::Move(..) => {}
         }
     }
--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -1,114 +1,117 @@
-//! How large pools are: what their demand asks for, and which hosts change pools for it.
+//! The sizes of pools: how many hosts the demand of each needs, and which hosts move between pools.
 
 use std::{
     cmp::Reverse,
     collections::{BTreeMap, BinaryHeap, HashMap, VecDeque},
 };
 
-use super::{Coming, Demand, Fleet, FleetEffect, Leave, PoolSummary, Scene, wave::count_of};
+use super::{Demand, Fleet, FleetEffect, Incoming, Leave, PoolSummary, Scene, wave::count_of};
 use crate::model::{
     id::{HostId, PoolId},
     unit::Steady,
 };
 
-/// How long a host that is to come to a pool counts as if it were there, in milliseconds: a move
-/// takes 1.5 s, and emptying a host about as long.
-const COMING_COUNTS_MS: u64 = 4_000;
+/// How long a host that is to join a pool counts as part of it, in milliseconds: a move takes 1500,
+/// and draining a host about as long.
+const INCOMING_EXPECTED_MS: u64 = 4_000;
 
-/// The time over which the growth of a demand is taken, in milliseconds.
-const GROWTH_MS: u64 = 1_000;
+/// The window over which the growth of demand is measured, in milliseconds.
+const GROWTH_WINDOW_MS: u64 = 1_000;
 
-/// How many hosts more than its work fills a pool has for one that fills one, against chance. With
-/// 3.2 a pool of ten is half full, as it is by the settings, and one of 600 at seven eighths.
-const CHANCE_HOSTS: f64 = 3.2;
+/// The factor of square-root staffing: a pool whose work fills `n` hosts gets this times `sqrt(n)`
+/// hosts more, against random variation. With 3.2, a pool whose work fills ten hosts is half full,
+/// the same as with `full_percent` 50, and one whose work fills 600 is seven eighths full.
+const SQRT_STAFFING_FACTOR: f64 = 3.2;
 
-/// How many times the spread of the latest arrivals a forecast goes beyond them: of sixty jobs that
-/// came 1.4 times as much, of five 2.3 times.
-const ARRIVALS_SPREAD: f64 = 3.0;
+/// How many standard deviations of the number of recent arrivals the upper bound of a forecast
+/// adds: after sixty arrivals the bound is 1.4 times their work, after five 2.3 times.
+const ARRIVAL_DEVIATIONS: f64 = 3.0;
 
-/// The most that a pool may be thought to ask for soon, in millicores: what it takes to keep up with
-/// the latest arrivals, and as much more as chance makes them differ. The backlog of a peak
-/// grows far past that while its hosts are on their way, and says nothing of what will come.
-fn most_arriving(demand: &Demand) -> u64 {
-    let spread = ARRIVALS_SPREAD / f64::from(demand.arrivals.max(1)).sqrt();
-    (demand.arriving as f64 * (1.0 + spread)) as u64
+/// The upper bound of a pool's forecast, in millicores: what it takes to keep up with the recent
+/// arrivals, plus a margin for their random variation. During a peak the backlog grows far beyond
+/// that while hosts are joining, and does not predict further arrivals.
+fn max_forecast(demand: &Demand) -> u64 {
+    let margin = ARRIVAL_DEVIATIONS / f64::from(demand.arrivals.max(1)).sqrt();
+    (demand.arriving as f64 * (1.0 + margin)) as u64
 }
 
-/// The share, in percent, of the processor time that late work could use for which a pool asks for
-/// hosts: it earns about what its hosts cost, and must be done all the same.
-const LATE_PERCENT: u64 = 50;
+/// The share of the processor time demanded by late work for which a pool wants hosts, in percent.
+/// Late work earns about what its hosts cost, and must still be done.
+const LATE_WORK_PERCENT: u64 = 50;
 
-/// Which hosts a pool takes that has less than its share.
+/// The highest load of the hosts that a pool below its share takes from other pools.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Taking {
-    /// Those that have little to do: they leave soon.
+enum MaxLoad {
+    /// Hosts with a light load: they are drained soon.
     Light,
-    /// Also those that have more to do, since work is waiting that can be in time.
+    /// Also hosts with a higher load, since work is waiting that can still end in time.
     Busy,
-    /// Any, since lasting tasks need them.
+    /// Any host, since lasting tasks need them.
     Any,
 }
 
-impl Taking {
-    fn takes(self, work: Work) -> bool {
+impl MaxLoad {
+    fn allows(self, load: Load) -> bool {
         match self {
-            Taking::Light => matches!(work, Work::Idle | Work::Light(_)),
-            Taking::Busy => work != Work::Lasting,
-            Taking::Any => true,
+            MaxLoad::Light => matches!(load, Load::Idle | Load::Light(_)),
+            MaxLoad::Busy => load != Load::Lasting,
+            MaxLoad::Any => true,
         }
     }
 }
 
-/// What a host has to do, as its pool's owner last wrote; within one kind, its place among them.
+/// The load of a host, as last published by its pool's owner. The number is its position among the
+/// hosts of that kind, least loaded first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Work {
+enum Load {
     Idle,
     Light(usize),
     Busy(usize),
-    /// Some of it lasts, or nothing is known of it.
+    /// Some of its tasks are lasting, or its load is not known.
     Lasting,
 }
 
-/// What all hosts have to do. It is looked up for each host of a plan: with a thousand of them a
-/// search through lists took half a second at a change of turns.
-struct Works<'a>(HashMap<&'a HostId, Work>);
+/// The loads of all hosts. A map, since a plan looks up each host: when the demand peak moved from
+/// one pool to another, searching lists took half a second for a thousand hosts.
+struct HostLoads<'a>(HashMap<&'a HostId, Load>);
 
-impl<'a> Works<'a> {
-    fn new(scene: &Scene<'a>) -> Works<'a> {
-        let busy = scene.busy.iter().enumerate().map(|(n, host)| (host, Work::Busy(n)));
-        let light = scene.light.iter().enumerate().map(|(n, host)| (host, Work::Light(n)));
-        let idle = scene.idle.iter().map(|host| (host, Work::Idle));
-        Works(busy.chain(light).chain(idle).collect())
+impl<'a> HostLoads<'a> {
+    fn new(snapshot: &Scene<'a>) -> HostLoads<'a> {
+        let busy = snapshot.busy.iter().enumerate().map(|(n, host)| (host, Load::Busy(n)));
+        let light = snapshot.light.iter().enumerate().map(|(n, host)| (host, Load::Light(n)));
+        let idle = snapshot.idle.iter().map(|host| (host, Load::Idle));
+        HostLoads(busy.chain(light).chain(idle).collect())
     }
 
-    fn of(&self, host: &HostId) -> Work {
-        self.0.get(host).copied().unwrap_or(Work::Lasting)
+    fn of(&self, host: &HostId) -> Load {
+        self.0.get(host).copied().unwrap_or(Load::Lasting)
     }
 }
 
-/// A host that a pool may give to another.
+/// A host that may move to another pool.
 #[derive(Debug, Clone)]
 struct Lendable {
     host: HostId,
-    work: Work,
+    load: Load,
 }
 
-/// What a pool asks for, in hosts.
+/// The numbers of hosts that a pool requests. Each includes the one before.
 #[derive(Debug, Clone)]
-pub(super) struct Wish {
-    /// For lasting tasks to be spread.
+pub(super) struct HostRequest {
+    /// Over which lasting tasks are spread.
     pub(super) spread: usize,
-    /// For the work that is there and can be in time.
+    /// For the present work that can still end in time.
     pub(super) needed: usize,
-    /// And for what will come.
+    /// Also for the forecast arrivals.
     pub(super) timely: usize,
-    /// And for late work.
-    pub(super) most: usize,
+    /// Also for late work.
+    pub(super) wanted: usize,
 }
 
-impl Wish {
-    /// Who gets the next host: lower comes first.
-    pub(super) fn order(&self, has: usize) -> (u8, usize) {
+impl HostRequest {
+    /// The rank of the request for one more host when the pool `has` some: the lowest is served
+    /// first.
+    pub(super) fn rank(&self, has: usize) -> (u8, usize) {
         let class = match () {
             () if has < self.spread => 0,
             () if has < self.needed => 1,
@@ -120,51 +123,55 @@
 }
 
 impl Fleet {
-    /// Takes note of how large hosts are: half of them have as much, or more. A single one may have
-    /// shrunk, or be of another kind.
-    pub(super) fn note_rooms(&mut self) {
-        let mut rooms: Vec<u32> = self.hosts.values().map(|host| host.room.cpu.0).collect();
-        rooms.sort_unstable();
-        self.host_cpu = rooms.get(rooms.len() / 2).copied().map_or(0, u64::from);
+    /// Sets the processor time of a host to the median of the list. A single host may have shrunk,
+    /// or be of another kind.
+    pub(super) fn update_host_cpu(&mut self) {
+        let mut host_cpus: Vec<u32> = self.hosts.values().map(|host| host.room.cpu.0).collect();
+        host_cpus.sort_unstable();
+        self.host_cpu = host_cpus.get(host_cpus.len() / 2).copied().map_or(0, u64::from);
     }
 
-    pub(super) fn note_demand(&mut self, scene: &Scene<'_>, now: Steady) {
-        for (pool, demand) in scene.demands {
-            if demand.ends && self.worked.insert(pool.clone()) {
-                self.demands.remove(pool);
+    pub(super) fn record_demand(&mut self, snapshot: &Scene<'_>, now: Steady) {
+        for (pool, demand) in snapshot.demands {
+            if demand.ends && self.active_pools.insert(pool.clone()) {
+                self.recent_wanted.remove(pool);
             }
-            let asked = self.asked.entry(pool.clone()).or_default();
-            asked.push_back((now, demand.cpu));
-            while asked.front().is_some_and(|(at, _)| GROWTH_MS < now.since(*at)) {
-                asked.pop_front();
+            let recent_cpu = self.recent_cpu.entry(pool.clone()).or_default();
+            recent_cpu.push_back((now, demand.cpu));
+            while recent_cpu.front().is_some_and(|(at, _)| GROWTH_WINDOW_MS < now.since(*at)) {
+                recent_cpu.pop_front();
             }
             let hosts = self.wanted(pool, demand);
             let keep_ms = self.sizing.shrink_after_ms;
-            let late = self.demands.entry(pool.clone()).or_default();
-            late.push_back((now, hosts));
-            while late.front().is_some_and(|(at, _)| keep_ms < now.since(*at)) {
-                late.pop_front();
+            let recent_wanted = self.recent_wanted.entry(pool.clone()).or_default();
+            recent_wanted.push_back((now, hosts));
+            while recent_wanted.front().is_some_and(|(at, _)| keep_ms < now.since(*at)) {
+                recent_wanted.pop_front();
             }
         }
     }
 
-    /// The processor time that a pool will ask for when hosts that are called now have come: what
-    /// it asks for now, and as much more as it grew by of late, but no more than it takes to keep up
-    /// with what comes.
+    /// The processor time that a pool will demand by the time hosts that are called now have
+    /// joined: its present demand plus the recent growth, but no more than it takes to keep up with
+    /// arrivals.
     pub(super) fn forecast(&self, pool: &PoolId, demand: &Demand) -> u64 {
-        let before = self.asked.get(pool).and_then(|late| late.front()).map_or(0, |(_, cpu)| *cpu);
-        let growth = demand.cpu.saturating_sub(before) * self.sizing.growth_percent / 100;
-        let grown = (demand.cpu + growth).min(most_arriving(demand));
+        let earlier = self
+            .recent_cpu
+            .get(pool)
+            .and_then(|history| history.front())
+            .map_or(0, |(_, cpu)| *cpu);
+        let growth = demand.cpu.saturating_sub(earlier) * self.sizing.growth_percent / 100;
+        let grown = (demand.cpu + growth).min(max_forecast(demand));
         grown.max(demand.cpu)
     }
 
-    /// Hosts that a pool should have for a demand, late work included.
+    /// Hosts that a pool should have for a demand, including late work.
     pub(super) fn wanted(&self, pool: &PoolId, demand: &Demand) -> usize {
-        let late = demand.late * LATE_PERCENT / 100;
-        self.wanted_for(self.forecast(pool, demand) + late, demand)
+        let late_cpu = demand.late * LATE_WORK_PERCENT / 100;
+        self.wanted_for(self.forecast(pool, demand) + late_cpu, demand)
     }
 
-    /// Hosts that a pool should have for what can be in time.
+    /// Hosts that a pool should have for work that can still end in time.
     fn timely(&self, pool: &PoolId, demand: &Demand) -> usize {
         self.wanted_for(self.forecast(pool, demand), demand)
     }
@@ -173,183 +180,191 @@
         self.hosts_for(cpu).max(demand.spread) + self.sizing.margin_hosts
     }
 
-    /// Hosts that a pool needs for what it asks for now.
+    /// Hosts that a pool needs for its present demand.
     pub(super) fn needed(&self, demand: &Demand) -> usize {
         self.hosts_for(demand.cpu).max(self.floor(demand))
     }
 
-    /// Hosts that carry some processor time: as full as the settings have it, or where that is fewer,
-    /// with room for chance, which grows as the square root of what they carry.
+    /// Hosts for an amount of processor time: filled up to `full_percent`, or by square-root
+    /// staffing where that takes fewer hosts.
     fn hosts_for(&self, cpu: u64) -> usize {
         let host_cpu = self.host_cpu.max(1);
-        let by_share = (cpu * 100).div_ceil(host_cpu * self.sizing.full_percent);
+        let by_utilization = (cpu * 100).div_ceil(host_cpu * self.sizing.full_percent);
         let filled = cpu.div_ceil(host_cpu);
-        let by_chance = filled + (CHANCE_HOSTS * (filled as f64).sqrt()).ceil() as u64;
-        by_share.min(by_chance) as usize
+        let by_staffing = filled + (SQRT_STAFFING_FACTOR * (filled as f64).sqrt()).ceil() as u64;
+        by_utilization.min(by_staffing) as usize
     }
 
-    /// Moves hosts between the pools and the one whose hosts are off.
-    pub(super) fn size(&mut self, scene: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
-        let Some(off) = scene.config.pools.iter().find(|(_, rules)| rules.off) else {
+    /// Moves hosts between the pools, including the one whose hosts are switched off.
+    pub(super) fn resize_pools(
+        &mut self,
+        snapshot: &Scene<'_>,
+        now: Steady,
+        out: &mut Vec<FleetEffect>,
+    ) {
+        let Some(off) = snapshot.config.pools.iter().find(|(_, rules)| rules.off) else {
             return;
         };
         let off = off.0;
-        let pools: Vec<&PoolId> = scene.demands.keys().filter(|pool| *pool != off).collect();
-        let works = Works::new(scene);
-        let (mut staying, expected) = (self.staying(scene), self.expected(now));
+        let pools: Vec<&PoolId> = snapshot.demands.keys().filter(|pool| *pool != off).collect();
+        let loads = HostLoads::new(snapshot);
+        let (mut available_hosts, expected) = (self.available_hosts(snapshot), self.expected(now));
         let mut have = BTreeMap::new();
-        let mut free = BTreeMap::new();
+        let mut lenders = BTreeMap::new();
         for pool in &pools {
-            let here = lendable(staying.remove(pool).unwrap_or_default(), &works);
-            have.insert((*pool).clone(), here.len() + count_of(&expected, pool));
-            free.insert((*pool).clone(), here);
+            let pool_hosts = lendable(available_hosts.remove(pool).unwrap_or_default(), &loads);
+            have.insert((*pool).clone(), pool_hosts.len() + count_of(&expected, pool));
+            lenders.insert((*pool).clone(), pool_hosts);
         }
-        let mut spare: VecDeque<HostId> = staying.remove(off).unwrap_or_default().into();
-        let total = spare.len() + have.values().sum::<usize>();
-        let shares = self.shares(scene, &pools, total);
+        let mut off_hosts: VecDeque<HostId> =
+            available_hosts.remove(off).unwrap_or_default().into();
+        let total = off_hosts.len() + have.values().sum::<usize>();
+        let shares = self.shares(snapshot, &pools, total);
         for pool in &pools {
             let (have, share) = (have[*pool], shares[*pool]);
             for _ in have..share {
-                if let Some(host) = spare.pop_front() {
-                    self.coming.insert(host, Coming { pool: (*pool).clone(), since: now });
+                if let Some(host) = off_hosts.pop_front() {
+                    self.incoming.insert(host, Incoming { pool: (*pool).clone(), since: now });
                     continue;
                 }
-                let floor = self.floor(&scene.demands[*pool]);
-                let short = free[*pool].len() < floor;
-                let needs = free[*pool].len() < self.needed(&scene.demands[*pool]);
-                let taking = match () {
-                    () if short => Taking::Any,
-                    () if needs => Taking::Busy,
-                    () => Taking::Light,
+                let floor = self.floor(&snapshot.demands[*pool]);
+                let below_floor = lenders[*pool].len() < floor;
+                let below_needed = lenders[*pool].len() < self.needed(&snapshot.demands[*pool]);
+                let max_load = match () {
+                    () if below_floor => MaxLoad::Any,
+                    () if below_needed => MaxLoad::Busy,
+                    () => MaxLoad::Light,
                 };
-                let Some(host) = Fleet::borrowed(&mut free, &shares, taking) else {
+                let Some(host) = Fleet::borrow_host(&mut lenders, &shares, max_load) else {
                     break;
                 };
-                self.mark(host, Leave::Move((*pool).clone()), now, out);
+                self.mark_draining(host, Leave::Move((*pool).clone()), now, out);
             }
         }
         for pool in &pools {
-            let late = self.demands.get(*pool);
-            let most = late.into_iter().flatten().map(|(_, hosts)| *hosts).max().unwrap_or(0);
-            let first = late.and_then(|late| late.front());
-            let long =
-                first.is_some_and(|(at, _)| self.sizing.shrink_after_ms * 9 / 10 <= now.since(*at));
-            let here = &free[*pool];
-            let surplus = here.len().saturating_sub(most.max(shares[*pool]));
-            if long && have[*pool] == here.len() && self.worked.contains(*pool) {
-                for lendable in here.iter().take(surplus) {
-                    self.mark(lendable.host.clone(), Leave::Move(off.clone()), now, out);
+            let history = self.recent_wanted.get(*pool);
+            let max_wanted =
+                history.into_iter().flatten().map(|(_, hosts)| *hosts).max().unwrap_or(0);
+            let oldest = history.and_then(|history| history.front());
+            let is_covered = oldest
+                .is_some_and(|(at, _)| self.sizing.shrink_after_ms * 9 / 10 <= now.since(*at));
+            let pool_hosts = &lenders[*pool];
+            let surplus = pool_hosts.len().saturating_sub(max_wanted.max(shares[*pool]));
+            if is_covered && have[*pool] == pool_hosts.len() && self.active_pools.contains(*pool) {
+                for lendable in pool_hosts.iter().take(surplus) {
+                    self.mark_draining(lendable.host.clone(), Leave::Move(off.clone()), now, out);
                 }
             }
         }
     }
 
-    /// Hosts over which a pool's lasting tasks can be spread while one of them leaves.
+    /// Hosts over which a pool's lasting tasks can be spread while one of the hosts is drained.
     pub(super) fn floor(&self, demand: &Demand) -> usize {
         demand.spread + 1
     }
 
-    /// Hosts for each pool: what it wants. Where that is more than there are, hosts over which
-    /// lasting tasks are spread come first, then what is needed for the work that can be in time,
-    /// then what is wanted for more, and late work last; each time one by one to the pool that has the fewest, so that one
-    /// with a large wish leaves those their hosts that need few.
+    /// The number of hosts for each pool: what it wants. If there are not enough, hosts for
+    /// spreading lasting tasks come first, then those needed for present work that can still end in
+    /// time, then those for forecast work, then those for late work. Within each class, hosts go
+    /// one by one to the pool with the fewest, so that a pool with a large request does not take
+    /// the hosts of pools that need few.
     pub(super) fn shares(
         &self,
-        scene: &Scene<'_>,
+        snapshot: &Scene<'_>,
         pools: &[&PoolId],
         total: usize,
     ) -> BTreeMap<PoolId, usize> {
-        let wishes: Vec<Wish> = pools
+        let requests: Vec<HostRequest> = pools
             .iter()
             .map(|pool| {
-                let demand = &scene.demands[*pool];
-                let most = self.wanted(pool, demand);
-                Wish {
-                    spread: self.floor(demand).min(most),
-                    needed: self.needed(demand).min(most),
-                    timely: self.timely(pool, demand).min(most),
-                    most,
+                let demand = &snapshot.demands[*pool];
+                let wanted = self.wanted(pool, demand);
+                HostRequest {
+                    spread: self.floor(demand).min(wanted),
+                    needed: self.needed(demand).min(wanted),
+                    timely: self.timely(pool, demand).min(wanted),
+                    wanted,
                 }
             })
             .collect();
-        let shares = deal(&wishes, total, || self.count_look());
+        let shares = distribute(&requests, total, || self.count_visit());
         pools.iter().map(|pool| (*pool).clone()).zip(shares).collect()
     }
 
-    /// A host of a pool that has more than its share: the one with the least to do, as far as such
-    /// hosts are taken.
-    fn borrowed(
-        free: &mut BTreeMap<PoolId, VecDeque<Lendable>>,
+    /// Takes the least loaded host, up to `max_load`, from a pool that has more than its share.
+    fn borrow_host(
+        lenders: &mut BTreeMap<PoolId, VecDeque<Lendable>>,
         shares: &BTreeMap<PoolId, usize>,
-        taking: Taking,
+        max_load: MaxLoad,
     ) -> Option<HostId> {
-        let lends = |(pool, hosts): &(&PoolId, &mut VecDeque<Lendable>)| {
+        let can_lend = |(pool, hosts): &(&PoolId, &mut VecDeque<Lendable>)| {
             shares[*pool] < hosts.len()
-                && hosts.front().is_some_and(|first| taking.takes(first.work))
+                && hosts.front().is_some_and(|first| max_load.allows(first.load))
         };
-        let (_, hosts) = free.iter_mut().find(lends)?;
+        let (_, hosts) = lenders.iter_mut().find(can_lend)?;
         hosts.pop_front().map(|lendable| lendable.host)
     }
 
-    /// How many hosts are to come to each pool, and may be expected to: one that takes too long may
-    /// be down, or held by a worker that is silent.
+    /// How many hosts are expected to join each pool. One that takes too long is not counted: it
+    /// may be down, or held by a worker that does not respond.
     pub(super) fn expected(&self, now: Steady) -> BTreeMap<&PoolId, usize> {
-        let soon = |since: Steady| now.since(since) < COMING_COUNTS_MS;
-        let coming = self.coming.values().filter(|c| soon(c.since)).map(|c| &c.pool);
-        let marked = self.marks.iter().filter_map(|(host, mark)| match &mark.leave {
-            Leave::Move(pool) => self.marks.since(host).is_none_or(soon).then_some(pool),
+        let is_recent = |since: Steady| now.since(since) < INCOMING_EXPECTED_MS;
+        let incoming = self.incoming.values().filter(|c| is_recent(c.since)).map(|c| &c.pool);
+        let marked = self.marks.iter().filter_map(|(host, mark)| match &mark.action {
+            Leave::Move(pool) => self.marks.since(host).is_none_or(is_recent).then_some(pool),
             Leave::Upkeep(_) => None,
         });
         let mut expected = BTreeMap::new();
-        for pool in coming.chain(marked) {
+        for pool in incoming.chain(marked) {
             *expected.entry(pool).or_default() += 1;
         }
         expected
     }
 
-    /// What each pool has, asks for and should have, for the log.
-    pub(crate) fn summary(&self, scene: &Scene<'_>, now: Steady) -> Vec<PoolSummary> {
-        let (sizes, staying) = (self.pool_sizes(), self.staying(scene));
+    /// The size and demand of each pool, for the log.
+    pub(crate) fn summary(&self, snapshot: &Scene<'_>, now: Steady) -> Vec<PoolSummary> {
+        let (sizes, available_hosts) = (self.pool_sizes(), self.available_hosts(snapshot));
         let expected = self.expected(now);
-        let of = |(pool, demand): (&PoolId, &Demand)| PoolSummary {
+        let summary_of = |(pool, demand): (&PoolId, &Demand)| PoolSummary {
             pool: pool.clone(),
             listed: count_of(&sizes, pool),
-            free: staying.get(pool).map_or(0, Vec::len),
+            available: available_hosts.get(pool).map_or(0, Vec::len),
             expected: count_of(&expected, pool),
             wanted: self.wanted(pool, demand),
             cores: demand.cpu / 1000,
-            late: demand.late / 1000,
+            late_cores: demand.late / 1000,
         };
-        scene.demands.iter().map(of).collect()
+        snapshot.demands.iter().map(summary_of).collect()
     }
 }
 
-/// Deals so many hosts out by wishes, one by one to the first of those that have the lowest order;
-/// `look` is called for each wish that is looked at. The orders are kept in a heap: with each host
-/// compared to all pools, 6,800 hosts in 390 pools are 2.7 million looks.
-pub(super) fn deal(wishes: &[Wish], total: usize, look: impl Fn()) -> Vec<usize> {
-    let mut shares = vec![0; wishes.len()];
+/// Distributes `total` hosts over requests, one by one to the first request with the lowest rank,
+/// and returns the share of each. `visit` is called for each visit of a request. The ranks are in a
+/// heap: comparing all pools for each host would take 2.7 million visits for 6,800 hosts in 390
+/// pools.
+pub(super) fn distribute(requests: &[HostRequest], total: usize, visit: impl Fn()) -> Vec<usize> {
+    let mut shares = vec![0; requests.len()];
     let next = |n: usize, has: usize| {
-        look();
-        let wish = &wishes[n];
-        (has < wish.most).then(|| Reverse((wish.order(has), n)))
+        visit();
+        let request = &requests[n];
+        (has < request.wanted).then(|| Reverse((request.rank(has), n)))
     };
-    let mut open: BinaryHeap<_> = (0..wishes.len()).filter_map(|n| next(n, 0)).collect();
+    let mut queue: BinaryHeap<_> = (0..requests.len()).filter_map(|n| next(n, 0)).collect();
     for _ in 0..total {
-        let Some(Reverse((_, n))) = open.pop() else {
+        let Some(Reverse((_, n))) = queue.pop() else {
             break;
         };
         shares[n] += 1;
-        open.extend(next(n, shares[n]));
+        queue.extend(next(n, shares[n]));
     }
     shares
 }
 
-/// Hosts that may be lent, those with the least to do first.
-fn lendable(hosts: Vec<HostId>, works: &Works<'_>) -> VecDeque<Lendable> {
+/// The hosts that may move to another pool, least loaded first.
+fn lendable(hosts: Vec<HostId>, loads: &HostLoads<'_>) -> VecDeque<Lendable> {
     let hosts = hosts.into_iter();
     let mut lendable: Vec<Lendable> =
-        hosts.map(|host| Lendable { work: works.of(&host), host }).collect();
-    lendable.sort_by_key(|lendable| lendable.work);
+        hosts.map(|host| Lendable { load: loads.of(&host), host }).collect();
+    lendable.sort_by_key(|lendable| lendable.load);
     lendable.into()
 }
--- a/src/jobs/fleet/wave.rs
+++ b/src/jobs/fleet/wave.rs
@@ -1,200 +1,208 @@
-//! Waves of upkeep: which hosts are emptied next, and how far a wave is.
+//! Waves of upkeep: which hosts are drained next, and the progress of a wave.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Fleet, FleetEffect, Leave, Scene, WRITE_AGAIN_MS, WriteEnd};
+use super::{Fleet, FleetEffect, Leave, Scene, WRITE_RETRY_MS, WriteEnd};
 use crate::model::{
     id::{HostId, PoolId},
     unit::Steady,
     worker::{HostPhase, ListedHost, Upkeep},
 };
 
-/// Hosts that are emptied ahead for a wave, beside those that are away for it.
-const AHEAD: usize = 6;
+/// Hosts that are drained in advance for a wave, beyond those that may be away for it.
+const DRAIN_AHEAD_HOSTS: usize = 6;
 
-/// The share of a pool's hosts that may be leaving for upkeep at one time, in percent.
-const LEAVING_PERCENT: usize = 50;
+/// The share of a pool's hosts that may be marked for upkeep at one time, in percent.
+const MAX_DRAINING_PERCENT: usize = 50;
 
-/// Hosts whose upkeep is kept by one write, which takes away two records of each.
-pub(crate) const KEEP_BATCH: usize = 14;
+/// Hosts whose upkeep is recorded by one write, which also removes two records of each.
+pub(crate) const MAINTAINED_BATCH: usize = 14;
 
-/// What was written of a wave, by the answers: each write builds on the record that the one before
-/// it left, so that there is one at a time.
+/// The writes of a wave, by their results. Each write builds on the record that the previous one
+/// left, so only one is in flight at a time.
 #[derive(Debug, Default)]
 pub(super) struct WaveWrites {
-    on_its_way: bool,
-    /// Nothing more is written before then, since a write failed.
-    again: Steady,
-    /// Hosts whose upkeep was kept.
-    kept: BTreeSet<HostId>,
-    begun: bool,
-    reported: bool,
+    in_flight: bool,
+    /// No further write before this time, since one has failed.
+    retry_at: Steady,
+    /// Hosts whose upkeep was recorded.
+    maintained: BTreeSet<HostId>,
+    begin_reported: bool,
+    done_reported: bool,
 }
 
 impl Fleet {
-    /// Marks the next hosts of a wave, and reports how far it is.
-    pub(super) fn wave(
+    /// Marks the next hosts of a wave, and reports its beginning and its end.
+    pub(super) fn advance_wave(
         &mut self,
-        scene: &Scene<'_>,
+        snapshot: &Scene<'_>,
         upkeep: &Upkeep,
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
-        let written = self.waves.entry(upkeep.wave).or_default();
-        if written.reported || scene.reported.contains(&upkeep.wave) {
+        let writes = self.waves.entry(upkeep.wave).or_default();
+        if writes.done_reported || snapshot.reported.contains(&upkeep.wave) {
             return;
         }
-        let begun = written.begun;
-        let left: Vec<&ListedHost> = upkeep
+        let begin_reported = writes.begin_reported;
+        let remaining: Vec<&ListedHost> = upkeep
             .hosts
             .iter()
-            .filter(|host| !self.is_kept(scene, upkeep.wave, host))
+            .filter(|host| !self.is_maintained(snapshot, upkeep.wave, host))
             .filter_map(|host| self.hosts.get(host))
             .collect();
-        if left.is_empty() {
-            self.report(upkeep.wave, true, now, out);
+        if remaining.is_empty() {
+            self.write_report(upkeep.wave, true, now, out);
             return;
         }
-        let purpose = Leave::Upkeep(upkeep.wave);
-        let marked = self.marks.iter().filter(|(_, mark)| mark.leave == purpose);
-        let room = (upkeep.at_once as usize + AHEAD).saturating_sub(marked.count());
-        if room == 0 && begun {
+        let action = Leave::Upkeep(upkeep.wave);
+        let marked = self.marks.iter().filter(|(_, mark)| mark.action == action);
+        let allowed = (upkeep.at_once as usize + DRAIN_AHEAD_HOSTS).saturating_sub(marked.count());
+        if allowed == 0 && begin_reported {
             return;
         }
-        // Counted once: for each host of a wave anew, a plan for 1,100 hosts took 60 ms of a core.
-        let leaving = self.leaving();
+        // Counted once: counting again for each host of the wave, a plan for 1,100 hosts took 60 ms
+        // of a core.
+        let draining = self.draining_by_pool();
         let sizes = self.pool_sizes();
-        let is_off =
-            |known: &ListedHost| scene.config.pools.get(&known.pool).is_some_and(|rules| rules.off);
-        let mut next: Vec<&ListedHost> = left
+        let is_off = |entry: &ListedHost| {
+            snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.off)
+        };
+        let mut candidates: Vec<&ListedHost> = remaining
             .into_iter()
-            .filter(|known| known.phase == HostPhase::Up)
-            .filter(|known| !self.is_taken(&known.host))
+            .filter(|entry| entry.phase == HostPhase::Up)
+            .filter(|entry| !self.is_pending(&entry.host))
             .collect();
-        next.sort_by_cached_key(|known| {
-            let busy = !scene.idle.contains(&known.host);
-            (!is_off(known), busy, count_of(&leaving, &known.pool))
+        candidates.sort_by_cached_key(|entry| {
+            let busy = !snapshot.idle.contains(&entry.host);
+            (!is_off(entry), busy, count_of(&draining, &entry.pool))
         });
-        let mut taken: BTreeMap<&PoolId, usize> = BTreeMap::new();
+        let mut chosen_by_pool: BTreeMap<&PoolId, usize> = BTreeMap::new();
         let mut chosen = Vec::new();
-        for known in next {
-            if room <= chosen.len() {
+        for entry in candidates {
+            if allowed <= chosen.len() {
                 break;
             }
-            let most = (count_of(&sizes, &known.pool) * LEAVING_PERCENT / 100).max(1);
-            let more = taken.entry(&known.pool).or_default();
-            if !is_off(known) && most <= count_of(&leaving, &known.pool) + *more {
+            let max_draining = (count_of(&sizes, &entry.pool) * MAX_DRAINING_PERCENT / 100).max(1);
+            let pool_chosen = chosen_by_pool.entry(&entry.pool).or_default();
+            if !is_off(entry) && max_draining <= count_of(&draining, &entry.pool) + *pool_chosen {
                 continue;
             }
-            *more += 1;
-            chosen.push(known.host.clone());
+            *pool_chosen += 1;
+            chosen.push(entry.host.clone());
         }
-        if !begun {
-            self.report(upkeep.wave, false, now, out);
+        if !begin_reported {
+            self.write_report(upkeep.wave, false, now, out);
         }
         for host in chosen {
-            self.mark(host, Leave::Upkeep(upkeep.wave), now, out);
+            self.mark_draining(host, Leave::Upkeep(upkeep.wave), now, out);
         }
     }
 
-    /// How many hosts of each pool are marked to leave for upkeep.
-    fn leaving(&self) -> BTreeMap<&PoolId, usize> {
-        let marks = self.marks.iter().filter(|(_, mark)| matches!(mark.leave, Leave::Upkeep(_)));
+    /// How many hosts of each pool are marked for upkeep.
+    fn draining_by_pool(&self) -> BTreeMap<&PoolId, usize> {
+        let marks = self.marks.iter().filter(|(_, mark)| matches!(mark.action, Leave::Upkeep(_)));
         count_by_pool(marks.filter_map(|(host, _)| self.hosts.get(host)))
     }
 
     /// How many hosts each pool has, whatever their phase.
     pub(super) fn pool_sizes(&self) -> BTreeMap<&PoolId, usize> {
-        count_by_pool(self.hosts.values().inspect(|_| self.count_look()))
+        count_by_pool(self.hosts.values().inspect(|_| self.count_visit()))
     }
 
-    /// How many hosts are or may be away for each wave. What an earlier owner has called lately the list
-    /// need not show yet.
-    pub(super) fn away(&self, scene: &Scene<'_>) -> BTreeMap<u64, usize> {
+    /// How many hosts are or may be away for each wave. Hosts that an earlier owner called recently
+    /// count as well: the host list may not show them away yet.
+    pub(super) fn away_by_wave(&self, snapshot: &Scene<'_>) -> BTreeMap<u64, usize> {
         let mut away = BTreeMap::new();
         for (host, mark) in self.marks.iter() {
-            let Leave::Upkeep(wave) = mark.leave else {
+            let Leave::Upkeep(wave) = mark.action else {
                 continue;
             };
-            let listed = self.hosts.get(host).map(|known| known.phase);
-            let may_be = self.may_be_away(host) || scene.resting.contains(host);
-            if may_be || listed == Some(HostPhase::Upkeep) {
+            let listed = self.hosts.get(host).map(|entry| entry.phase);
+            let called = self.may_be_away(host) || snapshot.resting.contains(host);
+            if called || listed == Some(HostPhase::Upkeep) {
                 *away.entry(wave).or_default() += 1;
             }
         }
         away
     }
 
-    /// Whether it was kept that a host had its upkeep.
-    pub(super) fn is_kept(&self, scene: &Scene<'_>, wave: u64, host: &HostId) -> bool {
-        let shown = scene.maintained.get(&wave).is_some_and(|hosts| hosts.contains(host));
-        shown || self.waves.get(&wave).is_some_and(|written| written.kept.contains(host))
+    /// Whether a host's upkeep is recorded as done.
+    pub(super) fn is_maintained(&self, snapshot: &Scene<'_>, wave: u64, host: &HostId) -> bool {
+        let shown = snapshot.maintained.get(&wave).is_some_and(|hosts| hosts.contains(host));
+        shown || self.waves.get(&wave).is_some_and(|writes| writes.maintained.contains(host))
     }
 
-    /// Has it kept that hosts had their upkeep, and their marks taken away.
-    pub(super) fn keep(
+    /// Orders a write that records the upkeep of hosts as done and removes their marks.
+    pub(super) fn write_maintained(
         &mut self,
         wave: u64,
         hosts: BTreeSet<HostId>,
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
-        if !self.may_write(wave, now) {
+        if !self.try_begin_write(wave, now) {
             return;
         }
-        let hosts: BTreeSet<HostId> = hosts.into_iter().take(KEEP_BATCH).collect();
+        let hosts: BTreeSet<HostId> = hosts.into_iter().take(MAINTAINED_BATCH).collect();
         for host in &hosts {
-            self.marks.take_away(host);
+            self.marks.begin_removal(host);
         }
         out.push(FleetEffect::Maintained(hosts, wave));
     }
 
-    fn report(&mut self, wave: u64, done: bool, now: Steady, out: &mut Vec<FleetEffect>) {
-        if self.may_write(wave, now) {
+    fn write_report(&mut self, wave: u64, done: bool, now: Steady, out: &mut Vec<FleetEffect>) {
+        if self.try_begin_write(wave, now) {
             out.push(FleetEffect::Report(wave, done));
         }
     }
 
-    /// Whether something may be written of a wave now; it is on its way from then on.
-    fn may_write(&mut self, wave: u64, now: Steady) -> bool {
-        let written = self.waves.entry(wave).or_default();
-        let may = !written.on_its_way && written.again <= now;
-        written.on_its_way |= may;
-        may
+    /// Whether a write of a wave may be made now. If so, it counts as in flight from now on.
+    fn try_begin_write(&mut self, wave: u64, now: Steady) -> bool {
+        let writes = self.waves.entry(wave).or_default();
+        let is_allowed = !writes.in_flight && writes.retry_at <= now;
+        writes.in_flight |= is_allowed;
+        is_allowed
     }
 
-    /// Takes note of how a write of upkeep ended.
-    pub(super) fn kept(
+    /// Records the result of a write of maintained hosts.
+    pub(super) fn note_maintained_result(
         &mut self,
         hosts: &BTreeSet<HostId>,
         wave: u64,
-        end: &WriteEnd,
+        result: &WriteEnd,
         now: Steady,
     ) {
         for host in hosts {
-            self.marks.taken_away(host, end, now);
+            self.marks.note_batch_result(host, result, now);
         }
-        if self.wave_written(wave, end, now) {
-            self.waves.entry(wave).or_default().kept.extend(hosts.iter().cloned());
+        if self.note_wave_result(wave, result, now) {
+            self.waves.entry(wave).or_default().maintained.extend(hosts.iter().cloned());
         }
     }
 
-    /// Takes note of how a report ended.
-    pub(super) fn reported(&mut self, wave: u64, done: bool, end: &WriteEnd, now: Steady) {
-        if self.wave_written(wave, end, now) {
-            let written = self.waves.entry(wave).or_default();
-            written.begun = true;
-            written.reported |= done;
+    /// Records the result of writing a report.
+    pub(super) fn note_report_result(
+        &mut self,
+        wave: u64,
+        done: bool,
+        result: &WriteEnd,
+        now: Steady,
+    ) {
+        if self.note_wave_result(wave, result, now) {
+            let writes = self.waves.entry(wave).or_default();
+            writes.begin_reported = true;
+            writes.done_reported |= done;
         }
     }
 
-    /// Takes note of how a write of a wave ended: whether it was done.
-    fn wave_written(&mut self, wave: u64, end: &WriteEnd, now: Steady) -> bool {
-        let written = self.waves.entry(wave).or_default();
-        written.on_its_way = false;
-        let done = matches!(end, WriteEnd::Done(_));
+    /// Records the result of a write of a wave, and returns whether it was committed.
+    fn note_wave_result(&mut self, wave: u64, result: &WriteEnd, now: Steady) -> bool {
+        let writes = self.waves.entry(wave).or_default();
+        writes.in_flight = false;
+        let done = matches!(result, WriteEnd::Done(_));
         if !done {
-            written.again = now.after(WRITE_AGAIN_MS);
+            writes.retry_at = now.after(WRITE_RETRY_MS);
         }
         done
     }
@@ -208,7 +216,7 @@
     counts
 }
 
-/// The count of a pool: none if it is not among them.
+/// The count of a pool, or 0 if it has none.
 pub(super) fn count_of(counts: &BTreeMap<&PoolId, usize>, pool: &PoolId) -> usize {
     counts.get(pool).copied().unwrap_or_default()
 }
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -1,4 +1,4 @@
-//! Which worker a task goes to.
+//! Placement: chooses the worker for a task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,10 +14,11 @@
     },
 };
 
-/// A ticket that ends sooner than this is not used, in milliseconds: an order takes a few.
+/// Tickets that expire sooner than this are not used, in milliseconds: an order takes a few.
 pub(crate) const TICKET_MARGIN_MS: u64 = 150;
 
-/// How long a lasting task looks for a worker that stays, in milliseconds.
+/// How long a lasting task waits for a worker before it may use a host that is being drained, in
+/// milliseconds.
 const STARVED_MS: u64 = 1_000;
 
 /// How many workers each reason rules out for a step.
@@ -32,28 +33,29 @@
     room: u32,
 }
 
-/// What a placement looks at beside the task.
+/// The state on which a placement is based, besides the task.
 pub(crate) struct Scene<'a> {
     pub(crate) workers: &'a BTreeMap<Incarnation, Worker>,
-    /// Hosts that are being emptied.
+    /// Hosts that are being drained.
     pub(crate) emptying: &'a BTreeMap<HostId, Revision>,
-    /// Workers whose room is kept for tasks that last.
+    /// Workers whose resources are reserved for lasting tasks.
     pub(crate) reserved: &'a BTreeSet<Incarnation>,
     pub(crate) now: Steady,
 }
 
 impl Scene<'_> {
-    /// Whether a worker may run a step at all, room and tickets aside.
+    /// Whether a worker may run a step, regardless of resources and tickets.
     pub(crate) fn is_eligible(&self, worker: &Worker, step: &Step) -> bool {
         worker.takes_work(self.now)
             && !self.emptying.contains_key(&worker.report.host)
             && (step.label.is_empty() || worker.report.labels.contains(&step.label))
     }
 
-    /// Whether a task that lasts may begin on a host that is to be emptied: only while others run
-    /// there, since a host that was empty once is no longer ours, and only once nothing else was
-    /// found for a while. Else tasks that must not be away together would hold each other up.
-    fn may_return(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
+    /// Whether a lasting task may start on a host that is being drained: only while other tasks run
+    /// there, since the fleet owner may act on a host once it has been empty, and only after no
+    /// other worker was found for a while. Otherwise, tasks that must not be down together could
+    /// block each other.
+    fn may_start_on_draining_host(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
         let starved = tasks.starved.is_some_and(|since| STARVED_MS < self.now.since(since));
         step.lasting
             && starved
@@ -62,65 +64,66 @@
             && (step.label.is_empty() || worker.report.labels.contains(&step.label))
     }
 
-    /// The worker for a task, if one has room: near the data first, then those that have not
-    /// failed lately, then the one that is left with the least room, so that wide tasks find some.
+    /// The worker for a task, if one fits. Among equally reliable workers, those near the data come
+    /// first, then the one with the least processor time left, so that large tasks still find room.
     pub(crate) fn worker_for(
         &self,
         step: &Step,
         tasks: &StepTasks,
         task: &Task,
-        ticketed: bool,
+        needs_ticket: bool,
         rack: Option<&str>,
     ) -> Option<&Worker> {
         let fits = |worker: &&Worker| {
             worker.trial.is_none()
-                && self.may_take(worker, step, tasks, ticketed)
+                && self.may_take(worker, step, tasks, needs_ticket)
                 && rack.is_none_or(|rack| worker.rack() == rack)
         };
         self.workers.values().filter(fits).min_by_key(|worker| {
-            let far = !step.near.is_empty() && worker.rack() != step.near;
-            let failed = task.failed_at.contains(&worker.report.id);
-            // A task that has failed before needs a worker that is known to do its work.
-            let suspect = worker.is_suspect();
-            let left = worker.cpu_left();
-            // A worker that is lost beside other new runs would not tell which of them did it, and it
-            // takes all that runs there with it.
-            let new = task.suspect && !worker.is_settled();
+            let is_far = !step.near.is_empty() && worker.rack() != step.near;
+            let has_failed = task.failed_at.contains(&worker.report.id);
+            // A task that has failed before needs a worker that is known to work.
+            let is_suspect = worker.is_suspect();
+            let cpu_left = worker.cpu_left();
+            // If a worker is lost with several new runs, it is not known which of them crashed it,
+            // and everything else that runs there is lost too.
+            let has_new_runs = task.suspect && !worker.is_settled();
             let by_count = step.fills || task.suspect;
-            let load = if by_count { worker.copies.len() as u32 } else { left };
-            (failed, suspect, new, !worker.is_listed(), far, load)
+            let load = if by_count { worker.copies.len() as u32 } else { cpu_left };
+            (has_failed, is_suspect, has_new_runs, !worker.is_listed(), is_far, load)
         })
     }
 
-    /// Whether a worker has room for a task of a step and may run it, a trial there aside.
+    /// Whether a worker may run a task of a step and has the resources for it, regardless of an
+    /// isolated retry there.
     pub(crate) fn may_take(
         &self,
         worker: &Worker,
         step: &Step,
         tasks: &StepTasks,
-        ticketed: bool,
+        needs_ticket: bool,
     ) -> bool {
-        (self.is_eligible(worker, step) || self.may_return(worker, step, tasks))
+        (self.is_eligible(worker, step) || self.may_start_on_draining_host(worker, step, tasks))
             && (step.lasting || !self.reserved.contains(&worker.report.id))
             && worker.report.room.fits(&worker.used, &step.charge())
-            && self.is_spread(worker, step, tasks)
-            && (!ticketed || self.has_ticket(worker, tasks))
+            && self.satisfies_spread(worker, step, tasks)
+            && (!needs_ticket || self.has_ticket(worker, tasks))
     }
 
-    /// The worker on which a task that lasts finds room first, if no other work begins there: the
-    /// one with the most room left.
+    /// The worker where resources for a lasting task become free first if no other work starts
+    /// there: the one with the most processor time left.
     pub(crate) fn to_reserve(&self, step: &Step, tasks: &StepTasks) -> Option<&Worker> {
         let charge = step.charge();
-        let could = |worker: &&Worker| {
+        let is_possible = |worker: &&Worker| {
             self.is_eligible(worker, step)
                 && worker.report.room.fits(&Room::default(), &charge)
-                && self.is_spread(worker, step, tasks)
+                && self.satisfies_spread(worker, step, tasks)
         };
-        self.workers.values().filter(could).max_by_key(|worker| worker.cpu_left())
+        self.workers.values().filter(is_possible).max_by_key(|worker| worker.cpu_left())
     }
 
-    /// Why the tasks of a step find no worker, for the log: how many workers each reason rules out.
-    pub(crate) fn refusals(&self, step: &Step, tasks: &StepTasks, ticketed: bool) -> Refusals {
+    /// Why the tasks of a step find no worker, for the log.
+    pub(crate) fn refusals(&self, step: &Step, tasks: &StepTasks, needs_ticket: bool) -> Refusals {
         let mut refusals = Refusals::default();
         for worker in self.workers.values() {
             let reason = if !worker.touched || !worker.is_heard(self.now) {
@@ -131,9 +134,9 @@
                 &mut refusals.leaving
             } else if !self.is_eligible(worker, step) {
                 &mut refusals.suspended
-            } else if !self.is_spread(worker, step, tasks) {
+            } else if !self.satisfies_spread(worker, step, tasks) {
                 &mut refusals.spread
-            } else if ticketed && !self.has_ticket(worker, tasks) {
+            } else if needs_ticket && !self.has_ticket(worker, tasks) {
                 &mut refusals.ticket
             } else {
                 &mut refusals.room
@@ -143,17 +146,17 @@
         refusals
     }
 
-    fn is_spread(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
+    fn satisfies_spread(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
         if step.apart == 0 {
             return true;
         }
         let id = &worker.report.id;
-        let there = |task: &&Task| task.copies.iter().any(|copy| copy.worker == *id);
-        (tasks.tasks.iter().filter(there).count() as u32) < step.apart
+        let runs_there = |task: &&Task| task.copies.iter().any(|copy| copy.worker == *id);
+        (tasks.tasks.iter().filter(runs_there).count() as u32) < step.apart
     }
 
     fn has_ticket(&self, worker: &Worker, tasks: &StepTasks) -> bool {
         let ticket = tasks.tickets.get(&worker.report.id);
-        ticket.is_some_and(|(_, over)| self.now.after(TICKET_MARGIN_MS) < *over)
+        ticket.is_some_and(|(_, expires)| self.now.after(TICKET_MARGIN_MS) < *expires)
     }
 }
--- a/src/jobs/tests/balance.rs
+++ b/src/jobs/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Tests of which node owns which piece of work.
+//! Tests of which node owns which pool.
 
 use std::collections::BTreeMap;
 
@@ -15,9 +15,10 @@
     rows.iter().map(node).collect()
 }
 
-/// A node with 0.12 of a core won three pools of 80 workers and was choked.
+/// Guards against a node with 0.12 of a core acquiring three pools of 80 workers and being
+/// overloaded.
 #[test]
-fn a_node_with_little_processor_time_waits_for_those_with_more() {
+fn a_node_with_little_processor_time_ranks_after_those_with_more() {
     let nodes = nodes(&[("a", 120, 0), ("b", 500, 0), ("c", 500, 200)]);
     let cost = pool_cost(80);
     assert_eq!(rank(&nodes, "b", cost), 0);
@@ -26,17 +27,17 @@
 }
 
 #[test]
-fn every_node_has_a_rank_of_its_own() {
+fn all_nodes_have_different_ranks() {
     let nodes = nodes(&[("a", 250, 0), ("b", 250, 0), ("c", 250, 0)]);
     let mut ranks: Vec<usize> = ["a", "b", "c"].map(|me| rank(&nodes, me, pool_cost(9))).to_vec();
     ranks.sort();
     assert_eq!(ranks, vec![0, 1, 2]);
-    // One that is not listed comes last.
+    // A node that is not listed comes last.
     assert_eq!(rank(&nodes, "d", pool_cost(9)), 3);
 }
 
 #[test]
-fn a_node_that_owns_too_much_gives_the_dearest_piece_that_helps() {
+fn an_overloaded_node_releases_its_most_expensive_ownership() {
     let (large, small) = (pool_cost(80), pool_cost(10));
     let nodes = nodes(&[("a", 120, large.0 + small.0), ("b", 500, 0)]);
     let owned = BTreeMap::from([("pool-large", large), ("pool-small", small)]);
@@ -44,11 +45,11 @@
 }
 
 #[test]
-fn a_node_keeps_its_work_when_it_copes_or_nobody_is_better_off() {
+fn a_node_keeps_its_ownerships_if_it_is_not_overloaded_or_no_other_node_is_less_utilized() {
     let cost = pool_cost(80);
     let owned = BTreeMap::from([("pool", cost)]);
-    let copes = nodes(&[("a", 500, cost.0), ("b", 500, 0)]);
-    assert_eq!(to_give(&copes, "a", &owned), None);
-    let alike = nodes(&[("a", 120, cost.0), ("b", 120, 0)]);
-    assert_eq!(to_give(&alike, "a", &owned), None);
+    let not_overloaded = nodes(&[("a", 500, cost.0), ("b", 500, 0)]);
+    assert_eq!(to_give(&not_overloaded, "a", &owned), None);
+    let equally_loaded = nodes(&[("a", 120, cost.0), ("b", 120, 0)]);
+    assert_eq!(to_give(&equally_loaded, "a", &owned), None);
 }
--- a/src/jobs/tests/fleet/lagging.rs
+++ b/src/jobs/tests/fleet/lagging.rs
@@ -1,18 +1,13 @@
-//! The owner of the fleet's work with a view whose delay follows from what it orders.
+//! The fleet owner with a view whose lag grows with the orders that the owner gives.
 //!
-//! What users saw: at a change of turns a pool earned 0.18 of what it was owed, where 0.40 is the
-//! least, and more than a third of all requests failed. In order: hundreds of hosts were moved;
-//! the list showed them there; the owner asked for their marks to be taken away and forgot that it
-//! had called them; the view, by then a second behind, still showed the marks, so that each plan
-//! moved each of these hosts again, up to 22 times. Every such call is two writes and an answer on
-//! the node that is behind already: at the end it decided on what had been nine seconds before.
-//! The cause is work that grows with the delay of what it is decided on. Evidence: 3,358 of 6,447
-//! calls repeated the one before them, 6,279 commits of that node were refused, and leaving out
-//! just the repeated moves brought the pool to 0.96.
+//! Guards against a feedback loop: after a peak, hundreds of hosts were moved. The owner ordered
+//! the removal of their marks and forgot its calls, while the view, a second behind, still showed
+//! the marks: each plan moved the same hosts again, up to 22 times. Each repeated call costs the
+//! node two writes and an answer, so that its view fell up to nine seconds behind.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::{Known, asked, at, host, listed, pool};
+use super::{Fixture, at, demand, host, listed_host, pool};
 use crate::{
     jobs::fleet::{CallEnd, Fleet, FleetEffect, Leave, Mark, Sizing, WriteEnd},
     model::{
@@ -22,157 +17,157 @@
     },
 };
 
-/// How long a write or a call takes until it is answered, in milliseconds.
+/// How long a write or a call takes to be answered, in milliseconds.
 const ANSWER_MS: u64 = 20;
 
-/// How long after a mark the pool's owner writes that the host is empty.
-const EMPTY_MS: u64 = 100;
+/// How long after a mark the pool's owner records the host as empty, in milliseconds.
+const DRAIN_MS: u64 = 100;
 
-/// How long a host is away for a move or for upkeep.
+/// How long a host is away for a move or for upkeep, in milliseconds.
 const AWAY_MS: u64 = 1_500;
 
-/// A change of the store, as the view is told of it.
-enum Told {
+/// A change of the store, as it reaches the view.
+enum StoreChange {
     Mark(HostId, Option<Leave>),
     Empty(HostId),
-    Kept(u64, BTreeSet<HostId>),
+    Maintained(u64, BTreeSet<HostId>),
     Reported(u64),
 }
 
-/// What is answered to the owner.
+/// An answer to the owner.
 enum Answer {
-    Call { host: HostId, leave: Leave, limited: bool },
-    Write { effect: FleetEffect, end: WriteEnd },
+    Call { host: HostId, action: Leave, rejected: bool },
+    Write { effect: FleetEffect, result: WriteEnd },
     List { sent: u64, hosts: Vec<ListedHost> },
 }
 
-/// The store, the platform, and a node that takes changes in one after the other.
-struct World {
+/// A simulation of the store, the platform, and a node that processes changes one after the other.
+struct Simulation {
     fleet: Fleet,
-    view: Known,
-    /// Marks as the store has them.
+    view: Fixture,
+    /// The marks in the store.
     marks: BTreeMap<HostId, Mark>,
     /// The store's revision.
-    at: Revision,
+    revision: Revision,
     hosts: BTreeMap<HostId, (ListedHost, u64)>,
     maintained: BTreeMap<u64, BTreeSet<HostId>>,
-    /// What the view is still to be told, and when.
-    queue: VecDeque<(u64, Revision, Told)>,
+    /// Changes that have not reached the view yet, and when they will.
+    queue: VecDeque<(u64, Revision, StoreChange)>,
     answers: Vec<(u64, Answer)>,
-    empties: Vec<(u64, HostId)>,
-    /// How far behind the view is without any work, and by how much each change and answer adds to
+    drains: Vec<(u64, HostId)>,
+    /// The lag of the view without any load, and the time by which each change and answer adds to
     /// it: the node has one processor.
-    base_ms: u64,
+    base_lag_ms: u64,
     cost_us: u64,
-    /// When the node has done what was brought to it so far, in microseconds.
-    free_us: u64,
+    /// When the node will have processed everything received so far, in microseconds.
+    busy_until_us: u64,
     now: u64,
     /// How often each order was given.
     orders: BTreeMap<String, usize>,
-    /// The most by which the view was behind.
-    worst_ms: u64,
+    /// The largest lag of the view.
+    max_lag_ms: u64,
     /// Whether calls to hosts get no answer.
-    calls_fail: bool,
-    /// Whether the first write of each kind and host is lost, and its answer with it.
-    first_lost: bool,
-    /// Calls that the platform takes in a second, when it took the last ones, and how many it did
-    /// not take.
-    allowed: usize,
-    taken: VecDeque<u64>,
-    limited: usize,
+    calls_unanswered: bool,
+    /// Whether the first write of each kind and host is lost, together with its answer.
+    first_write_lost: bool,
+    /// Calls that the platform accepts per second, when it accepted the latest ones, and how many
+    /// it rejected.
+    call_limit: usize,
+    accepted_calls: VecDeque<u64>,
+    rejected: usize,
 }
 
-impl World {
-    fn new(hosts: Vec<ListedHost>, base_ms: u64, cost_us: u64) -> World {
+impl Simulation {
+    fn new(hosts: Vec<ListedHost>, base_lag_ms: u64, cost_us: u64) -> Simulation {
         let sizing =
             Sizing { full_percent: 80, growth_percent: 0, margin_hosts: 0, shrink_after_ms: 1_000 };
-        let hosts = hosts.into_iter().map(|known| (known.host.clone(), (known, 0)));
-        World {
+        let hosts = hosts.into_iter().map(|host| (host.host.clone(), (host, 0)));
+        Simulation {
             fleet: Fleet::new(7, sizing, at(0)),
-            view: Known { known: Revision(0), ..Known::new() },
+            view: Fixture { view_revision: Revision(0), ..Fixture::new() },
             marks: BTreeMap::new(),
-            at: Revision(0),
+            revision: Revision(0),
             hosts: hosts.collect(),
             maintained: BTreeMap::new(),
             queue: VecDeque::new(),
             answers: Vec::new(),
-            empties: Vec::new(),
-            base_ms,
+            drains: Vec::new(),
+            base_lag_ms,
             cost_us,
-            free_us: 0,
+            busy_until_us: 0,
             now: 0,
             orders: BTreeMap::new(),
-            worst_ms: 0,
-            calls_fail: false,
-            first_lost: false,
-            allowed: usize::MAX,
-            taken: VecDeque::new(),
-            limited: 0,
+            max_lag_ms: 0,
+            calls_unanswered: false,
+            first_write_lost: false,
+            call_limit: usize::MAX,
+            accepted_calls: VecDeque::new(),
+            rejected: 0,
         }
     }
 
-    /// The work that a change or an answer is to the node.
+    /// Adds the cost of one change or answer to the load of the node. Returns when it is processed.
     fn charge(&mut self) -> u64 {
-        self.free_us = self.free_us.max(self.now * 1_000) + self.cost_us;
-        self.free_us / 1_000
+        self.busy_until_us = self.busy_until_us.max(self.now * 1_000) + self.cost_us;
+        self.busy_until_us / 1_000
     }
 
-    fn tell(&mut self, told: Told) {
-        let shown = self.charge() + self.base_ms;
-        self.worst_ms = self.worst_ms.max(shown - self.now);
-        self.at = Revision(self.at.0 + 1);
-        self.queue.push_back((shown, self.at, told));
+    fn publish(&mut self, change: StoreChange) {
+        let shown_at = self.charge() + self.base_lag_ms;
+        self.max_lag_ms = self.max_lag_ms.max(shown_at - self.now);
+        self.revision = Revision(self.revision.0 + 1);
+        self.queue.push_back((shown_at, self.revision, change));
     }
 
     fn run(&mut self, until: u64) {
         while self.now < until {
             self.now += 10;
-            self.happen();
+            self.advance();
             if self.now.is_multiple_of(100) {
-                let effects = self.fleet.plan(&self.view.scene(), Steady::from_millis(self.now));
+                let effects = self.fleet.plan(&self.view.snapshot(), Steady::from_millis(self.now));
                 for effect in effects {
-                    self.carry_out(effect);
+                    self.execute(effect);
                 }
             }
         }
     }
 
-    fn happen(&mut self) {
+    fn advance(&mut self) {
         let now = self.now;
-        for (known, back) in self.hosts.values_mut() {
-            if known.phase != HostPhase::Up && *back <= now {
-                known.phase = HostPhase::Up;
-                let off = known.pool == pool("off");
-                known.worker =
-                    (!off).then(|| format!("w{}-{now}", known.host.as_str()).parse().unwrap());
+        for (entry, back_at) in self.hosts.values_mut() {
+            if entry.phase != HostPhase::Up && *back_at <= now {
+                entry.phase = HostPhase::Up;
+                let off = entry.pool == pool("off");
+                entry.worker =
+                    (!off).then(|| format!("w{}-{now}", entry.host.as_str()).parse().unwrap());
             }
         }
-        let (due, later) = std::mem::take(&mut self.empties).into_iter().partition(|e| e.0 <= now);
-        self.empties = later;
+        let (due, later) = std::mem::take(&mut self.drains).into_iter().partition(|e| e.0 <= now);
+        self.drains = later;
         let due: Vec<(u64, HostId)> = due;
         for (_, host) in due {
-            self.tell(Told::Empty(host));
+            self.publish(StoreChange::Empty(host));
         }
-        while self.queue.front().is_some_and(|(shown, ..)| *shown <= now) {
-            let (_, revision, told) = self.queue.pop_front().unwrap();
-            self.view.known = revision;
-            match told {
-                Told::Mark(host, Some(leave)) => {
-                    self.view.show(host, leave);
+        while self.queue.front().is_some_and(|(shown_at, ..)| *shown_at <= now) {
+            let (_, revision, change) = self.queue.pop_front().unwrap();
+            self.view.view_revision = revision;
+            match change {
+                StoreChange::Mark(host, Some(action)) => {
+                    self.view.show_mark(host, action);
                 }
-                Told::Mark(host, None) => {
-                    self.view.leaves.remove(&host);
-                    self.view.empties.remove(&host);
+                StoreChange::Mark(host, None) => {
+                    self.view.marks.remove(&host);
+                    self.view.drained.remove(&host);
                 }
-                Told::Empty(host) => {
+                StoreChange::Empty(host) => {
                     if let Some(worker) = self.hosts[&host].0.worker.clone() {
-                        self.view.empties.insert(host, worker);
+                        self.view.drained.insert(host, worker);
                     }
                 }
-                Told::Kept(wave, hosts) => {
+                StoreChange::Maintained(wave, hosts) => {
                     self.view.maintained.insert(wave, hosts);
                 }
-                Told::Reported(wave) => {
+                StoreChange::Reported(wave) => {
                     self.view.reported.insert(wave);
                 }
             }
@@ -182,311 +177,325 @@
         let due: Vec<(u64, Answer)> = due;
         for (_, answer) in due {
             match answer {
-                Answer::Call { host, leave, limited } => {
-                    let end = match () {
-                        () if limited => CallEnd::Limited,
-                        () if self.calls_fail => CallEnd::Unknown,
+                Answer::Call { host, action, rejected } => {
+                    let result = match () {
+                        () if rejected => CallEnd::Limited,
+                        () if self.calls_unanswered => CallEnd::Unknown,
                         () => CallEnd::Begun,
                     };
-                    self.fleet.called(&host, leave, end, at(now));
+                    self.fleet.called(&host, action, result, at(now));
                 }
-                Answer::Write { effect, end } => self.fleet.written(&effect, &end, at(now)),
+                Answer::Write { effect, result } => self.fleet.written(&effect, &result, at(now)),
                 Answer::List { sent, hosts } => self.fleet.heard_list(at(sent), Some(hosts)),
             }
         }
     }
 
-    /// Counts an order, which is work for the node; whether it is carried out.
-    fn count(&mut self, order: String) -> bool {
+    /// Counts an order and its cost to the node, and returns whether the order is carried out.
+    fn count_order(&mut self, order: String) -> bool {
         self.charge();
         let count = self.orders.entry(order).or_default();
         *count += 1;
-        !self.first_lost || *count != 1
+        !self.first_write_lost || *count != 1
     }
 
     fn answer(&mut self, answer: Answer) {
-        let read = self.charge();
-        self.answers.push((read.max(self.now + ANSWER_MS), answer));
+        let processed_at = self.charge();
+        self.answers.push((processed_at.max(self.now + ANSWER_MS), answer));
     }
 
-    fn carry_out(&mut self, effect: FleetEffect) {
-        let end = match &effect {
+    fn execute(&mut self, effect: FleetEffect) {
+        let result = match &effect {
             FleetEffect::List => {
-                let hosts = self.hosts.values().map(|(known, _)| known.clone()).collect();
+                let hosts = self.hosts.values().map(|(entry, _)| entry.clone()).collect();
                 return self.answer(Answer::List { sent: self.now, hosts });
             }
-            FleetEffect::Mark(host, leave) => {
-                if !self.count(format!("mark {host:?} {leave:?}")) {
+            FleetEffect::Mark(host, action) => {
+                if !self.count_order(format!("mark {host:?} {action:?}")) {
                     WriteEnd::Lost
                 } else if let Some(mark) = self.marks.get(host) {
                     WriteEnd::Refused(Some(mark.clone()))
                 } else {
-                    self.tell(Told::Mark(host.clone(), Some(leave.clone())));
-                    let mark = Mark { leave: leave.clone(), revision: self.at };
+                    self.publish(StoreChange::Mark(host.clone(), Some(action.clone())));
+                    let mark = Mark { leave: action.clone(), revision: self.revision };
                     self.marks.insert(host.clone(), mark);
-                    self.empties.push((self.now + EMPTY_MS, host.clone()));
-                    WriteEnd::Done(self.at)
+                    self.drains.push((self.now + DRAIN_MS, host.clone()));
+                    WriteEnd::Done(self.revision)
                 }
             }
             FleetEffect::Unmark(host, revision) => {
-                if !self.count(format!("unmark {host:?}")) {
+                if !self.count_order(format!("unmark {host:?}")) {
                     WriteEnd::Lost
                 } else if self.marks.get(host).is_none_or(|mark| mark.revision != *revision) {
                     WriteEnd::Refused(self.marks.get(host).cloned())
                 } else {
                     self.marks.remove(host);
-                    self.tell(Told::Mark(host.clone(), None));
-                    WriteEnd::Done(self.at)
+                    self.publish(StoreChange::Mark(host.clone(), None));
+                    WriteEnd::Done(self.revision)
                 }
             }
             FleetEffect::Maintained(hosts, wave) => {
-                let counted = hosts.iter().map(|host| format!("keep {host:?} {wave}"));
+                let orders = hosts.iter().map(|host| format!("record {host:?} {wave}"));
                 let mut done = true;
-                for order in counted.collect::<Vec<_>>() {
-                    done &= self.count(order);
+                for order in orders.collect::<Vec<_>>() {
+                    done &= self.count_order(order);
                 }
                 if done {
-                    let kept = self.maintained.entry(*wave).or_default();
-                    kept.extend(hosts.iter().cloned());
-                    let kept = kept.clone();
-                    self.tell(Told::Kept(*wave, kept));
+                    let maintained = self.maintained.entry(*wave).or_default();
+                    maintained.extend(hosts.iter().cloned());
+                    let maintained = maintained.clone();
+                    self.publish(StoreChange::Maintained(*wave, maintained));
                     for host in hosts {
                         self.marks.remove(host);
-                        self.tell(Told::Mark(host.clone(), None));
+                        self.publish(StoreChange::Mark(host.clone(), None));
                     }
-                    WriteEnd::Done(self.at)
+                    WriteEnd::Done(self.revision)
                 } else {
                     WriteEnd::Lost
                 }
             }
             FleetEffect::Report(wave, done) => {
-                if !self.count(format!("report {wave} {done}")) {
+                if !self.count_order(format!("report {wave} {done}")) {
                     WriteEnd::Lost
                 } else {
                     if *done {
-                        self.tell(Told::Reported(*wave));
+                        self.publish(StoreChange::Reported(*wave));
                     }
-                    WriteEnd::Done(self.at)
+                    WriteEnd::Done(self.revision)
                 }
             }
             FleetEffect::Maintain(host, wave) => {
-                return self.call(host.clone(), Leave::Upkeep(*wave));
+                return self.call_platform(host.clone(), Leave::Upkeep(*wave));
             }
             FleetEffect::Move(host, to) => {
-                return self.call(host.clone(), Leave::Move(to.clone()));
+                return self.call_platform(host.clone(), Leave::Move(to.clone()));
             }
         };
-        self.answer(Answer::Write { effect, end });
+        self.answer(Answer::Write { effect, result });
     }
 
-    /// A call is kept before it is made, and the view is told of that too.
-    fn call(&mut self, host: HostId, leave: Leave) {
-        self.count(format!("call {host:?} {leave:?}"));
+    /// Makes a call. It is recorded before, and that change reaches the view too.
+    fn call_platform(&mut self, host: HostId, action: Leave) {
+        self.count_order(format!("call {host:?} {action:?}"));
         self.charge();
         let now = self.now;
-        self.taken.retain(|at| now < at + 1_000);
-        if self.allowed <= self.taken.len() {
-            self.limited += 1;
-            return self.answer(Answer::Call { host, leave, limited: true });
+        self.accepted_calls.retain(|at| now < at + 1_000);
+        if self.call_limit <= self.accepted_calls.len() {
+            self.rejected += 1;
+            return self.answer(Answer::Call { host, action, rejected: true });
         }
-        self.taken.push_back(now);
-        let (known, back) = self.hosts.get_mut(&host).unwrap();
-        let there = matches!(&leave, Leave::Move(to) if known.pool == *to);
-        if known.phase == HostPhase::Up && !there && !self.calls_fail {
-            known.phase = HostPhase::Moving;
-            *back = now + AWAY_MS;
-            known.worker = None;
-            if let Leave::Move(to) = &leave {
-                known.pool = to.clone();
+        self.accepted_calls.push_back(now);
+        let (entry, back_at) = self.hosts.get_mut(&host).unwrap();
+        let is_there = matches!(&action, Leave::Move(to) if entry.pool == *to);
+        if entry.phase == HostPhase::Up && !is_there && !self.calls_unanswered {
+            entry.phase = HostPhase::Moving;
+            *back_at = now + AWAY_MS;
+            entry.worker = None;
+            if let Leave::Move(to) = &action {
+                entry.pool = to.clone();
             }
         }
-        self.answer(Answer::Call { host, leave, limited: false });
+        self.answer(Answer::Call { host, action, rejected: false });
     }
 
-    /// The order of a kind that was given most often.
-    fn most(&self, kind: &str) -> (usize, String) {
-        let of = self.orders.iter().filter(|(order, _)| order.starts_with(kind));
-        of.map(|(order, count)| (*count, order.clone())).max().unwrap_or_default()
+    /// The order of a kind that was given most often, with its count.
+    fn most_repeated(&self, kind: &str) -> (usize, String) {
+        let matching = self.orders.iter().filter(|(order, _)| order.starts_with(kind));
+        matching.map(|(order, count)| (*count, order.clone())).max().unwrap_or_default()
     }
 }
 
-/// A pool of many hosts whose turn is over: 300 of them go to the pool that is off.
-fn turn(base_ms: u64, cost_us: u64) -> World {
-    turn_of(310, base_ms, cost_us)
+/// A pool whose peak is over: 300 of its hosts go to the pool that is switched off.
+fn after_peak(base_lag_ms: u64, cost_us: u64) -> Simulation {
+    after_peak_of(310, base_lag_ms, cost_us)
 }
 
-/// The same with so many hosts, of which ten stay.
-fn turn_of(hosts: usize, base_ms: u64, cost_us: u64) -> World {
+/// The same with a number of hosts, of which ten stay.
+fn after_peak_of(hosts: usize, base_lag_ms: u64, cost_us: u64) -> Simulation {
     let hosts = 0..hosts;
-    let all = hosts.clone().map(|n| listed(n, "busy")).collect();
-    let mut world = World::new(all, base_ms, cost_us);
-    world.view.idle = hosts.map(host).collect();
-    world.view.demands.insert(pool("busy"), asked(100_000, 0));
-    world
+    let all = hosts.clone().map(|n| listed_host(n, "busy")).collect();
+    let mut sim = Simulation::new(all, base_lag_ms, cost_us);
+    sim.view.idle = hosts.map(host).collect();
+    sim.view.demands.insert(pool("busy"), demand(100_000, 0));
+    sim
 }
 
-/// A wave over forty hosts, ten at once.
-fn upkeep(base_ms: u64, cost_us: u64) -> World {
-    let mut world = World::new((0..40).map(|n| listed(n, "busy")).collect(), base_ms, cost_us);
+/// A wave of upkeep over forty hosts, ten at once.
+fn upkeep_wave(base_lag_ms: u64, cost_us: u64) -> Simulation {
+    let mut sim =
+        Simulation::new((0..40).map(|n| listed_host(n, "busy")).collect(), base_lag_ms, cost_us);
     let hosts = (0..40).map(host).collect();
-    world.view.upkeeps = vec![Upkeep { wave: 1, hosts, period_ms: 20_000, at_once: 10 }];
-    world
+    sim.view.upkeeps = vec![Upkeep { wave: 1, hosts, period_ms: 20_000, at_once: 10 }];
+    sim
 }
 
-/// The owner of the fleet's work made its view later by what it ordered because the view was late.
+/// Guards against the owner delaying its view further by orders that it gives because the view is
+/// stale.
 #[test]
-fn orders_for_a_turn_do_not_make_the_view_ever_later() {
-    let mut world = turn(300, 4_000);
-    world.run(20_000);
-    // No plan may rest on a view that is older than this.
-    assert!(world.worst_ms < 2_000, "{} ms behind, {:?}", world.worst_ms, world.most("call"));
+fn orders_after_a_peak_do_not_delay_the_view_without_bound() {
+    let mut sim = after_peak(300, 4_000);
+    sim.run(20_000);
+    // No plan may use a view that is older than this.
+    assert!(
+        sim.max_lag_ms < 2_000,
+        "lag of {} ms, {:?}",
+        sim.max_lag_ms,
+        sim.most_repeated("call")
+    );
 }
 
-/// The mark stood in the view after the list showed the host where it was to go.
+/// The view still shows the mark after the host list shows the host in its new pool.
 #[test]
-fn a_host_that_has_come_is_not_called_again_while_the_view_shows_its_mark() {
-    let mut world = turn(1_500, 100);
-    world.run(12_000);
-    let (count, order) = world.most("call");
+fn a_moved_host_is_not_called_again_while_the_view_still_shows_its_mark() {
+    let mut sim = after_peak(1_500, 100);
+    sim.run(12_000);
+    let (count, order) = sim.most_repeated("call");
     assert_eq!(count, 1, "{order}");
 }
 
-/// Unmarks were repeated as long as the view did not show them.
+/// Guards against repeating removals until the view shows them.
 #[test]
-fn a_mark_is_taken_away_once_however_late_the_view() {
-    let mut world = turn(1_500, 100);
-    world.run(12_000);
-    let (count, order) = world.most("unmark");
+fn a_mark_is_removed_once_with_a_stale_view() {
+    let mut sim = after_peak(1_500, 100);
+    sim.run(12_000);
+    let (count, order) = sim.most_repeated("unmark");
     assert_eq!(count, 1, "{order}");
 }
 
-/// A mark that did not show in time was written again, and refused.
+/// Guards against writing a mark again that the view does not show in time; that write is refused.
 #[test]
-fn a_host_is_marked_once_however_late_the_view() {
-    let mut world = turn(1_500, 100);
-    world.run(12_000);
-    let (count, order) = world.most("mark");
+fn a_host_is_marked_once_with_a_stale_view() {
+    let mut sim = after_peak(1_500, 100);
+    sim.run(12_000);
+    let (count, order) = sim.most_repeated("mark");
     assert_eq!(count, 1, "{order}");
 }
 
-/// What was kept of a wave did not show, and was written again.
+/// Guards against recording maintained hosts again that the view does not show yet.
 #[test]
-fn upkeep_is_kept_once_however_late_the_view() {
-    let mut world = upkeep(1_500, 100);
-    world.run(30_000);
-    let (count, order) = world.most("keep");
+fn upkeep_is_recorded_once_with_a_stale_view() {
+    let mut sim = upkeep_wave(1_500, 100);
+    sim.run(30_000);
+    let (count, order) = sim.most_repeated("record");
     assert_eq!(count, 1, "{order}");
 }
 
-/// A host whose upkeep was kept and did not show was maintained once more.
+/// Guards against maintaining a host again whose recorded upkeep the view does not show yet.
 #[test]
-fn a_host_is_maintained_once_however_late_the_view() {
-    let mut world = upkeep(1_500, 100);
-    world.run(30_000);
-    let (count, order) = world.most("call");
+fn a_host_is_maintained_once_with_a_stale_view() {
+    let mut sim = upkeep_wave(1_500, 100);
+    sim.run(30_000);
+    let (count, order) = sim.most_repeated("call");
     assert_eq!(count, 1, "{order}");
 }
 
-/// That a wave is done was written again and again until it showed.
+/// Guards against repeating the report of a wave until the view shows it.
 #[test]
-fn a_wave_is_reported_once_however_late_the_view() {
-    let mut world = upkeep(1_500, 100);
-    world.run(30_000);
-    assert_eq!(world.most("report 1 true").0, 1);
+fn a_wave_is_reported_once_with_a_stale_view() {
+    let mut sim = upkeep_wave(1_500, 100);
+    sim.run(30_000);
+    assert_eq!(sim.most_repeated("report 1 true").0, 1);
 }
 
-/// A call without an answer is made again, and no more often than its pause allows.
+/// A call without an answer is retried, but no more often than its pause allows.
 #[test]
-fn a_call_without_an_answer_is_repeated_with_a_pause() {
-    let mut world = turn(1_500, 100);
-    world.calls_fail = true;
-    world.run(6_000);
-    let (count, order) = world.most("call");
+fn an_unanswered_call_is_retried_after_a_pause() {
+    let mut sim = after_peak(1_500, 100);
+    sim.calls_unanswered = true;
+    sim.run(6_000);
+    let (count, order) = sim.most_repeated("call");
     assert!((2..=16).contains(&count), "{count} times {order}");
 }
 
-/// A write that failed was taken for one that does not show yet, for as long as it was asked for.
+/// Guards against treating a failed write forever as one that the view does not show yet.
 #[test]
-fn an_unmark_that_is_lost_is_made_again() {
-    let mut world = turn(300, 100);
-    world.first_lost = true;
-    world.run(20_000);
-    assert_eq!(world.marks.len(), 0, "marks left; {:?}", world.most("unmark"));
+fn a_lost_removal_of_a_mark_is_retried() {
+    let mut sim = after_peak(300, 100);
+    sim.first_write_lost = true;
+    sim.run(20_000);
+    assert_eq!(sim.marks.len(), 0, "marks left; {:?}", sim.most_repeated("unmark"));
 }
 
-/// A wave was never reported as done where the first write of it was lost.
+/// Guards against a wave that is never reported as done because the first write of the report was
+/// lost.
 #[test]
-fn a_report_that_is_lost_is_made_again() {
-    let mut world = upkeep(300, 100);
-    world.first_lost = true;
-    world.run(30_000);
-    assert!(world.view.reported.contains(&1), "{:?}", world.most("report"));
+fn a_lost_report_is_retried() {
+    let mut sim = upkeep_wave(300, 100);
+    sim.first_write_lost = true;
+    sim.run(30_000);
+    assert!(sim.view.reported.contains(&1), "{:?}", sim.most_repeated("report"));
 }
 
-/// What is lost is made again after a pause, not by each plan.
+/// A lost write is retried after a pause, not by each plan.
 #[test]
-fn a_write_that_is_lost_is_repeated_once() {
-    let (mut wave, mut moves) = (upkeep(300, 100), turn(300, 100));
-    for world in [&mut wave, &mut moves] {
-        world.first_lost = true;
-        world.run(30_000);
+fn a_lost_write_is_retried_once() {
+    let (mut wave, mut moves) = (upkeep_wave(300, 100), after_peak(300, 100));
+    for sim in [&mut wave, &mut moves] {
+        sim.first_write_lost = true;
+        sim.run(30_000);
     }
-    let most = [wave.most("mark"), wave.most("report"), moves.most("mark"), moves.most("unmark")];
+    let most = [
+        wave.most_repeated("mark"),
+        wave.most_repeated("report"),
+        moves.most_repeated("mark"),
+        moves.most_repeated("unmark"),
+    ];
     assert!(most.iter().all(|(count, _)| *count == 2), "{most:?}");
 }
 
-/// Each host was tried again every 0.3 s, and these calls took what other hosts needed.
+/// Guards against retrying each host every 0.3 s: these calls used up the limit that other hosts
+/// needed.
 #[test]
-fn calls_beyond_what_the_platform_takes_slow_all_calls_down() {
-    let mut world = turn(100, 100);
-    world.allowed = 20;
-    world.run(20_000);
-    let moved = world.hosts.values().filter(|(known, _)| known.pool == pool("off")).count();
-    // 300 hosts take 15 s of what is allowed: nine tenths of them in 20.
-    assert!(270 <= moved, "{moved} moved, {} calls not taken", world.limited);
-    // One call that is not taken for two that are.
-    assert!(world.limited <= moved / 2, "{moved} moved, {} calls not taken", world.limited);
+fn rejected_calls_lower_the_rate_of_all_calls() {
+    let mut sim = after_peak(100, 100);
+    sim.call_limit = 20;
+    sim.run(20_000);
+    let moved = sim.hosts.values().filter(|(entry, _)| entry.pool == pool("off")).count();
+    // 300 hosts take 15 s at the limit: at least nine tenths of them move in 20 s.
+    assert!(270 <= moved, "{moved} moved, {} calls rejected", sim.rejected);
+    // At most one rejected call for two accepted ones.
+    assert!(sim.rejected <= moved / 2, "{moved} moved, {} calls rejected", sim.rejected);
 }
 
-/// Marks and removals wait until the view shows earlier ones. A move has one of each.
+/// Marks wait until the view shows earlier marks and removals. Each move needs one of each.
 #[test]
-fn a_turn_is_as_fast_as_calls_are_taken_while_the_view_is_a_quarter_of_a_second_behind() {
-    let mut world = turn_of(660, 230, 100);
-    world.allowed = 64;
-    while world.most("mark").0 == 0 {
-        world.run(world.now + 10);
+fn moves_use_the_full_call_limit_while_the_view_lags_by_a_quarter_second() {
+    let mut sim = after_peak_of(660, 230, 100);
+    sim.call_limit = 64;
+    while sim.most_repeated("mark").0 == 0 {
+        sim.run(sim.now + 10);
     }
-    world.run(world.now + 8_000);
-    let moved = world.hosts.values().filter(|(known, _)| known.pool == pool("off")).count();
-    // Of eight seconds one passes until the first host is empty.
-    assert!(7 * 64 <= moved, "{moved} moved in 8 s, {} calls not taken", world.limited);
+    sim.run(sim.now + 8_000);
+    let moved = sim.hosts.values().filter(|(entry, _)| entry.pool == pool("off")).count();
+    // One of the eight seconds passes before the first host is empty.
+    assert!(7 * 64 <= moved, "{moved} moved in 8 s, {} calls rejected", sim.rejected);
 }
 
-/// The later the view, the fewer marks a second.
+/// The larger the lag of the view, the fewer marks are written per second.
 #[test]
-fn a_view_that_is_further_behind_makes_less_work() {
-    let orders = |base_ms| {
-        let mut world = turn_of(660, base_ms, 100);
-        world.run(6_000);
+fn a_view_that_lags_more_causes_fewer_orders() {
+    let orders = |base_lag_ms| {
+        let mut sim = after_peak_of(660, base_lag_ms, 100);
+        sim.run(6_000);
         let is_mark = |order: &&String| order.starts_with("mark") || order.starts_with("unmark");
-        world.orders.keys().filter(is_mark).count()
+        sim.orders.keys().filter(is_mark).count()
     };
     let (near, far) = (orders(230), orders(2_000));
-    assert!(far * 3 <= near, "{near} marks a quarter of a second behind, {far} two seconds behind");
+    assert!(far * 3 <= near, "{near} marks with a lag of a quarter second, {far} with two seconds");
 }
 
-/// Calls of an earlier owner may fill what is allowed in the first second of the next one.
+/// Calls of an earlier owner may use up the call limit in the first second of the next one.
 #[test]
-fn calls_that_others_took_the_room_of_do_not_slow_a_turn_for_long() {
-    let mut world = turn_of(660, 100, 100);
-    world.allowed = 0;
-    while world.limited == 0 {
-        world.run(world.now + 10);
+fn calls_of_an_earlier_owner_do_not_slow_moves_for_long() {
+    let mut sim = after_peak_of(660, 100, 100);
+    sim.call_limit = 0;
+    while sim.rejected == 0 {
+        sim.run(sim.now + 10);
     }
-    world.run(world.now + 500);
-    world.allowed = 64;
-    world.run(world.now + 8_000);
-    let moved = world.hosts.values().filter(|(known, _)| known.pool == pool("off")).count();
-    // Half of what is allowed.
-    assert!(4 * 64 <= moved, "{moved} moved in 8 s, {} calls not taken", world.limited);
+    sim.run(sim.now + 500);
+    sim.call_limit = 64;
+    sim.run(sim.now + 8_000);
+    let moved = sim.hosts.values().filter(|(entry, _)| entry.pool == pool("off")).count();
+    // Half of the limit.
+    assert!(4 * 64 <= moved, "{moved} moved in 8 s, {} calls rejected", sim.rejected);
 }
--- a/src/jobs/tests/helpers.rs
+++ b/src/jobs/tests/helpers.rs
@@ -1,4 +1,4 @@
-//! Tests of who makes an owner's calls.
+//! Tests of the delegates that send an owner's calls.
 
 use std::collections::BTreeMap;
 
@@ -16,16 +16,16 @@
     (0..count).map(|n| format!("node-{n}")).collect()
 }
 
-fn shares(helpers: &Helpers, workers: &[Incarnation]) -> BTreeMap<String, usize> {
+fn shares(delegates: &Helpers, workers: &[Incarnation]) -> BTreeMap<String, usize> {
     let mut shares = BTreeMap::new();
     for worker in workers {
-        *shares.entry(helpers.of(worker).unwrap().to_owned()).or_default() += 1;
+        *shares.entry(delegates.of(worker).unwrap().to_owned()).or_default() += 1;
     }
     shares
 }
 
 #[test]
-fn a_node_calls_the_workers_itself_that_it_has_time_for() {
+fn a_node_calls_as_many_workers_itself_as_its_processor_allows() {
     assert!(is_small(24, Millicores(120)));
     assert!(!is_small(25, Millicores(120)));
     assert!(is_small(49, Millicores(250)));
@@ -33,25 +33,25 @@
 }
 
 #[test]
-fn workers_are_shared_out_evenly_and_keep_their_node() {
-    let mut helpers = Helpers::default();
+fn workers_are_distributed_evenly_and_keep_their_delegate() {
+    let mut delegates = Helpers::default();
     let (few, many) = (workers(100), workers(300));
-    helpers.choose("pool", &nodes(40), &few);
-    let before: Vec<String> = few.iter().map(|w| helpers.of(w).unwrap().to_owned()).collect();
-    assert!(shares(&helpers, &few).values().all(|share| *share <= 12));
-    helpers.choose("pool", &nodes(40), &many);
-    assert!(shares(&helpers, &many).values().all(|share| *share <= 12));
-    let kept = few.iter().zip(&before).filter(|(w, node)| helpers.of(w) == Some(node)).count();
-    assert_eq!(kept, few.len(), "more nodes help, and those that did go on");
+    delegates.choose("pool", &nodes(40), &few);
+    let before: Vec<String> = few.iter().map(|w| delegates.of(w).unwrap().to_owned()).collect();
+    assert!(shares(&delegates, &few).values().all(|share| *share <= 12));
+    delegates.choose("pool", &nodes(40), &many);
+    assert!(shares(&delegates, &many).values().all(|share| *share <= 12));
+    let kept = few.iter().zip(&before).filter(|(w, node)| delegates.of(w) == Some(node)).count();
+    assert_eq!(kept, few.len(), "with more delegates, workers keep the ones that they have");
 }
 
 #[test]
-fn the_workers_of_a_node_that_is_gone_go_to_others() {
-    let mut helpers = Helpers::default();
+fn the_workers_of_a_removed_delegate_go_to_the_others() {
+    let mut delegates = Helpers::default();
     let workers = workers(60);
-    helpers.choose("pool", &nodes(5), &workers);
-    helpers.choose("pool", &nodes(4), &workers);
-    let shares = shares(&helpers, &workers);
+    delegates.choose("pool", &nodes(5), &workers);
+    delegates.choose("pool", &nodes(4), &workers);
+    let shares = shares(&delegates, &workers);
     assert_eq!(shares.values().sum::<usize>(), 60);
     assert!(!shares.contains_key("node-4"));
     assert!(shares.values().all(|share| *share == 15), "{shares:?}");
@@ -59,7 +59,7 @@
 
 #[test]
 fn without_other_nodes_the_owner_makes_all_calls() {
-    let mut helpers = Helpers::default();
-    helpers.choose("pool", &[], &workers(60));
-    assert_eq!(helpers.of(&worker_id("w1")), None);
+    let mut delegates = Helpers::default();
+    delegates.choose("pool", &[], &workers(60));
+    assert_eq!(delegates.of(&worker_id("w1")), None);
 }
--- a/src/jobs/tests/places.rs
+++ b/src/jobs/tests/places.rs
@@ -1,5 +1,6 @@
-//! Tests of what an owner makes of a worker's place: a worker counts as over only if another life
-//! answers where it was itself heard. Entries may come from another writer.
+//! Tests of wrong worker entries in the store, which other writers may have made. A worker counts
+//! as terminated only if another incarnation answers at an address where the worker itself has
+//! answered.
 
 use super::{Bench, done, id, one_worker, present, report, step, stored, worker_id};
 use crate::{
@@ -12,203 +13,204 @@
     },
 };
 
-/// Two workers, the first of which runs a task.
+/// Two workers, of which the first runs a task.
 fn two_workers() -> (Bench, TaskId, u32) {
-    let mut bench = one_worker();
-    bench.tell(Event::Job(stored(1, vec![step(1)], 110)));
-    bench.work();
-    let (task, run, worker) = bench.starts()[0].clone();
-    bench.started(task, run, &worker);
-    bench.tell(Event::Worker(report("w2", "h2")));
-    bench.touch("w2", vec![]);
-    assert_eq!(bench.starts(), vec![]);
-    (bench, task, run)
+    let mut harness = one_worker();
+    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.work();
+    let (task, run, worker) = harness.starts()[0].clone();
+    harness.started(task, run, &worker);
+    harness.tell(Event::Worker(report("w2", "h2")));
+    harness.touch("w2", vec![]);
+    assert_eq!(harness.starts(), vec![]);
+    (harness, task, run)
 }
 
-fn other_life(bench: &mut Bench, name: &str) {
-    let (worker, sent): (Incarnation, _) = (worker_id(name), Steady::from_millis(bench.now));
+fn other_incarnation(harness: &mut Bench, name: &str) {
+    let (worker, sent): (Incarnation, _) = (worker_id(name), Steady::from_millis(harness.now));
     let end = OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None };
-    bench.tell(Event::Looked { worker, sent, end });
+    harness.tell(Event::Looked { worker, sent, end });
 }
 
-/// Another writer put a third party's address into the entry of a worker that ran a task. The
-/// owner called there, heard that it was another life, took the worker for over, and started its
-/// task elsewhere while it ran on at the old address.
+/// Another writer put a foreign address into the entry of a worker that ran a task. The owner
+/// called that address, got the answer of another incarnation, considered the worker terminated,
+/// and started the task elsewhere while it was still running at the old address.
 #[test]
-fn another_life_at_an_address_that_was_never_the_workers_does_not_end_it() {
-    let (mut bench, task, run) = two_workers();
-    bench.look("w1", vec![present(task, run, 10)], vec![]);
+fn another_incarnation_at_a_foreign_address_does_not_end_the_worker() {
+    let (mut harness, task, run) = two_workers();
+    harness.look("w1", vec![present(task, run, 10)], vec![]);
     let mut foreign = report("w1", "h1");
     foreign.address = "h3:80".to_owned();
-    bench.tell(Event::Worker(foreign));
-    bench.now += 200;
-    bench.work();
-    let calls = std::mem::take(&mut bench.effects);
-    let moved = calls.iter().any(|effect| format!("{effect:?}").contains("h3:80"));
-    if moved {
-        other_life(&mut bench, "w1");
+    harness.tell(Event::Worker(foreign));
+    harness.now += 200;
+    harness.work();
+    let calls = std::mem::take(&mut harness.effects);
+    let called_elsewhere = calls.iter().any(|effect| format!("{effect:?}").contains("h3:80"));
+    if called_elsewhere {
+        other_incarnation(&mut harness, "w1");
     }
-    bench.work();
-    assert_eq!(bench.starts(), vec![], "it may still run at w1");
+    harness.work();
+    assert_eq!(harness.starts(), vec![], "the task may still run at w1");
 }
 
-/// The same with the address of another worker of the pool: when that one answered, the first was
-/// taken for over.
+/// The same with the address of another worker of the pool: when that worker answered, the first
+/// one was considered terminated.
 #[test]
-fn a_worker_with_the_address_of_another_in_its_entry_is_not_superseded_by_that_one() {
-    let (mut bench, task, run) = two_workers();
+fn a_worker_listed_with_the_address_of_another_is_not_superseded_by_it() {
+    let (mut harness, task, run) = two_workers();
     let mut foreign = report("w1", "h1");
     foreign.address = "h2:80".to_owned();
-    bench.tell(Event::Worker(foreign));
-    bench.now += 200;
-    bench.look("w2", vec![], vec![]);
-    bench.work();
-    assert_eq!(bench.starts(), vec![], "it may still run at w1");
-    bench.look("w1", vec![present(task, run, 20)], vec![]);
-    bench.work();
-    assert_eq!(bench.starts(), vec![]);
+    harness.tell(Event::Worker(foreign));
+    harness.now += 200;
+    harness.look("w2", vec![], vec![]);
+    harness.work();
+    assert_eq!(harness.starts(), vec![], "the task may still run at w1");
+    harness.look("w1", vec![present(task, run, 20)], vec![]);
+    harness.work();
+    assert_eq!(harness.starts(), vec![]);
 }
 
-/// A later owner heard first of a worker by an entry that named the host of another. That one ran a
-/// task, and was taken for over as soon as the first answered at its own address.
+/// A worker's first entry names the host of another worker, which runs a task. The other worker was
+/// considered terminated as soon as the first one answered at its own address.
 #[test]
-fn a_worker_whose_host_stands_in_the_entry_of_another_is_not_superseded_by_that_one() {
-    let mut bench = one_worker();
-    bench.tell(Event::Job(stored(1, vec![step(1)], 110)));
-    bench.work();
-    let (task, run, worker) = bench.starts()[0].clone();
-    bench.started(task, run, &worker);
+fn a_worker_whose_host_is_listed_for_another_is_not_superseded_by_it() {
+    let mut harness = one_worker();
+    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.work();
+    let (task, run, worker) = harness.starts()[0].clone();
+    harness.started(task, run, &worker);
     let mut foreign = report("w2", "h1");
     foreign.address = "h2:80".to_owned();
-    bench.tell(Event::Worker(foreign));
-    bench.touch("w2", vec![]);
-    bench.work();
-    assert_eq!(bench.starts(), vec![], "it runs at w1");
+    harness.tell(Event::Worker(foreign));
+    harness.touch("w2", vec![]);
+    harness.work();
+    assert_eq!(harness.starts(), vec![], "the task runs at w1");
 }
 
-/// A worker that was told of first by a foreign entry is used once its own is back.
+/// A worker whose first entry is foreign is used once its own entry is listed.
 #[test]
-fn a_worker_that_was_never_heard_is_used_once_its_entry_is_right() {
-    let mut bench = Bench::new(0);
+fn a_worker_that_never_answered_is_used_once_its_entry_is_correct() {
+    let mut harness = Bench::new(0);
     let mut foreign = report("w1", "h1");
     foreign.address = "h3:80".to_owned();
-    bench.tell(Event::Worker(foreign));
-    bench.work();
-    other_life(&mut bench, "w1");
-    bench.tell(Event::Worker(report("w1", "h1")));
-    bench.now += 200;
-    bench.touch("w1", vec![]);
-    bench.tell(Event::Job(stored(1, vec![step(1)], 110)));
-    bench.work();
-    assert_eq!(bench.starts().len(), 1);
+    harness.tell(Event::Worker(foreign));
+    harness.work();
+    other_incarnation(&mut harness, "w1");
+    harness.tell(Event::Worker(report("w1", "h1")));
+    harness.now += 200;
+    harness.touch("w1", vec![]);
+    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.work();
+    assert_eq!(harness.starts().len(), 1);
 }
 
-/// A host that was given to another worker tells so at the address at which the first was heard.
+/// If its host now runs another worker, that one answers at the address where the first has
+/// answered.
 #[test]
-fn another_life_at_the_address_of_a_worker_that_was_heard_ends_it() {
-    let (mut bench, task, run) = two_workers();
-    bench.now += 200;
-    other_life(&mut bench, "w1");
-    bench.work();
-    let starts = bench.starts();
+fn another_incarnation_at_the_confirmed_address_of_a_worker_ends_it() {
+    let (mut harness, task, run) = two_workers();
+    harness.now += 200;
+    other_incarnation(&mut harness, "w1");
+    harness.work();
+    let starts = harness.starts();
     assert_eq!(starts, vec![(task, run + 1, worker_id("w2"))]);
     assert_eq!(task.of.job, id(1));
 }
 
-/// An entry that cannot be read names no worker to use: no new work, and what runs there is still
-/// looked at and counted.
+/// A worker whose entry cannot be read gets no new work; its runs are still polled, and their ends
+/// are counted.
 #[test]
-fn a_worker_whose_entry_cannot_be_read_gets_no_work_and_keeps_what_it_has() {
-    let mut bench = one_worker();
-    bench.tell(Event::Job(stored(1, vec![step(1)], 110)));
-    bench.work();
-    let (task, run, worker) = bench.starts()[0].clone();
-    bench.started(task, run, &worker);
-    bench.tell(Event::Barred(worker_id("w1").worker));
-    bench.tell(Event::Job(stored(2, vec![step(1)], 111)));
+fn a_worker_with_an_unreadable_entry_gets_no_work_and_keeps_its_runs() {
+    let mut harness = one_worker();
+    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.work();
+    let (task, run, worker) = harness.starts()[0].clone();
+    harness.started(task, run, &worker);
+    harness.tell(Event::Barred(worker_id("w1").worker));
+    harness.tell(Event::Job(stored(2, vec![step(1)], 111)));
     for _ in 0..40 {
-        bench.now += 400;
-        bench.look("w1", vec![present(task, run, 10)], vec![]);
-        bench.work();
-        assert_eq!(bench.starts(), vec![], "neither the new task nor the one that runs");
+        harness.now += 400;
+        harness.look("w1", vec![present(task, run, 10)], vec![]);
+        harness.work();
+        assert_eq!(harness.starts(), vec![], "neither the new nor the running task may start");
     }
-    bench.look("w1", vec![], vec![done(1, task, run)]);
-    bench.save();
-    assert_eq!(bench.owner.take_finished(9), vec![id(1)], "its end is counted");
-    bench.tell(Event::Worker(report("w1", "h1")));
-    bench.work();
-    let starts = bench.starts();
-    assert_eq!((starts.len(), starts[0].0.of.job), (1, id(2)), "used again");
+    harness.look("w1", vec![], vec![done(1, task, run)]);
+    harness.save();
+    assert_eq!(harness.owner.take_finished(9), vec![id(1)], "the end is counted");
+    harness.tell(Event::Worker(report("w1", "h1")));
+    harness.work();
+    let starts = harness.starts();
+    assert_eq!((starts.len(), starts[0].0.of.job), (1, id(2)), "the worker is used again");
 }
 
-/// A barred worker that falls silent is given up only once all that it held has lapsed.
+/// A barred worker that stops answering is given up only once all its runs have lapsed.
 #[test]
-fn a_worker_whose_entry_cannot_be_read_is_given_up_only_once_it_is_over() {
-    let (mut bench, task, run) = two_workers();
-    bench.look("w1", vec![present(task, run, 10)], vec![]);
-    bench.tell(Event::Barred(worker_id("w1").worker));
-    bench.work();
-    bench.miss("w1");
-    let silent_since = bench.now;
-    while bench.now < silent_since + HOLD_MS - 200 {
-        bench.now += 200;
-        bench.look("w2", vec![], vec![]);
-        bench.work();
-        assert_eq!(bench.starts(), vec![], "after {} ms", bench.now - silent_since);
-        bench.miss("w1");
+fn a_worker_with_an_unreadable_entry_is_given_up_only_after_its_runs_have_lapsed() {
+    let (mut harness, task, run) = two_workers();
+    harness.look("w1", vec![present(task, run, 10)], vec![]);
+    harness.tell(Event::Barred(worker_id("w1").worker));
+    harness.work();
+    harness.miss("w1");
+    let silent_since = harness.now;
+    while harness.now < silent_since + HOLD_MS - 200 {
+        harness.now += 200;
+        harness.look("w2", vec![], vec![]);
+        harness.work();
+        assert_eq!(harness.starts(), vec![], "after {} ms", harness.now - silent_since);
+        harness.miss("w1");
     }
-    bench.now += 1_000;
-    bench.look("w2", vec![], vec![]);
-    bench.work();
-    assert_eq!(bench.starts(), vec![(task, run + 1, worker_id("w2"))]);
+    harness.now += 1_000;
+    harness.look("w2", vec![], vec![]);
+    harness.work();
+    assert_eq!(harness.starts(), vec![(task, run + 1, worker_id("w2"))]);
 }
 
-/// A later owner finds the worker in the roster, and its entry cannot be read.
+/// A later owner finds the worker in the roster, but its entry cannot be read.
 #[test]
-fn a_worker_of_the_roster_whose_entry_cannot_be_read_is_asked_and_gets_no_work() {
-    let mut bench = Bench::inheriting(&[("w1", "h1")], Away::default());
-    bench.tell(Event::Barred(worker_id("w1").worker));
-    bench.tell(Event::Job(stored(1, vec![step(1)], 50)));
+fn a_roster_worker_with_an_unreadable_entry_is_polled_and_gets_no_work() {
+    let mut harness = Bench::inheriting(&[("w1", "h1")], Away::default());
+    harness.tell(Event::Barred(worker_id("w1").worker));
+    harness.tell(Event::Job(stored(1, vec![step(1)], 50)));
     let task: TaskId = format!("{}.0.0.0", id(1)).parse().unwrap();
-    bench.touch("w1", vec![present(task, 1, 30)]);
-    bench.tell(Event::Job(stored(2, vec![step(1)], 51)));
-    bench.work();
-    assert_eq!(bench.starts(), vec![]);
-    bench.look("w1", vec![], vec![done(1, task, 1)]);
-    assert_eq!(bench.save().len(), 1, "what ran there is counted");
+    harness.touch("w1", vec![present(task, 1, 30)]);
+    harness.tell(Event::Job(stored(2, vec![step(1)], 51)));
+    harness.work();
+    assert_eq!(harness.starts(), vec![]);
+    harness.look("w1", vec![], vec![done(1, task, 1)]);
+    assert_eq!(harness.save().len(), 1, "the end of the run is counted");
 }
 
-/// An entry with the service of another pool comes as one of a worker elsewhere.
+/// An entry that names another pool is reported as that of a worker elsewhere.
 #[test]
 fn a_worker_whose_entry_names_another_pool_gets_no_work() {
-    let mut bench = one_worker();
+    let mut harness = one_worker();
     let mut foreign = report("w1", "h1");
     foreign.pool = "other".parse().unwrap();
-    bench.tell(Event::Elsewhere(foreign));
-    bench.tell(Event::Job(stored(1, vec![step(1)], 110)));
-    bench.work();
-    assert_eq!(bench.starts(), vec![]);
-    bench.tell(Event::Worker(report("w1", "h1")));
-    bench.work();
-    assert_eq!(bench.starts().len(), 1);
+    harness.tell(Event::Elsewhere(foreign));
+    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.work();
+    assert_eq!(harness.starts(), vec![]);
+    harness.tell(Event::Worker(report("w1", "h1")));
+    harness.work();
+    assert_eq!(harness.starts().len(), 1);
 }
 
-/// A later owner knows only that something may run at a worker: neither its record in the roster
-/// nor its entry can be read. Tasks of earlier jobs wait, as for a worker that is not reached.
+/// A later owner knows only that something may run at a worker: neither its roster record nor its
+/// entry can be read. Tasks of earlier jobs wait, as for a worker that cannot be reached.
 #[test]
-fn tasks_of_earlier_jobs_wait_for_a_worker_of_which_only_the_name_is_known() {
-    let mut bench = Bench::new(1);
-    let now = bench.at();
+fn tasks_of_earlier_jobs_wait_for_a_worker_known_only_by_name() {
+    let mut harness = Bench::new(1);
+    let now = harness.at();
     let unknown = WorkerReport::without_place(&worker_id("w1"), "pool").unwrap();
-    bench.owner.inherit(vec![unknown], &Away::default(), now, &mut bench.effects);
-    bench.tell(Event::Worker(report("w2", "h2")));
-    bench.tell(Event::Job(stored(1, vec![step(1)], 50)));
-    bench.touch("w2", vec![]);
-    bench.work();
-    assert_eq!(bench.starts(), vec![]);
-    bench.tell(Event::Worker(report("w1", "h1")));
-    bench.now += 10;
-    bench.touch("w1", vec![]);
-    bench.work();
-    assert_eq!(bench.starts().len(), 1, "its own entry tells where it is");
+    harness.owner.inherit(vec![unknown], &Away::default(), now, &mut harness.effects);
+    harness.tell(Event::Worker(report("w2", "h2")));
+    harness.tell(Event::Job(stored(1, vec![step(1)], 50)));
+    harness.touch("w2", vec![]);
+    harness.work();
+    assert_eq!(harness.starts(), vec![]);
+    harness.tell(Event::Worker(report("w1", "h1")));
+    harness.now += 10;
+    harness.touch("w1", vec![]);
+    harness.work();
+    assert_eq!(harness.starts().len(), 1, "the worker's own entry names its address");
 }
--- a/src/jobs/tests/plan_cost.rs
+++ b/src/jobs/tests/plan_cost.rs
@@ -1,28 +1,28 @@
-//! What a plan of the fleet's owner looks at.
+//! The cost of a plan of the fleet owner.
 //!
-//! Users saw quotes served at 0.18 to 0.30 of what was owed, and a node that told them of a state of
-//! seconds ago. One node owned the work of the whole fleet, 1,100 hosts with a wave of upkeep over
-//! half of them. For each host of the wave, and again for each comparison while these were sorted, its
-//! plan went through all marks, and for each candidate through all hosts: 28 to 63 ms of a core,
-//! ten times a second, on a node with half a core. That node's log showed the pools sized for what
-//! they had asked for 6 to 9 s before.
+//! Guards against a plan whose cost grows with hosts times marks. With 1,100 hosts and a wave of
+//! upkeep over half of them, it searched all marks for each host of the wave and for each
+//! comparison while sorting them, and all hosts for each candidate: 28 to 63 ms of a core, ten
+//! times per second, on a node with half a core. Its view fell behind, and pools were sized for the
+//! demand of 6 to 9 s before.
 
 use crate::measure::fleet::play;
 
-/// How often a host or a mark is looked at in the last of some plans, with a tenth of the hosts marked.
-fn looks(hosts: usize) -> usize {
-    let mut looks = 0;
-    play(hosts, hosts / 10, 4, |fleet, scene, now| {
-        fleet.take_looks();
-        fleet.plan(scene, now);
-        looks = fleet.take_looks();
+/// The number of visits of hosts and marks in the last of several plans, with a tenth of the hosts
+/// marked.
+fn visits(hosts: usize) -> usize {
+    let mut visits = 0;
+    play(hosts, hosts / 10, 4, |fleet, snapshot, now| {
+        fleet.take_visits();
+        fleet.plan(snapshot, now);
+        visits = fleet.take_visits();
     });
-    looks
+    visits
 }
 
 #[test]
 fn a_plan_for_four_times_the_hosts_costs_about_four_times_as_much() {
-    let (small, large) = (looks(300), looks(1_200));
-    // Sorting may add a little: the aim is that nothing grows with hosts times marks.
-    assert!(large <= small * 5, "{small} looks for 300 hosts, {large} for 1,200");
+    let (small, large) = (visits(300), visits(1_200));
+    // Sorting may add a little, but nothing may grow with hosts times marks.
+    assert!(large <= small * 5, "{small} visits for 300 hosts, {large} for 1,200");
 }
