--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,13 +1,14 @@
-//! The owner of a pool's jobs: a state machine without sockets. Events and the present time go in,
-//! orders to workers and records to be kept come out.
+//! The owner of a pool's jobs: a state machine without sockets. Its inputs are events and the
+//! current time; its outputs are orders to workers and records to persist.
 //!
-//! What must hold at every moment, whatever was lost or late:
-//! - A task has a copy at a worker from before its start is ordered until it is certain that the
-//!   run has ended or can never begin. No other worker is given the task meanwhile.
-//! - An end is acknowledged to its worker only once the progress that counts it is durable.
-//! - After a change of owners, tasks of earlier jobs wait until every worker that may run them has
-//!   seen the new owner's token, or everything that it may run has lapsed. Which workers may run
-//!   what is kept before it changes.
+//! Invariants, which hold however messages are lost or delayed:
+//! - A task has a run registered at a worker from before its start is ordered until it is certain
+//!   that the run has ended or can never begin. The task is not given to another worker meanwhile.
+//! - The end of a run is acknowledged to its worker only once the progress that counts it is
+//!   durable.
+//! - After a change of owner, tasks of earlier jobs wait until every worker that may run them has
+//!   seen the new owner's token, or everything that it may run has lapsed. The record of which
+//!   workers may run which tasks is persisted before that changes.
 
 pub(crate) mod balance;
 pub(crate) mod event;
--- a/src/jobs/event.rs
+++ b/src/jobs/event.rs
@@ -1,4 +1,4 @@
-//! What an owner is told, and what it wants done.
+//! Input events and output effects of an owner.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,34 +12,35 @@
     worker::{Look, OrderEnd, WorkerReport},
 };
 
-/// A job as the store has it.
+/// A job as it is stored.
 #[derive(Debug, Clone)]
 pub(crate) struct StoredJob {
     pub(crate) id: JobId,
     pub(crate) record: Arc<JobRecord>,
-    /// Of the record: jobs below the owner's token are from before its time.
+    /// Revision of the record: below the owner's token, the job was accepted under an earlier
+    /// owner.
     pub(crate) revision: Revision,
     pub(crate) progress: Option<Arc<Progress>>,
-    /// Of the progress; 0 if there is none.
+    /// Revision of the progress; 0 if there is none.
     pub(crate) saved_at: Revision,
     pub(crate) cancelled: bool,
 }
 
-/// What an owner is told.
+/// An input of an owner.
 #[derive(Debug)]
 pub(crate) enum Event {
     Job(StoredJob),
-    /// The job's record is removed: its time to be asked for is over.
+    /// The job's record was removed at the end of its retention time.
     Removed(JobId),
-    /// The job has ended, or was never accepted: nothing need be kept of ends of its tasks.
+    /// The job has ended, or was never accepted: ends of its runs need not be persisted.
     Over(JobId),
     Cancelled(JobId),
     Worker(WorkerReport),
-    /// A worker of another pool, which may have the place of one of this pool.
+    /// A worker of another pool, which may use the host or address of a worker of this pool.
     Elsewhere(WorkerReport),
-    /// The worker's report is no longer listed.
+    /// The store no longer lists the worker's report.
     Unlisted(WorkerId),
-    /// What is listed under the worker's id is not its own report, or cannot be read.
+    /// The entry under the worker's id is not its own report, or cannot be read.
     Barred(WorkerId),
     Started {
         worker: Incarnation,
@@ -72,7 +73,7 @@
     },
 }
 
-/// What an owner wants done.
+/// An action that an owner requests: an order to a worker, or a call for advice.
 #[derive(Debug, Clone)]
 pub(crate) enum Effect {
     Start { to: Addressee, start: Start },
@@ -82,13 +83,13 @@
     Advise { step: StepId, workers: Vec<Incarnation>, needs: Duration },
 }
 
-/// The progress of a job, to be written.
+/// A write of a job's progress.
 #[derive(Debug, Clone)]
 pub(crate) struct Save {
     pub(crate) job: JobId,
     pub(crate) value: Bytes,
-    /// The revision that the written progress must have; 0: there must be none.
+    /// Condition of the write: the revision of the stored progress; 0 if there must be none.
     pub(crate) expects: Revision,
-    /// Counts the changes that the value holds.
+    /// The version of the job that the value contains.
     pub(crate) version: u64,
 }
--- a/src/jobs/gone.rs
+++ b/src/jobs/gone.rs
@@ -1,5 +1,5 @@
-//! Why an owner holds that a run is over: told when its task starts again, so that two runs of one
-//! task can be traced to what the owner believed, and counted.
+//! Why an owner considers a run ended. The reason is logged and counted when the task is started
+//! again, so that two concurrent runs of one task can be traced to the owner's assumption.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -9,27 +9,27 @@
     worker::{HowEnded, Refusal},
 };
 
-/// Why a run is held to be over, or never to begin.
+/// Why a run is considered ended, or certain never to begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Gone {
-    /// Its worker has listed its end.
+    /// The worker listed its end.
     Ended(HowEnded),
-    /// Its worker has refused the start.
+    /// The worker refused the start.
     Refused(Refusal),
-    /// The start never left its node.
+    /// The start order never left the node.
     Unsent,
-    /// Its worker has taken an order to stop it, and does not list it.
+    /// The worker accepted an order to stop it, and does not list it.
     Stopped,
-    /// Its worker had started it, and lists neither the run nor its end.
+    /// The worker had started it, and lists neither the run nor its end.
     Unlisted,
-    /// Its worker is silent, and all that it may run has lapsed.
+    /// The worker is silent, and its lease has expired.
     Lapsed,
-    /// Its worker is certain to be over.
+    /// The worker has certainly terminated.
     WorkerOver,
 }
 
 impl Gone {
-    /// The word in log lines and metrics.
+    /// The text in log lines and metrics.
     pub(crate) fn word(self) -> &'static str {
         match self {
             Gone::Ended(how) => how.word(),
@@ -43,25 +43,25 @@
     }
 }
 
-/// The run of a task before the next one.
+/// The previous run of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Previous {
     pub(crate) worker: Incarnation,
     pub(crate) run: u32,
     pub(crate) why: Gone,
-    /// When it was held to be over.
+    /// When it was found to have ended.
     pub(crate) at: Steady,
 }
 
 impl Previous {
-    /// How it is told at a moment.
+    /// Its description in a log line.
     pub(crate) fn told(&self, now: Steady) -> impl fmt::Display {
         let ago = now.since(self.at);
         format!("run {} at {}: {}, {ago} ms ago", self.run, self.worker, self.why.word())
     }
 }
 
-/// What is wrong with a run that a worker lists as present.
+/// Why a run that a worker lists as present is unexpected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stray {
     /// Its task is done.
@@ -75,7 +75,7 @@
 }
 
 impl Stray {
-    /// The word in log lines and metrics.
+    /// The text in log lines and metrics.
     pub(crate) fn word(self) -> &'static str {
         match self {
             Stray::Done => "its task is done",
@@ -86,19 +86,19 @@
     }
 }
 
-/// What an owner has counted since that was last taken.
+/// Counters of an owner since they were last read.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counts {
-    /// Tasks that were started again, by why the run before was held to be over.
+    /// Tasks that were started again, by the reason why the previous run ended.
     pub(crate) restarts: BTreeMap<&'static str, u64>,
-    /// Runs that were found and not wanted, by what was wrong with them.
+    /// Unexpected runs that were found, by the reason.
     pub(crate) strays: BTreeMap<&'static str, u64>,
-    /// Workers that were lost under a task, counted once for each task.
+    /// Workers that crashed while they ran a task, counted once for each task.
     pub(crate) crashes: u64,
-    /// Workers that have started again under their name.
+    /// Workers that restarted under the same name.
     pub(crate) started_again: u64,
-    /// Tasks that were given up, since workers crash under them.
+    /// Tasks that were given up because they crash their workers.
     pub(crate) given_up: u64,
-    /// Looks and stops that were sent again, since the one before had no answer.
+    /// Polls and stop orders that were sent again because the previous one got no answer.
     pub(crate) again: u64,
 }
--- a/src/jobs/handover.rs
+++ b/src/jobs/handover.rs
@@ -1,8 +1,9 @@
-//! What an owner that gives its pool back leaves to the next one: all that may run at its workers.
+//! The record that an owner leaves to the next one when it hands over its pool: all tasks that may
+//! run at its workers.
 //!
-//! It orders nothing any more, so that this is exact, while the roster only tells that anything may
-//! run. It counts for the very next owner: every other one was preceded by one that may have given
-//! orders since.
+//! The owner sends no orders any more, so the record is exact, whereas the roster only says that
+//! anything may run. It is valid only for the very next owner: an owner in between may have sent
+//! orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,24 +11,24 @@
 
 use crate::model::job::{JobIdError, TaskId};
 
-/// The most tasks that are left in one record. By its format each takes some 5 bytes, and each step 28:
-/// 60 KB for 700 steps, a twentieth of a second of a link with 10 Mbit/s.
-const MOST_TASKS: usize = 8_000;
+/// The most tasks in one record. Each task takes about 5 bytes and each step 28: 60 KB for 700
+/// steps, which takes 50 ms on a link of 10 Mbit/s.
+const MAX_TASKS: usize = 8_000;
 
-/// The tasks that may run at some worker when a pool is given back.
+/// The tasks that may run at some worker when a pool is handed over.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "WireHandover", into = "WireHandover")]
 pub(crate) struct Handover {
-    /// How many owners came before the one that gave it back.
+    /// The number of owners before the one that handed it over.
     earlier: u32,
     tasks: BTreeSet<TaskId>,
 }
 
-/// The record: numbers of tasks, by step.
+/// The stored form: indices of tasks, by step.
 #[derive(Serialize, Deserialize)]
 struct WireHandover {
     #[serde(rename = "o")]
-    earlier: u32,
+    earlier_owners: u32,
     #[serde(rename = "t", default)]
     tasks: BTreeMap<String, Vec<u32>>,
 }
@@ -40,7 +41,7 @@
             let step = text.rsplit_once('.').map_or("", |(step, _)| step);
             tasks.entry(step.to_owned()).or_default().push(task.index);
         }
-        WireHandover { earlier: handover.earlier, tasks }
+        WireHandover { earlier_owners: handover.earlier, tasks }
     }
 }
 
@@ -48,26 +49,26 @@
     type Error = JobIdError;
 
     fn try_from(wire: WireHandover) -> Result<Handover, JobIdError> {
-        let of_step = |(step, numbers): (String, Vec<u32>)| {
-            numbers.into_iter().map(move |index| format!("{step}.{index}").parse())
+        let of_step = |(step, indices): (String, Vec<u32>)| {
+            indices.into_iter().map(move |index| format!("{step}.{index}").parse())
         };
         let tasks = wire.tasks.into_iter().flat_map(of_step).collect::<Result<_, _>>()?;
-        Ok(Handover { earlier: wire.earlier, tasks })
+        Ok(Handover { earlier: wire.earlier_owners, tasks })
     }
 }
 
 impl Handover {
-    /// What the owner that came after so many others leaves; nothing if it is too much.
+    /// The record of an owner that follows `earlier` others; `None` if there are too many tasks.
     pub(crate) fn new(earlier: u32, tasks: BTreeSet<TaskId>) -> Option<Handover> {
-        (tasks.len() <= MOST_TASKS).then_some(Handover { earlier, tasks })
+        (tasks.len() <= MAX_TASKS).then_some(Handover { earlier, tasks })
     }
 
-    /// What may run, for an owner that comes after so many others.
+    /// The tasks that may run, if the record is valid for an owner that follows `earlier` others.
     pub(crate) fn for_owner(&self, earlier: u32) -> Option<&BTreeSet<TaskId>> {
         (self.earlier.checked_add(1) == Some(earlier)).then_some(&self.tasks)
     }
 
-    /// How many tasks may run.
+    /// The number of tasks that may run.
     pub(crate) fn len(&self) -> usize {
         self.tasks.len()
     }
