--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -1,4 +1,4 @@
-//! A job as its pool's owner sees it: its tasks, their copies, and what is durable of them.
+//! The state of a job at its pool's owner: its tasks, their runs, and which of it is durable.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,26 +15,26 @@
     },
 };
 
-/// Run numbers are given above a multiple of this for each earlier owner of the pool, so that an
-/// owner need not know which runs its predecessors gave.
+/// The run numbers of an owner begin above this number times the number of earlier owners, so that
+/// an owner need not know which ones its predecessors used.
 pub(crate) const RUNS_PER_OWNER: u32 = 1_000;
 
-/// The most workers that may be lost with runs of one task. Five starts are allowed where three have
-/// crashed; this leaves one for a crash that no owner has seen.
-const MOST_LOST: usize = 4;
+/// The most workers that may be lost with runs of one task. A task that has crashed three workers
+/// may be started five times in total; this leaves one start for a crash that no owner observed.
+const MAX_LOST_WORKERS: usize = 4;
 
-/// What is known of an order to start a run.
+/// The phase of a run, as far as the owner knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The order is on its way.
+    /// The start order is in flight.
     Starting,
-    /// The order got no answer: the run may be there, or may yet begin.
+    /// The start order got no answer: the run may have begun, or may yet begin.
     Unknown,
-    /// The worker has said that it runs.
+    /// The worker has reported that it runs.
     Running,
-    /// It is to be stopped; the order to stop has not been answered.
+    /// It is to be stopped; the stop order has not been answered.
     Stopping,
-    /// The worker has taken the order to stop: what it does not list from then on is not there.
+    /// The worker accepted the stop order then: a run that it does not list afterwards has ended.
     Stopped(Steady),
 }
 
@@ -46,25 +46,26 @@
     pub(crate) phase: Phase,
     /// When the phase began.
     pub(crate) since: Steady,
-    /// When the run was first known to be there.
+    /// When the run was first known to have begun.
     pub(crate) began: Option<Steady>,
-    /// Whether the worker has listed it: an answer to its start tells no incarnation.
+    /// Whether the worker has listed it. The answer to a start order does not identify the
+    /// incarnation, a list does.
     pub(crate) listed: bool,
-    /// When it was taken over from an earlier owner, which may have told it to stop.
+    /// When it was taken over from an earlier owner, which may have ordered it to stop.
     pub(crate) adopted: Option<Steady>,
     pub(crate) percent: u32,
-    /// When the percent last grew.
+    /// When the percent last increased.
     pub(crate) moved: Steady,
     pub(crate) gauge: u64,
-    /// Whether its task is suspected of crashing its workers, and this run is to show it: nothing
-    /// else begins beside it meanwhile.
+    /// Whether this is an isolated retry: its task is suspected of crashing its workers, and
+    /// nothing else is started beside it.
     pub(crate) trial: bool,
-    /// The share of its pace that it was last told, in percent.
+    /// The throttle last ordered, in percent of full speed.
     pub(crate) pace: u32,
 }
 
 impl Copy {
-    /// A run at a worker of which no more is known than its phase.
+    /// A run at a worker of which only the phase is known.
     pub(crate) fn new(worker: Incarnation, run: u32, phase: Phase, now: Steady) -> Copy {
         Copy {
             worker,
@@ -82,45 +83,48 @@
         }
     }
 
-    /// Whether its start may be carried out later, or was without an answer.
+    /// Whether its start is not confirmed: it may yet be carried out.
     pub(crate) fn is_unanswered(&self) -> bool {
         self.began.is_none() && !self.listed && !matches!(self.phase, Phase::Stopped(_))
     }
 }
 
-/// A task.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Task {
     pub(crate) done: bool,
-    /// The highest run that was given or seen.
+    /// The highest run number that was assigned or seen.
     pub(crate) run: u32,
+    /// The runs that failed.
     pub(crate) failed: Vec<u32>,
-    /// Where it failed.
+    /// The workers where it failed.
     pub(crate) failed_at: BTreeSet<Incarnation>,
-    /// The workers that crashed under a run of it. They outlive the owner: a run that dies with its
-    /// worker lists no end, and is an attempt all the same.
+    /// The workers that crashed under a run of it. Persisted across owners: a run that ends with
+    /// its worker lists no end, but counts as an attempt.
     pub(crate) crashed: BTreeSet<Incarnation>,
-    /// The workers that may have: they were lost with a run that may not have begun, or may live.
+    /// Unconfirmed crashes: workers that were lost with a run of it, where the run may not have
+    /// begun or the worker may be alive.
     pub(crate) doubted: BTreeSet<Incarnation>,
-    /// The job's version that holds both.
+    /// The job's version that contains the last change of both sets.
     pub(crate) crash_version: u64,
-    /// Whether its next run is to show if it crashes its workers.
+    /// Whether its next run is an isolated retry.
     pub(crate) suspect: bool,
-    /// Where that run is to be, or is: the worker counts as doubted until the run has shown it.
+    /// The worker of the isolated retry. It counts as an unconfirmed crash until the retry has run
+    /// for long enough.
     pub(crate) trial_at: Option<Incarnation>,
+    /// The newest checkpoint; empty for none.
     pub(crate) saved: String,
-    /// At most one, but for steps whose copies may run at the same time.
+    /// Its current runs: at most one, except for speculative steps.
     pub(crate) copies: Vec<Copy>,
-    /// The copy that was there before.
+    /// The previous run.
     pub(crate) previous: Option<Box<Previous>>,
-    /// Not to be started before.
+    /// The earliest time of its next start.
     pub(crate) not_before: Steady,
-    /// It was started by this owner, or runs at a worker that has seen this owner's token, so that
-    /// no worker that has not seen the token can hold a run of it. That a worker lists the end of
-    /// a run says nothing: the owner before may have heard of it and have started the next.
+    /// Whether it was started by this owner, or runs at a worker that has seen this owner's token:
+    /// then no worker that has not seen the token can run it. The listed end of a run does not show
+    /// this: the previous owner may have received the same end and have started the next run.
     pub(crate) accounted: bool,
-    /// The run that was taken over from an earlier owner. How those before it ended may be listed by
-    /// a worker that was not asked yet.
+    /// The run that was taken over from an earlier owner. Workers that have not been polled yet may
+    /// list failures of runs before it.
     pub(crate) inherited: Option<u32>,
 }
 
@@ -129,49 +133,54 @@
         !self.done && self.copies.is_empty()
     }
 
-    /// Whether so many workers were lost with its runs that it is not started again, whatever else
-    /// began there: it waits until it is known whether those live, or is given up.
+    /// Whether so many workers were lost with its runs that it is not started again, even if other
+    /// tasks may have caused it: it waits until it is known whether the workers are alive, or is
+    /// given up.
     pub(crate) fn is_lost_too_often(&self) -> bool {
-        MOST_LOST <= self.lost_workers()
+        MAX_LOST_WORKERS <= self.lost_workers()
     }
 
-    /// How many runs before the one that was taken over may have failed without this owner knowing.
-    fn unheard_runs(&self) -> usize {
+    /// The number of runs before the one that was taken over that may have failed without this
+    /// owner having received the end.
+    fn unreported_runs(&self) -> usize {
         match self.inherited {
-            // Runs of several owners have gaps between their numbers.
+            // Run numbers of different owners have gaps between them.
             Some(run) if RUNS_PER_OWNER <= run => usize::MAX,
             Some(run) => {
-                let heard = self.failed.iter().filter(|failed| **failed < run).count();
-                (run as usize).saturating_sub(1 + heard)
+                let reported = self.failed.iter().filter(|failed| **failed < run).count();
+                (run as usize).saturating_sub(1 + reported)
             }
             None => 0,
         }
     }
 
-    /// Whether a run that is to show if it crashes its worker is, or is to be, at one.
+    /// Whether an isolated retry of it runs, or is to run, at a worker.
     pub(crate) fn is_on_trial_at(&self, id: &Incarnation) -> bool {
-        let begun = self.copies.iter().any(|copy| copy.trial && copy.worker == *id);
-        begun || self.trial_at.as_ref() == Some(id)
+        let has_begun = self.copies.iter().any(|run| run.trial && run.worker == *id);
+        has_begun || self.trial_at.as_ref() == Some(id)
     }
 
-    /// How many workers were lost with a run of it, whether or not they crashed.
+    /// The number of workers that were lost with a run of it, whether or not they crashed.
     pub(crate) fn lost_workers(&self) -> usize {
         self.crashed.len() + self.doubted.len()
     }
 }
 
-/// The tasks of one step at one time, and the tickets for it.
+/// The tasks of one step at one of the job's due times, and the tickets for it.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StepTasks {
     pub(crate) tasks: Vec<Task>,
+    /// The number of tasks that are not done.
     pub(crate) left: u32,
-    /// Workers that may run the step, with a ticket and the time at which it is over.
+    /// Workers that may run the step, with a ticket and its expiry.
     pub(crate) tickets: BTreeMap<Incarnation, (String, Steady)>,
-    /// Workers that were asked about; those without a ticket may not run the step.
+    /// Workers covered by the advice received; those without a ticket may not run the step.
     pub(crate) judged: BTreeSet<Incarnation>,
+    /// Whether a request for advice is in flight.
     pub(crate) asking: bool,
     /// Since when some of its tasks have found no worker.
     pub(crate) starved: Option<Steady>,
+    /// The earliest time of the next request for advice.
     pub(crate) ask_after: Steady,
 }
 
@@ -180,11 +189,10 @@
 pub(crate) struct JobEnd {
     pub(crate) queue: String,
     pub(crate) state: &'static str,
-    /// Since its acceptance.
+    /// The time from its acceptance to its end.
     pub(crate) took: Duration,
 }
 
-/// A job.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) id: JobId,
@@ -192,18 +200,19 @@
     pub(crate) state: JobState,
     pub(crate) ended: Time,
     pub(crate) cancelled: bool,
-    /// By time and step.
+    /// By due time and step, both counted from 0.
     pub(crate) steps: BTreeMap<(u32, u32), StepTasks>,
-    /// Tasks that are not done.
+    /// The number of tasks that are not done.
     pub(crate) left: u32,
-    /// When it was last told that tasks wait for a worker.
+    /// When it was last logged that tasks wait for a worker.
     pub(crate) told_waiting: Steady,
-    /// How often that was told.
+    /// How often that was logged.
     pub(crate) times_told: u32,
-    /// Counts changes that must be kept.
+    /// The number of changes to be persisted.
     pub(crate) version: u64,
-    /// The version that is durable.
+    /// The highest version that is durable.
     pub(crate) durable: u64,
+    /// The revision of the stored progress; 0 if there is none.
     pub(crate) saved_at: Revision,
 }
 
@@ -247,7 +256,7 @@
                 Some((time.parse::<u32>().ok()?, step.parse::<u32>().ok()?))
             });
             let Some(step) = key.and_then(|key| self.steps.get_mut(&key)) else {
-                log::warn!("job {}: progress names step `{name}`, which it does not have", self.id);
+                log::warn!("job {}: stored progress contains unknown step `{name}`", self.id);
                 continue;
             };
             for (index, note) in &note.tasks {
@@ -271,14 +280,14 @@
         }
     }
 
-    /// What is to be kept.
+    /// The progress to be persisted.
     pub(crate) fn progress(&self) -> Progress {
         let mut progress = Progress { state: self.state, ended: self.ended, ..Progress::default() };
         if self.state.is_final() {
             return progress;
         }
         for ((time, number), step) in &self.steps {
-            let note = note_of(step, self.step(*number));
+            let note = step_note(step, self.step(*number));
             if note != StepNote::default() {
                 progress.steps.insert(format!("{time}.{number}"), note);
             }
@@ -303,7 +312,7 @@
         !self.cancelled && !self.state.is_final()
     }
 
-    /// Whether a step's turn has come at one time.
+    /// Whether a due time has come, and all steps that the step depends on are done.
     pub(crate) fn is_due(&self, time: u32, number: u32, now: Now) -> bool {
         let after = &self.step(number).after;
         let done =
@@ -311,13 +320,13 @@
         self.record.due(time) <= now.wall && after.iter().all(done)
     }
 
-    /// Notes a change that must be kept, and tells its version.
+    /// Records a change to be persisted; returns the new version.
     pub(crate) fn change(&mut self) -> u64 {
         self.version += 1;
         self.version
     }
 
-    /// How it ended, once it has.
+    /// How it ended; `None` if it has not ended, or was cancelled.
     pub(crate) fn how_ended(&self) -> Option<JobEnd> {
         let state = match self.state {
             JobState::Succeeded => "succeeded",
@@ -328,43 +337,43 @@
         Some(JobEnd { queue: self.record.queue.clone(), state, took })
     }
 
-    /// Its tasks with whose runs workers were lost.
+    /// The tasks under which workers were lost.
     pub(crate) fn marked_tasks(&self) -> Vec<TaskId> {
         let steps = self.steps.iter().flat_map(|((time, step), tasks)| {
             let of = StepId { job: self.id, time: *time, step: *step };
-            let numbered = tasks.tasks.iter().enumerate();
-            let marked = numbered.filter(|(_, task)| task.lost_workers() != 0);
-            marked.map(move |(index, _)| TaskId { of, index: index as u32 })
+            let indexed = tasks.tasks.iter().enumerate();
+            let with_losses = indexed.filter(|(_, task)| task.lost_workers() != 0);
+            with_losses.map(move |(index, _)| TaskId { of, index: index as u32 })
         });
         steps.collect()
     }
 
-    /// Whether a task may be started again, as far as workers were lost with its runs: which ones must
-    /// be durable, so that whoever owns the pool next knows.
+    /// Whether the workers lost with a task's runs allow another start. From the second one on, the
+    /// losses must be durable first, so that the next owner of the pool knows them.
     pub(crate) fn may_start(&self, task: &Task) -> bool {
-        let kept = task.lost_workers() < 2 || task.crash_version <= self.durable;
-        kept && (!task.is_lost_too_often() || task.trial_at.is_some())
+        let is_durable = task.lost_workers() < 2 || task.crash_version <= self.durable;
+        is_durable && (!task.is_lost_too_often() || task.trial_at.is_some())
     }
 
-    /// Whether a task may have failed as often as it may, with failures that only a worker knows
-    /// that was not asked yet.
+    /// Whether a task may have used up its attempts, if failures are included that workers which
+    /// have not been polled yet may list.
     pub(crate) fn may_have_failed(&self, of: StepId, index: u32) -> bool {
         let step = self.step(of.step);
-        // A gang has one count, which its first task keeps.
+        // A gang has one count of failures, in its first task.
         let counted = if step.gang { 0 } else { index };
         let (Some(task), Some(counts)) = (self.task(of, index), self.task(of, counted)) else {
             return false;
         };
-        let failed = counts.failed.len().saturating_add(task.unheard_runs());
+        let failed = counts.failed.len().saturating_add(task.unreported_runs());
         !step.lasting && self.record.attempts as usize <= failed
     }
 
-    /// Whether there is something to write.
+    /// Whether it has changes that are not durable.
     pub(crate) fn is_dirty(&self) -> bool {
         self.durable < self.version
     }
 
-    /// Notes that a run is done; tells whether that was news.
+    /// Marks a task as done; returns whether it was not done before.
     pub(crate) fn mark_done(&mut self, of: StepId, index: u32) -> bool {
         let Some(step) = self.steps.get_mut(&(of.time, of.step)) else {
             return false;
@@ -381,23 +390,23 @@
         true
     }
 
-    /// Takes note that a run of one of its tasks has begun; whether that was news.
+    /// Marks the job as running once a run of one of its tasks has begun; returns whether it was
+    /// queued before.
     pub(crate) fn begin(&mut self) -> bool {
-        let is_news = self.state == JobState::Queued && self.is_open();
-        if is_news {
+        let was_queued = self.state == JobState::Queued && self.is_open();
+        if was_queued {
             self.state = JobState::Running;
             self.change();
         }
-        is_news
+        was_queued
     }
 
-    /// Whether a run of one of its tasks has begun, or may have.
+    /// Whether a run of one of its tasks has or may have begun.
     pub(crate) fn may_have_begun(&self) -> bool {
         let mut tasks = self.steps.values().flat_map(|step| &step.tasks);
         self.state == JobState::Running || tasks.any(|task| !task.copies.is_empty())
     }
 
-    /// Ends the job.
     pub(crate) fn end(&mut self, state: JobState, now: Now) {
         self.state = state;
         self.ended = now.wall;
@@ -405,24 +414,24 @@
     }
 }
 
-fn note_of(tasks: &StepTasks, step: &Step) -> StepNote {
+fn step_note(tasks: &StepTasks, step: &Step) -> StepNote {
     let mut note = StepNote::default();
     for (index, task) in tasks.tasks.iter().enumerate() {
         if task.done {
             note.done.push(index as u32);
             continue;
         }
-        // Of a task that lasts, neither failures nor checkpoints count.
-        let ended = !step.lasting && (!task.failed.is_empty() || !task.saved.is_empty());
-        if ended || task.lost_workers() != 0 {
-            let kept = TaskNote {
+        // Failures and checkpoints of lasting tasks are not persisted.
+        let has_results = !step.lasting && (!task.failed.is_empty() || !task.saved.is_empty());
+        if has_results || task.lost_workers() != 0 {
+            let persisted = TaskNote {
                 run: task.run,
                 failed: task.failed.clone(),
                 saved: task.saved.clone(),
                 crashed: task.crashed.clone(),
                 doubted: task.doubted.clone(),
             };
-            note.tasks.insert(index as u32, kept);
+            note.tasks.insert(index as u32, persisted);
         }
     }
     note
--- a/src/jobs/losses.rs
+++ b/src/jobs/losses.rs
@@ -1,46 +1,46 @@
-//! Whether orders to workers get lost here and there. While they do, a worker is asked more often
-//! what it does: with 6 % of orders lost, more than half of the jobs of 13 tasks meet one, and a
-//! look that is lost hides all ends at its worker until it is given up.
+//! Detects that orders to workers get lost on the way. While they do, workers are polled with a
+//! short timeout: with 6 % of orders lost, more than half of the jobs of 13 tasks are affected, and
+//! a lost poll hides all ends at its worker until it times out.
 
 use std::collections::VecDeque;
 
 use crate::model::unit::Steady;
 
-/// How long an order without an answer counts, in milliseconds: long enough for the few of a small
-/// pool to add up, short enough that a pool pays for looks only while orders do get lost.
-const COUNTS_MS: u64 = 2_000;
+/// The period over which unanswered orders are counted: long enough for the few of a small pool to
+/// add up, short enough that a pool bears the additional polls only while orders get lost.
+const LOSS_WINDOW_MS: u64 = 2_000;
 
-/// So many must be lost, whatever the size of the pool: one or two are a connection that was reset.
-const LEAST: usize = 3;
+/// The fewest lost orders in a pool of any size: one or two may be due to a connection reset.
+const MIN_LOST: usize = 3;
 
-/// And as many as this share of the pool's workers, in percent: where orders get lost at random it
-/// is a few percent of them, and each worker gets some orders in that time.
-const SHARE_PERCENT: usize = 2;
+/// The fewest lost orders as a share of the pool's workers: random loss affects a few percent of
+/// the orders, and each worker gets several orders within the window.
+const MIN_LOST_PERCENT: usize = 2;
 
-/// Orders without an answer, to workers that had answered the one before.
+/// Recent orders that got no answer although the worker had answered the previous one.
 #[derive(Debug, Default)]
 pub(crate) struct Losses {
     recent: VecDeque<Steady>,
-    many: bool,
+    high: bool,
 }
 
 impl Losses {
-    /// Takes note of an order that got no answer.
+    /// Records an order that got no answer.
     pub(crate) fn note(&mut self, now: Steady) {
         self.recent.push_back(now);
     }
 
-    /// Whether many orders got lost of late, in a pool of so many workers.
+    /// Whether many orders were lost recently in a pool of `workers` workers.
     pub(crate) fn are_many(&mut self, workers: usize, now: Steady) -> bool {
-        while self.recent.front().is_some_and(|at| COUNTS_MS < now.since(*at)) {
+        while self.recent.front().is_some_and(|at| LOSS_WINDOW_MS < now.since(*at)) {
             self.recent.pop_front();
         }
-        let many = LEAST.max(workers * SHARE_PERCENT / 100) <= self.recent.len();
-        if many != self.many {
-            let word = if many { "many" } else { "few" };
-            log::info!("workers: {word} orders without an answer: {}", self.recent.len());
+        let high = MIN_LOST.max(workers * MIN_LOST_PERCENT / 100) <= self.recent.len();
+        if high != self.high {
+            let amount = if high { "many" } else { "few" };
+            log::info!("workers: {amount} recent orders without an answer: {}", self.recent.len());
         }
-        self.many = many;
-        many
+        self.high = high;
+        high
     }
 }
--- a/src/jobs/roster.rs
+++ b/src/jobs/roster.rs
@@ -1,9 +1,10 @@
-//! What a later owner must know of a pool's workers: which of them may run something, and what.
+//! The placement roster of a pool: which workers may run something, and which tasks. A later owner
+//! reads it.
 //!
-//! It is kept before it matters. A worker gets work only while it is listed in the store and the
-//! record of those that are silent lets it run anything. One that falls silent is kept with the
-//! tasks that may be there, and one that was emptied is listed no more, so that a later owner that
-//! does not reach them waits with no other task.
+//! It is persisted before it takes effect. A worker gets work only while it is listed in the store
+//! and the record of silent workers does not restrict it. A worker that becomes silent is recorded
+//! with the tasks that it may run, and a worker that was drained is removed from the list, so that
+//! a later owner that cannot reach them delays no other task.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,72 +15,71 @@
     model::{id::Incarnation, job::TaskId, worker::WorkerReport},
 };
 
-/// What may run on a worker, as far as a later owner must reckon with it.
+/// The tasks that a later owner must assume to run on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Holding {
-    /// Anything: it may get work at any moment.
+    /// Any task: it may get work at any moment.
     Any,
-    /// These at the most: it is silent, and gets no work before this is taken back.
+    /// At most these: it is silent, and gets no work before a write resets this to `Any`.
     Only(BTreeSet<TaskId>),
 }
 
 impl Holding {
-    /// Whether nothing can run there.
+    /// Whether no task can run there.
     pub(crate) fn is_nothing(&self) -> bool {
         matches!(self, Holding::Only(tasks) if tasks.is_empty())
     }
 }
 
-/// The listed workers that are silent, with all that may run there.
+/// The listed workers that are silent, with all tasks that may run there.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Away {
     #[serde(rename = "s", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(crate) silent: BTreeMap<Incarnation, BTreeSet<TaskId>>,
-    /// What may run at all others, if the owner before gave the pool back.
+    /// The tasks that may run at all others, if the previous owner handed over the pool.
     #[serde(rename = "h", default, skip_serializing_if = "Option::is_none")]
     pub(crate) handover: Option<Handover>,
 }
 
-/// What is to be kept for a later owner, all in one write.
+/// One write of the roster.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct RosterNote {
-    /// The reports of workers that are to be listed.
+    /// The reports of workers to be added to the list.
     pub(crate) added: Vec<WorkerReport>,
-    /// Workers that are to be listed no more: nothing can run there.
+    /// Workers to be removed from the list: nothing can run there.
     pub(crate) dropped: Vec<Incarnation>,
-    /// Which of those that are listed then are silent.
+    /// The silent workers among those listed after the write.
     pub(crate) away: Away,
-    /// What each of the workers may hold once this is kept.
+    /// The tasks that each worker may run once the write is done.
     holdings: BTreeMap<Incarnation, Holding>,
 }
 
 impl RosterNote {
-    /// Whether a worker may get work once this is kept.
+    /// Whether a worker may get work once the write is done.
     pub(crate) fn lets_work(&self, id: &Incarnation) -> bool {
         self.holdings.get(id) == Some(&Holding::Any)
     }
 
-    /// How many workers' records it writes.
+    /// The number of workers' records that the write changes.
     pub(crate) fn changes(&self) -> usize {
         self.added.len() + self.dropped.len()
     }
 }
 
-/// What a later owner would find, as last known to be kept. Each listed worker has a record of its
-/// own: hosts come and leave by the hundred at a peak, and every node is told of each write.
+/// The roster as last known to be persisted. Each listed worker has its own record: hosts join and
+/// leave by the hundred at a peak, and each write is sent to every node.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
     /// The workers that may run something, all of them listed.
     holdings: BTreeMap<Incarnation, Holding>,
-    /// Workers whose records were to change by a write that is not known to have been made: each
-    /// may be listed or not.
-    doubtful: BTreeSet<Incarnation>,
-    /// Whether a write was begun that is not known to have been made.
-    unsettled: bool,
+    /// Workers whose records an unconfirmed write changes: each may be listed or not.
+    unconfirmed: BTreeSet<Incarnation>,
+    /// Whether a write was begun and is not yet confirmed.
+    is_write_pending: bool,
 }
 
 impl Roster {
-    /// What earlier owners have kept.
+    /// The roster that earlier owners persisted.
     pub(crate) fn inherited(workers: &[WorkerReport], away: &Away) -> Roster {
         let holding = |id: &Incarnation| match away.silent.get(id) {
             Some(tasks) => Holding::Only(tasks.clone()),
@@ -89,50 +89,50 @@
         Roster { holdings: holdings.collect(), ..Roster::default() }
     }
 
-    /// What a worker may run, by what is kept; nothing if it cannot run anything.
+    /// The tasks that a worker may run by the persisted roster; `None` if it cannot run anything.
     pub(crate) fn holding(&self, id: &Incarnation) -> Option<&Holding> {
         self.holdings.get(id)
     }
 
-    /// All workers that are or may be listed.
+    /// All workers that are listed or may be.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &Incarnation> {
-        self.holdings.keys().chain(&self.doubtful)
+        self.holdings.keys().chain(&self.unconfirmed)
     }
 
-    /// What is to be written so that a later owner finds what each worker may hold now, of at most
-    /// so many workers' records; nothing if that is kept already.
+    /// The next write that brings the roster to the `wanted` state and changes at most `limit`
+    /// workers' records; `None` if that state is already persisted.
     pub(crate) fn note<'a>(
         &mut self,
         wanted: BTreeMap<Incarnation, Holding>,
-        most: usize,
+        limit: usize,
         report: impl Fn(&Incarnation) -> Option<&'a WorkerReport>,
     ) -> Option<RosterNote> {
-        if !self.unsettled && self.doubtful.is_empty() && wanted == self.holdings {
+        if !self.is_write_pending && self.unconfirmed.is_empty() && wanted == self.holdings {
             return None;
         }
         let is_listed =
-            |id: &Incarnation| !self.doubtful.contains(id) && self.holdings.contains_key(id);
-        let lacking = wanted.keys().filter(|id| !is_listed(id));
-        let added: Vec<WorkerReport> = lacking.filter_map(report).take(most).cloned().collect();
+            |id: &Incarnation| !self.unconfirmed.contains(id) && self.holdings.contains_key(id);
+        let missing = wanted.keys().filter(|id| !is_listed(id));
+        let added: Vec<WorkerReport> = missing.filter_map(report).take(limit).cloned().collect();
         let surplus =
-            self.holdings.keys().chain(&self.doubtful).filter(|id| !wanted.contains_key(*id));
+            self.holdings.keys().chain(&self.unconfirmed).filter(|id| !wanted.contains_key(*id));
         let surplus: BTreeSet<&Incarnation> = surplus.collect();
         let dropped: Vec<Incarnation> =
-            surplus.into_iter().take(most - added.len()).cloned().collect();
+            surplus.into_iter().take(limit - added.len()).cloned().collect();
         let holdings = self.holdings_after(&wanted, &added, &dropped);
         let silent = holdings.iter().filter_map(|(id, holding)| match holding {
             Holding::Any => None,
             Holding::Only(tasks) => Some((id.clone(), tasks.clone())),
         });
         let away = Away { silent: silent.collect(), handover: None };
-        self.unsettled = true;
-        self.doubtful.extend(added.iter().map(|report| report.id.clone()));
-        self.doubtful.extend(dropped.iter().cloned());
+        self.is_write_pending = true;
+        self.unconfirmed.extend(added.iter().map(|report| report.id.clone()));
+        self.unconfirmed.extend(dropped.iter().cloned());
         Some(RosterNote { added, dropped, away, holdings })
     }
 
-    /// What each worker that is listed for certain may hold once a note is kept. One that was left
-    /// out of the note for want of room is taken as it was.
+    /// The tasks that each certainly listed worker may run once a write is done. A worker that the
+    /// write leaves out because of the limit is unchanged.
     fn holdings_after(
         &self,
         wanted: &BTreeMap<Incarnation, Holding>,
@@ -140,7 +140,7 @@
         dropped: &[Incarnation],
     ) -> BTreeMap<Incarnation, Holding> {
         let mut holdings = self.holdings.clone();
-        holdings.retain(|id, _| !self.doubtful.contains(id) && !dropped.contains(id));
+        holdings.retain(|id, _| !self.unconfirmed.contains(id) && !dropped.contains(id));
         for (id, holding) in &mut holdings {
             if let Some(wanted) = wanted.get(id) {
                 *holding = wanted.clone();
@@ -151,12 +151,12 @@
         holdings
     }
 
-    /// Takes note that a write was made.
+    /// Records that a write was done.
     pub(crate) fn kept(&mut self, note: &RosterNote) {
         self.holdings = note.holdings.clone();
         for id in note.added.iter().map(|report| &report.id).chain(&note.dropped) {
-            self.doubtful.remove(id);
+            self.unconfirmed.remove(id);
         }
-        self.unsettled = false;
+        self.is_write_pending = false;
     }
 }
--- a/src/jobs/saves.rs
+++ b/src/jobs/saves.rs
@@ -1,11 +1,12 @@
-//! Which jobs' progress is written next: jobs that ended come first, since callers wait to be told,
-//! the others in the order in which they changed, so that none waits for ever behind busy ones.
+//! The queue of jobs whose progress is to be written. Jobs that ended come first, since callers
+//! wait for the result; the others follow in the order of their changes, so that busy jobs starve
+//! none.
 
 use std::collections::{HashSet, VecDeque};
 
 use crate::model::job::JobId;
 
-/// Jobs whose progress waits to be written, and those whose write is on its way.
+/// Jobs whose progress waits to be written, and jobs with a write in progress.
 #[derive(Debug, Default)]
 pub(crate) struct SaveQueue {
     ended: VecDeque<JobId>,
@@ -15,31 +16,31 @@
 }
 
 impl SaveQueue {
-    /// How many jobs wait.
+    /// The number of waiting jobs.
     pub(crate) fn len(&self) -> usize {
         self.queued.len()
     }
 
-    /// Takes note that a job has changed. While its write is on its way nothing is queued: whoever
-    /// settles it sees that it has changed since.
+    /// Queues a job that has changed. A job with a write in progress is not queued: once the write
+    /// has ended, its caller queues a job that has changed since.
     pub(crate) fn add(&mut self, id: JobId, ended: bool) {
         if self.writing.contains(&id) {
             return;
         }
-        let news = self.queued.insert(id);
-        // One that waits already and ends moves to the front; its other place is passed over.
+        let is_new = self.queued.insert(id);
+        // A waiting job that ends moves to the queue of ended jobs; its old entry is skipped.
         match ended {
             true => self.ended.push_back(id),
-            false if news => self.open.push_back(id),
+            false if is_new => self.open.push_back(id),
             false => {}
         }
     }
 
-    /// The next jobs to be written, at most so many. Their writes are on their way until
-    /// [`SaveQueue::settle`] is told of them.
-    pub(crate) fn take(&mut self, most: usize) -> Vec<JobId> {
+    /// The next jobs to be written, at most `limit`. Their writes count as in progress until
+    /// `SaveQueue::finish` is called for them.
+    pub(crate) fn take(&mut self, limit: usize) -> Vec<JobId> {
         let mut taken = Vec::new();
-        while taken.len() < most {
+        while taken.len() < limit {
             let Some(id) = self.ended.pop_front().or_else(|| self.open.pop_front()) else {
                 break;
             };
@@ -51,7 +52,7 @@
         taken
     }
 
-    /// Takes note that a job's write has ended.
+    /// Records that the write of a job's progress has ended, whether or not it succeeded.
     pub(crate) fn settle(&mut self, id: JobId) {
         self.writing.remove(&id);
     }
