--- a/src/jobs/tests/crashes/many.rs
+++ b/src/jobs/tests/crashes/many.rs
@@ -1,14 +1,11 @@
 //! Many tasks at once that crash the workers that start them.
 //!
-//! Users saw sound jobs shown as failed, lasting ones among them, whose tasks at work were stopped
-//! with them. For ten seconds a tenth of a queue's jobs had such a task, and workers of its pool went
-//! down four a second. Each took up to eighteen runs with it, and a task was given up once four workers
-//! were lost with it, whatever else had just begun there. What proved it: the log of one sound lasting
-//! task, lost with four workers after 5554, 926, 0 and 440 ms, each time beside a run that had only
-//! begun; and 480 notes of runs that had only begun for 38 crashes, since what a worker had answered
-//! to other orders did not count as a sign of life.
+//! Jobs without such a task failed, lasting ones included: a tenth of a queue's jobs crashed four
+//! workers a second, each with up to eighteen runs, and a task was given up once four workers were
+//! lost with it, even if another run had just begun there each time. Runs also counted as just
+//! begun for too long, since answers to other orders than polls were not taken as signs of life.
 
-use super::{STARTS_AFTER_THREE, pool::Pool};
+use super::{MAX_STARTS_AFTER_THREE, pool::Pool};
 use crate::{
     jobs::tests::step,
     model::{
@@ -17,66 +14,70 @@
     },
 };
 
-/// How long the pools of these tests work after the last job has come, in milliseconds.
+/// How long the pools of these tests run after the last job is submitted.
 const LONG_MS: u64 = 60_000;
 
 fn small(count: u32) -> Step {
     Step { need: Room { cpu: Millicores(250), ..step(1).need }, ..step(count) }
 }
 
-/// For ten seconds, a job comes every so often, each so manieth of them with a task that crashes its
-/// workers; the sound ones and the others.
-fn jobs_come(pool: &mut Pool, pause_ms: u64, nth: usize) -> (Vec<JobId>, Vec<JobId>) {
-    let (mut sound, mut culprits) = (Vec::new(), Vec::new());
-    for number in 0..(10_000 / pause_ms) as usize {
+/// Submits a job every `interval_ms` for ten seconds, every `nth` with a task that crashes its
+/// workers. Returns the sound jobs and the crashing ones.
+fn submit_jobs(pool: &mut Pool, interval_ms: u64, nth: usize) -> (Vec<JobId>, Vec<JobId>) {
+    let (mut sound, mut crashing) = (Vec::new(), Vec::new());
+    for number in 0..(10_000 / interval_ms) as usize {
         let job = pool.submit(vec![small(4), Step { after: vec![0], ..small(2) }]);
         if number % nth == nth - 1 {
-            pool.crashes.insert(pool.task(job, 0, number as u32 % 4));
-            culprits.push(job);
+            pool.crashing_tasks.insert(pool.task(job, 0, number as u32 % 4));
+            crashing.push(job);
         } else {
             sound.push(job);
         }
-        pool.run(pause_ms);
+        pool.run(interval_ms);
     }
-    (sound, culprits)
+    (sound, crashing)
 }
 
-fn check(hosts: usize, pause_ms: u64, nth: usize) {
-    for mut pool in Pool::kinds(hosts) {
+fn check(hosts: usize, interval_ms: u64, nth: usize) {
+    for mut pool in Pool::with_each_naming(hosts) {
         let lasting: Vec<JobId> =
             (0..3).map(|_| pool.submit(vec![Step { lasting: true, ..small(6) }])).collect();
         pool.run(1_000);
-        let (sound, culprits) = jobs_come(&mut pool, pause_ms, nth);
+        let (sound, crashing) = submit_jobs(&mut pool, interval_ms, nth);
         pool.run(LONG_MS);
-        let shown = |pool: &Pool, jobs: &[JobId], state| {
-            jobs.iter().filter(|job| pool.shown(**job) == Some(state)).count()
+        let count = |pool: &Pool, jobs: &[JobId], state| {
+            jobs.iter().filter(|job| pool.status(**job) == Some(state)).count()
         };
-        assert!(pool.most_starts_after_three() <= STARTS_AFTER_THREE, "{:?}", pool.crashed);
+        assert!(pool.max_starts_after_three() <= MAX_STARTS_AFTER_THREE, "{:?}", pool.crashed);
         assert_eq!(
-            shown(&pool, &culprits, JobState::Failed),
-            culprits.len(),
-            "culprits shown failed"
+            count(&pool, &crashing, JobState::Failed),
+            crashing.len(),
+            "crashing jobs shown as failed"
+        );
+        assert_eq!(count(&pool, &sound, JobState::Failed), 0, "sound jobs shown as failed");
+        assert_eq!(
+            count(&pool, &sound, JobState::Succeeded),
+            sound.len(),
+            "sound jobs shown as succeeded"
         );
-        assert_eq!(shown(&pool, &sound, JobState::Failed), 0, "sound jobs shown failed");
-        assert_eq!(shown(&pool, &sound, JobState::Succeeded), sound.len(), "sound jobs done");
         for job in lasting {
-            assert_eq!(pool.shown(job), Some(JobState::Running), "{job}");
+            assert_eq!(pool.status(job), Some(JobState::Running), "{job}");
             assert_eq!(pool.runs_of(job), 6, "all tasks of {job} run");
         }
     }
 }
 
 #[test]
-fn sound_jobs_are_done_beside_many_tasks_that_crash_their_workers() {
+fn sound_jobs_succeed_beside_many_tasks_that_crash_their_workers() {
     check(12, 40, 8);
 }
 
 #[test]
-fn sound_jobs_are_done_beside_such_tasks_in_a_pool_of_few_hosts() {
+fn sound_jobs_succeed_beside_tasks_that_crash_their_workers_in_a_small_pool() {
     check(6, 100, 5);
 }
 
 #[test]
-fn sound_jobs_are_done_beside_such_tasks_in_a_pool_of_many_hosts() {
+fn sound_jobs_succeed_beside_tasks_that_crash_their_workers_in_a_large_pool() {
     check(30, 20, 10);
 }
--- a/src/jobs/tests/crashes/pool.rs
+++ b/src/jobs/tests/crashes/pool.rs
@@ -1,4 +1,4 @@
-//! Hosts of a pool that really run what their owner orders, and crash under some of it.
+//! A simulated pool: hosts whose workers run the tasks that the owner orders, and crash under some.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,125 +18,133 @@
     },
 };
 
-/// One round of the pool, in milliseconds.
+/// The step of the simulated time.
 const ROUND_MS: u64 = 10;
 
-/// How long a task that does not last works, in milliseconds.
+/// The duration of a task that is not lasting.
 const WORK_MS: u64 = 700;
 
-/// How long after its start a task crashes its worker, in milliseconds.
-const CRASH_MS: u64 = 10;
+/// How long after its start a task crashes its worker.
+const CRASH_DELAY_MS: u64 = 10;
 
-/// How long an order that nobody answers stays unanswered, in milliseconds.
-const ANSWER_MS: u64 = 300;
+/// How long after its sending an order to a host that is down fails.
+const NO_ANSWER_MS: u64 = 300;
 
-/// How long owners take to follow one another, in milliseconds.
-const VACANT_MS: u64 = 2_000;
+/// How long the pool has no owner between two owners.
+const OWNERLESS_MS: u64 = 2_000;
 
-/// How the next life of a worker is called.
+/// How a restarted worker is named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Names {
-    /// It has a name of its own.
-    Fresh,
-    /// It has that of the one before, and tells when it started.
-    Kept,
+pub(super) enum Naming {
+    /// It gets a new name.
+    New,
+    /// It keeps its name, and reports when it was started.
+    Reused,
 }
 
 struct Run {
-    run: u32,
-    left: Option<u64>,
+    number: u32,
+    remaining_ms: Option<u64>,
 }
 
-/// One life of a host's worker.
-struct Life {
+/// One incarnation of a host's worker.
+struct Process {
     report: WorkerReport,
-    /// When its clock stood at nothing.
-    since: u64,
+    /// The zero point of its clock.
+    started: u64,
     runs: BTreeMap<TaskId, Run>,
     ends: Vec<Ended>,
     next_end: u64,
-    until: u64,
+    lease_end_ms: u64,
 }
 
 struct Host {
-    life: Life,
-    /// When it is back, if it is down.
-    back: Option<u64>,
-    /// When it goes down under a run.
-    crash: Option<(u64, TaskId)>,
+    process: Process,
+    /// When it is up again, if it is down.
+    up_at: Option<u64>,
+    /// When a run crashes it, and the run's task.
+    next_crash: Option<(u64, TaskId)>,
 }
 
-/// A look that waits for an end.
-struct Waiting {
+/// A long poll that waits for an end.
+struct OpenPoll {
     to: Addressee,
     acknowledged: u64,
     sent: u64,
-    due: u64,
+    deadline: u64,
 }
 
 pub(super) struct Pool {
-    names: Names,
+    naming: Naming,
     owner: Owner,
     now: u64,
     revision: u64,
-    owners: u32,
-    lives: u32,
+    owner_count: u32,
+    process_count: u32,
     hosts: Vec<Host>,
-    waiting: Vec<Waiting>,
-    /// What becomes of orders that go unanswered, and when that is known.
-    unanswered: Vec<(u64, Event)>,
+    open_polls: Vec<OpenPoll>,
+    /// Answers to start and stop orders, and when the owner receives them.
+    pending_answers: Vec<(u64, Event)>,
     jobs: BTreeMap<JobId, StoredJob>,
     progress: BTreeMap<JobId, (Progress, u64)>,
     roster: (BTreeMap<Incarnation, WorkerReport>, Away),
-    /// How long a host is down after a crash, in milliseconds.
+    /// How long a host is down after a crash.
     pub(super) down_ms: u64,
-    /// Tasks that crash whatever starts them.
-    pub(super) crashes: BTreeSet<TaskId>,
-    /// For each task: when a worker crashed under it, and the starts after the third.
+    /// Tasks that crash every worker that starts them.
+    pub(super) crashing_tasks: BTreeSet<TaskId>,
+    /// For each task: when a worker crashed under it, and the number of starts after the third
+    /// crash.
     pub(super) crashed: BTreeMap<TaskId, (Vec<u64>, usize)>,
 }
 
 impl Pool {
-    /// A pool of each kind of worker.
-    pub(super) fn kinds(hosts: usize) -> impl Iterator<Item = Pool> {
-        [Names::Fresh, Names::Kept].into_iter().map(move |names| Pool::new(hosts, names))
+    /// A pool for each way of naming restarted workers.
+    pub(super) fn with_each_naming(hosts: usize) -> impl Iterator<Item = Pool> {
+        [Naming::New, Naming::Reused].into_iter().map(move |naming| Pool::new(hosts, naming))
     }
 
-    fn new(hosts: usize, names: Names) -> Pool {
+    fn new(hosts: usize, naming: Naming) -> Pool {
         let mut pool = Pool {
-            names,
+            naming,
             owner: Owner::new(100, 0, Steady::from_millis(0)),
             now: 0,
             revision: 100,
-            owners: 1,
-            lives: 0,
+            owner_count: 1,
+            process_count: 0,
             hosts: Vec::new(),
-            waiting: Vec::new(),
-            unanswered: Vec::new(),
+            open_polls: Vec::new(),
+            pending_answers: Vec::new(),
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
             roster: (BTreeMap::new(), Away::default()),
             down_ms: 3_000,
-            crashes: BTreeSet::new(),
+            crashing_tasks: BTreeSet::new(),
             crashed: BTreeMap::new(),
         };
         for host in 0..hosts {
-            let life = pool.live(host);
-            pool.hosts.push(Host { life, back: None, crash: None });
+            let process = pool.start_process(host);
+            pool.hosts.push(Host { process, up_at: None, next_crash: None });
             pool.list(host);
         }
         pool.run(100);
         pool
     }
 
-    fn live(&mut self, host: usize) -> Life {
-        self.lives += 1;
+    fn start_process(&mut self, host: usize) -> Process {
+        self.process_count += 1;
         let host_name = format!("h{host}");
-        let (report, since) = match self.names {
-            Names::Fresh => (report(&format!("w{}", self.lives), &host_name), 0),
-            Names::Kept => (report_of(host, self.lives, self.now), self.now),
+        let (report, started) = match self.naming {
+            Naming::New => (report(&format!("w{}", self.process_count), &host_name), 0),
+            Naming::Reused => (report_of(host, self.process_count, self.now), self.now),
         };
-        Life { report, since, runs: BTreeMap::new(), ends: Vec::new(), next_end: 1, until: 0 }
+        Process {
+            report,
+            started,
+            runs: BTreeMap::new(),
+            ends: Vec::new(),
+            next_end: 1,
+            lease_end_ms: 0,
+        }
     }
 
     fn at(&self) -> Now {
@@ -145,14 +153,14 @@
     }
 
     fn list(&mut self, host: usize) {
-        let report = self.hosts[host].life.report.clone();
-        self.tell(Event::Worker(report));
+        let report = self.hosts[host].process.report.clone();
+        self.handle(Event::Worker(report));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let (now, mut out) = (self.at(), Vec::new());
         self.owner.handle(event, now, &mut out);
-        self.carry_out(out);
+        self.apply(out);
     }
 
     pub(super) fn submit(&mut self, steps: Vec<Step>) -> JobId {
@@ -160,7 +168,7 @@
         self.revision += 1;
         let job = stored(number, steps, self.revision);
         self.jobs.insert(job.id, job.clone());
-        self.tell(Event::Job(job));
+        self.handle(Event::Job(job));
         id(number)
     }
 
@@ -168,28 +176,29 @@
         TaskId { of: StepId { job, time: 0, step }, index }
     }
 
-    /// What callers are shown of a job.
-    pub(super) fn shown(&self, job: JobId) -> Option<JobState> {
+    /// The state of a job that callers see: the persisted one.
+    pub(super) fn status(&self, job: JobId) -> Option<JobState> {
         self.progress.get(&job).map(|(progress, _)| progress.state)
     }
 
-    /// How many living workers are kept as doubted of a job.
+    /// The number of live workers with an unconfirmed crash in a job's persisted progress: those
+    /// with an announced isolated retry.
     pub(super) fn announced(&self, job: JobId) -> usize {
-        let kept = self.progress.get(&job).into_iter().flat_map(|(progress, _)| &progress.steps);
-        let tasks = kept.flat_map(|(_, note)| note.tasks.values());
-        let doubted: BTreeSet<&Incarnation> = tasks.flat_map(|note| &note.doubted).collect();
-        let up = self.hosts.iter().filter(|host| host.back.is_none());
-        up.filter(|host| doubted.contains(&host.life.report.id)).count()
+        let steps = self.progress.get(&job).into_iter().flat_map(|(progress, _)| &progress.steps);
+        let tasks = steps.flat_map(|(_, note)| note.tasks.values());
+        let unconfirmed: BTreeSet<&Incarnation> = tasks.flat_map(|note| &note.doubted).collect();
+        let up = self.hosts.iter().filter(|host| host.up_at.is_none());
+        up.filter(|host| unconfirmed.contains(&host.process.report.id)).count()
     }
 
-    /// How many runs of a job are there now.
+    /// The number of current runs of a job.
     pub(super) fn runs_of(&self, job: JobId) -> usize {
-        let tasks = self.hosts.iter().flat_map(|host| host.life.runs.keys());
+        let tasks = self.hosts.iter().flat_map(|host| host.process.runs.keys());
         tasks.filter(|task| task.of.job == job).count()
     }
 
-    /// The most starts of one task after three workers had crashed under it.
-    pub(super) fn most_starts_after_three(&self) -> usize {
+    /// The maximum over all tasks of the starts after three workers had crashed under the task.
+    pub(super) fn max_starts_after_three(&self) -> usize {
         self.crashed.values().map(|(_, starts)| *starts).max().unwrap_or_default()
     }
 
@@ -199,27 +208,27 @@
         }
     }
 
-    /// The owner is gone, and after a while there is another one, which knows what was kept.
+    /// Removes the owner; after a while a new one takes over, which knows the persisted state only.
     pub(super) fn replace_owner(&mut self) {
-        for _ in 0..VACANT_MS / ROUND_MS {
+        for _ in 0..OWNERLESS_MS / ROUND_MS {
             self.round(false);
         }
-        self.waiting.clear();
-        self.unanswered.clear();
+        self.open_polls.clear();
+        self.pending_answers.clear();
         self.revision += 1;
         let now = self.at();
-        self.owner = Owner::new(self.revision, self.owners, now.steady);
-        self.owners += 1;
+        self.owner = Owner::new(self.revision, self.owner_count, now.steady);
+        self.owner_count += 1;
         let (workers, away) = self.roster.clone();
         let mut out = Vec::new();
         self.owner.inherit(workers.into_values().collect(), &away, now, &mut out);
-        self.carry_out(out);
+        self.apply(out);
         for job in self.jobs.clone().into_values() {
             let job = self.stored(job);
-            self.tell(Event::Job(job));
+            self.handle(Event::Job(job));
         }
         for host in 0..self.hosts.len() {
-            if self.hosts[host].back.is_none() {
+            if self.hosts[host].up_at.is_none() {
                 self.list(host);
             }
         }
@@ -241,21 +250,22 @@
         if !owned {
             return;
         }
-        self.answer_looks();
-        let (known, later) =
-            std::mem::take(&mut self.unanswered).into_iter().partition(|(at, _)| *at <= self.now);
-        self.unanswered = later;
-        let known: Vec<(u64, Event)> = known;
-        known.into_iter().for_each(|(_, event)| self.tell(event));
+        self.answer_polls();
+        let (due, later) = std::mem::take(&mut self.pending_answers)
+            .into_iter()
+            .partition(|(at, _)| *at <= self.now);
+        self.pending_answers = later;
+        let due: Vec<(u64, Event)> = due;
+        due.into_iter().for_each(|(_, event)| self.handle(event));
         let (now, mut out) = (self.at(), Vec::new());
         self.owner.set_confirmed(now.steady);
         self.owner.work(now, &mut out);
-        self.carry_out(out);
-        self.keep();
+        self.apply(out);
+        self.persist();
     }
 
-    /// Makes durable what the owner wants kept.
-    fn keep(&mut self) {
+    /// Writes what the owner wants persisted.
+    fn persist(&mut self) {
         let saves = self.owner.saves(100);
         if !saves.is_empty() {
             self.revision += 1;
@@ -277,109 +287,110 @@
 
     fn run_host(&mut self, host: usize, owned: bool) {
         let now = self.now;
-        if let Some(back) = self.hosts[host].back {
-            if back <= now {
-                let old = self.hosts[host].life.report.id.clone();
-                let life = self.live(host);
-                self.hosts[host] = Host { life, back: None, crash: None };
+        if let Some(up_at) = self.hosts[host].up_at {
+            if up_at <= now {
+                let old = self.hosts[host].process.report.id.clone();
+                let process = self.start_process(host);
+                self.hosts[host] = Host { process, up_at: None, next_crash: None };
                 if owned {
-                    if self.names == Names::Fresh {
-                        self.tell(Event::Unlisted(old.worker));
+                    if self.naming == Naming::New {
+                        self.handle(Event::Unlisted(old.worker));
                     }
                     self.list(host);
                 }
             }
             return;
         }
-        if let Some((_, task)) = self.hosts[host].crash.filter(|(at, _)| *at <= now) {
+        if let Some((_, task)) = self.hosts[host].next_crash.filter(|(at, _)| *at <= now) {
             self.crashed.entry(task).or_default().0.push(now);
             self.lose_power(host);
             return;
         }
-        let life = &mut self.hosts[host].life;
-        let lapsed = life.until <= life.clock(now);
-        let mut over = Vec::new();
-        for (task, run) in &mut life.runs {
-            let left = run.left.as_mut().map(|left| {
-                *left = left.saturating_sub(ROUND_MS);
-                *left
+        let process = &mut self.hosts[host].process;
+        let lapsed = process.lease_end_ms <= process.clock(now);
+        let mut ended = Vec::new();
+        for (task, run) in &mut process.runs {
+            let remaining_ms = run.remaining_ms.as_mut().map(|remaining_ms| {
+                *remaining_ms = remaining_ms.saturating_sub(ROUND_MS);
+                *remaining_ms
             });
             if lapsed {
-                over.push((*task, run.run, HowEnded::Lapsed));
-            } else if left == Some(0) {
-                over.push((*task, run.run, HowEnded::Done));
+                ended.push((*task, run.number, HowEnded::Lapsed));
+            } else if remaining_ms == Some(0) {
+                ended.push((*task, run.number, HowEnded::Done));
             }
         }
-        for (task, run, how) in over {
-            life.runs.remove(&task);
-            life.end(task, run, how);
+        for (task, run, how) in ended {
+            process.runs.remove(&task);
+            process.add_end(task, run, how);
         }
     }
 
-    /// A host loses power, and with it all that runs there.
+    /// A host loses power, and with it all its runs.
     pub(super) fn lose_power(&mut self, host: usize) {
-        let back = self.now + self.down_ms;
+        let up_at = self.now + self.down_ms;
         let host = &mut self.hosts[host];
-        host.back.get_or_insert(back);
-        host.crash = None;
-        host.life.runs.clear();
-        host.life.ends.clear();
+        host.up_at.get_or_insert(up_at);
+        host.next_crash = None;
+        host.process.runs.clear();
+        host.process.ends.clear();
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Start { to, start } => {
-                    let end = self.begin(&to, start.task, start.run, start.until_ms);
+                    let end = self.start_run(&to, start.task, start.run, start.until_ms);
                     let (worker, task, run) = (to.worker, start.task, start.run);
                     self.answer(end, |end| Event::Started { worker, task, run, end });
                 }
                 Effect::Stop { to, task, run } => {
-                    let end = self.stop(&to, task, run);
+                    let end = self.stop_run(&to, task, run);
                     let worker = to.worker;
                     self.answer(end, |end| Event::Stopped { worker, task, run, end });
                 }
                 Effect::Look { to, acknowledged, until_ms, wait } => {
                     if let Some(host) = self.host_of(&to)
-                        && self.is_meant(host, &to)
+                        && self.is_addressed(host, &to)
                     {
-                        let life = &mut self.hosts[host].life;
-                        life.until = life.until.max(until_ms.unwrap_or_default());
+                        let process = &mut self.hosts[host].process;
+                        process.lease_end_ms =
+                            process.lease_end_ms.max(until_ms.unwrap_or_default());
                     }
-                    let (sent, due) = (self.now, self.now + wait.as_millis() as u64);
-                    self.waiting.push(Waiting { to, acknowledged, sent, due });
+                    let (sent, deadline) = (self.now, self.now + wait.as_millis() as u64);
+                    self.open_polls.push(OpenPoll { to, acknowledged, sent, deadline });
                 }
                 Effect::Pace { .. } | Effect::Advise { .. } => {}
             }
         }
     }
 
-    /// Tells the owner what became of an order, or that it got no answer, once that is known.
+    /// Queues the result of an order for the owner; an order without an answer fails later.
     fn answer(&mut self, end: Option<OrderEnd<u64>>, event: impl FnOnce(OrderEnd<u64>) -> Event) {
-        let (after, end) = match end {
+        let (delay_ms, end) = match end {
             Some(end) => (0, end),
-            None => (ANSWER_MS, OrderEnd::Unknown),
+            None => (NO_ANSWER_MS, OrderEnd::Unknown),
         };
-        self.unanswered.push((self.now + after, event(end)));
+        self.pending_answers.push((self.now + delay_ms, event(end)));
     }
 
     /// The host at an address, if it is up.
     fn host_of(&self, to: &Addressee) -> Option<usize> {
-        let up = |host: &Host| host.back.is_none() && host.life.report.address == to.address;
-        self.hosts.iter().position(up)
+        let is_up = |host: &Host| host.up_at.is_none() && host.process.report.address == to.address;
+        self.hosts.iter().position(is_up)
     }
 
-    /// Whether an order names the worker of a host.
-    fn is_meant(&self, host: usize, to: &Addressee) -> bool {
-        self.hosts[host].life.report.id.worker == to.worker.worker
+    /// Whether an order is addressed to the worker of a host.
+    fn is_addressed(&self, host: usize, to: &Addressee) -> bool {
+        self.hosts[host].process.report.id.worker == to.worker.worker
     }
 
-    fn begin(
+    fn start_run(
         &mut self,
         to: &Addressee,
         task: TaskId,
         run: u32,
-        until: u64,
+        until_ms: u64,
     ) -> Option<OrderEnd<u64>> {
         let host = self.host_of(to)?;
         if let Some((crashed, starts)) = self.crashed.get_mut(&task)
@@ -387,86 +398,88 @@
         {
             *starts += 1;
         }
-        let (now, crashes) = (self.now, self.crashes.contains(&task));
+        let (now, crashes) = (self.now, self.crashing_tasks.contains(&task));
         let lasting = self.jobs[&task.of.job].record.steps[task.of.step as usize].lasting;
-        if !self.is_meant(host, to) {
+        if !self.is_addressed(host, to) {
             return Some(OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None });
         }
-        let life = &mut self.hosts[host].life;
-        life.until = life.until.max(until);
-        life.runs.insert(task, Run { run, left: (!lasting).then_some(WORK_MS) });
+        let process = &mut self.hosts[host].process;
+        process.lease_end_ms = process.lease_end_ms.max(until_ms);
+        process.runs.insert(task, Run { number: run, remaining_ms: (!lasting).then_some(WORK_MS) });
         if crashes {
-            self.hosts[host].crash.get_or_insert((now + CRASH_MS, task));
+            self.hosts[host].next_crash.get_or_insert((now + CRASH_DELAY_MS, task));
         }
-        Some(OrderEnd::Done(self.hosts[host].life.clock(now)))
+        Some(OrderEnd::Done(self.hosts[host].process.clock(now)))
     }
 
-    fn stop(&mut self, to: &Addressee, task: TaskId, run: u32) -> Option<OrderEnd<u64>> {
+    fn stop_run(&mut self, to: &Addressee, task: TaskId, run: u32) -> Option<OrderEnd<u64>> {
         let host = self.host_of(to)?;
-        if !self.is_meant(host, to) {
+        if !self.is_addressed(host, to) {
             return Some(OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None });
         }
-        let (now, life) = (self.now, &mut self.hosts[host].life);
-        if life.runs.remove(&task).is_some() {
-            life.end(task, run, HowEnded::Stopped);
+        let (now, process) = (self.now, &mut self.hosts[host].process);
+        if process.runs.remove(&task).is_some() {
+            process.add_end(task, run, HowEnded::Stopped);
         }
-        Some(OrderEnd::Done(life.clock(now)))
+        Some(OrderEnd::Done(process.clock(now)))
     }
 
-    /// Answers looks that have waited, whose worker has an end to tell, or that meet nobody.
-    fn answer_looks(&mut self) {
-        for look in std::mem::take(&mut self.waiting) {
-            let end = match self.host_of(&look.to) {
-                None if self.now < look.sent + ANSWER_MS => {
-                    self.waiting.push(look);
+    /// Answers polls that have timed out, whose worker has an end to report, or whose host is down.
+    fn answer_polls(&mut self) {
+        for poll in std::mem::take(&mut self.open_polls) {
+            let end = match self.host_of(&poll.to) {
+                None if self.now < poll.sent + NO_ANSWER_MS => {
+                    self.open_polls.push(poll);
                     continue;
                 }
                 None => OrderEnd::Unknown,
                 Some(host) => {
-                    let is_meant = self.is_meant(host, &look.to);
-                    let (now, life) = (self.now, &mut self.hosts[host].life);
-                    if !is_meant {
+                    let is_addressed = self.is_addressed(host, &poll.to);
+                    let (now, process) = (self.now, &mut self.hosts[host].process);
+                    if !is_addressed {
                         OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None }
                     } else {
-                        life.ends.retain(|end| look.acknowledged < end.number);
-                        if life.ends.is_empty() && now < look.due {
-                            self.waiting.push(look);
+                        process.ends.retain(|end| poll.acknowledged < end.number);
+                        if process.ends.is_empty() && now < poll.deadline {
+                            self.open_polls.push(poll);
                             continue;
                         }
-                        OrderEnd::Done(life.tell(now))
+                        OrderEnd::Done(process.poll_result(now))
                     }
                 }
             };
-            let sent = Steady::from_millis(look.sent);
-            self.tell(Event::Looked { worker: look.to.worker, sent, end });
+            let sent = Steady::from_millis(poll.sent);
+            self.handle(Event::Looked { worker: poll.to.worker, sent, end });
         }
     }
 }
 
-/// The report of a life under the name of its host's worker. The time of day has jumped back for
-/// each third one.
-fn report_of(host: usize, life: u32, now: u64) -> WorkerReport {
-    let born = if life.is_multiple_of(3) { 500_000 - now } else { 1_000_000 + now };
+/// The report of an incarnation under the name of its host's worker. The wall clock has jumped back
+/// for each third one.
+fn report_of(host: usize, process: u32, now: u64) -> WorkerReport {
+    let born = if process.is_multiple_of(3) { 500_000 - now } else { 1_000_000 + now };
     report(&format!("w{host}@{born}"), &format!("h{host}"))
 }
 
-impl Life {
+impl Process {
     fn clock(&self, now: u64) -> u64 {
-        1_000 + now - self.since
+        1_000 + now - self.started
     }
 
-    fn end(&mut self, task: TaskId, run: u32, how: HowEnded) {
+    fn add_end(&mut self, task: TaskId, run: u32, how: HowEnded) {
         let number = self.next_end;
         self.next_end += 1;
         self.ends.push(Ended { number, task, run, how, saved: String::new() });
     }
 
-    fn tell(&self, now: u64) -> Look {
+    fn poll_result(&self, now: u64) -> Look {
         let present = self.runs.iter().map(|(task, run)| Present {
             task: *task,
-            run: run.run,
+            run: run.number,
             saved: String::new(),
-            percent: run.left.map_or(100, |left| (100 - left * 100 / WORK_MS) as u32),
+            percent: run
+                .remaining_ms
+                .map_or(100, |remaining| (100 - remaining * 100 / WORK_MS) as u32),
             gauge: 0,
         });
         Look {
