--- a/src/scheduler/drive.rs
+++ b/src/scheduler/drive.rs
@@ -1,4 +1,4 @@
-//! Feeds the owners of pools with what happens, and carries out what they want done.
+//! The control loop of a node: delivers events to the owners of pools and executes their effects.
 
 mod behind;
 mod input;
@@ -50,125 +50,126 @@
     },
 };
 
-use behind::Behind;
-pub(crate) use input::{Input, OverwriteEnd, SaveEnd, Won};
-use word::Word;
+use behind::StaleView;
+pub(crate) use input::{Input, OverwriteResult, SaveResult, Won};
+use word::ReportState;
 
-/// How often owners look at the time when nothing else happens.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between iterations when there is no input.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The least time between two decisions: what happens meanwhile is decided on together. A decision
-/// looks at all open jobs, and at hundreds of events a second each would cost more than the orders.
-const STEP_PAUSE: Duration = Duration::from_millis(4);
+/// Minimum pause between two iterations; inputs that arrive in between are handled together. An
+/// iteration checks all open jobs: with hundreds of events a second, one for each event would cost
+/// more than the orders.
+const MIN_TICK_PAUSE: Duration = Duration::from_millis(4);
 
-/// How much longer than a decision took the pause after it is, at the least: deciding takes a
-/// quarter of the node's time at the most, and calls, messages and callers have the rest. An owner of
-/// 900 workers takes some 3 ms a decision on half a core.
-const STEP_REST: u32 = 3;
+/// The pause after an iteration is at least this many times as long as the iteration. Decisions
+/// thus take at most a quarter of the node's time, and the rest is left for calls, messages and
+/// callers. An owner of 900 workers takes some 3 ms per iteration on half a core.
+const TICK_PAUSE_FACTOR: u32 = 3;
 
-/// The longest pause between two decisions while events wait: a task that ends waits so long for the
-/// next one in its place, and most take 0.8 s. With 250 ms, which kept deciding to a quarter of the time
-/// also where a decision takes 80, a day of 1,100 hosts came to 0.259 where 60 ms came to 0.575 (one play
-/// each, beside one another). A plan of the fleet, which can take longest, has a bound of its own.
-const STEP_MOST_PAUSE: Duration = Duration::from_millis(60);
+/// Maximum pause between two iterations while inputs wait. When a task ends, the next one waits
+/// this long, and most tasks take 0.8 s. With 250 ms, which limited decisions to a quarter of the
+/// time even at 80 ms per iteration, a day of 1,100 hosts scored 0.259, against 0.575 with 60 ms
+/// (one run each, side by side). Plans of the fleet can take longest and have a limit of their own.
+const MAX_TICK_PAUSE: Duration = Duration::from_millis(60);
 
-/// How often the owned pools are told of in the log, in milliseconds.
+/// Interval between log summaries of the owned pools, in milliseconds.
 pub(super) const SUMMARY_MS: u64 = 1_000;
 
-/// A piece of work that this node owns.
-struct Owned {
+/// A pool that this node owns.
+struct OwnedPool {
     pool: PoolId,
     owner: Owner,
     tenure: Tenure,
-    /// Who makes the calls to its workers.
-    helpers: Helpers,
-    /// Its orders to workers.
-    tally: Arc<tally::Tally>,
-    /// Ends the owner's own watch with it.
-    _following: DropGuard,
-    /// Writes of progress on their way.
-    saving: usize,
-    /// When the next write may be made.
+    /// Nodes that make the calls to its workers.
+    delegates: Helpers,
+    /// Counts of its orders to workers.
+    order_counts: Arc<tally::OrderCounts>,
+    /// Ends the owner's own watch when dropped.
+    _watch_guard: DropGuard,
+    /// Number of progress writes in flight.
+    pending_saves: usize,
+    /// Earliest time of the next progress write.
     next_save: Steady,
-    /// Hosts that were told to be empty.
-    told_empty: BTreeMap<HostId, (Emptied, Steady)>,
-    /// Whether it is being written what workers may hold.
-    rostering: bool,
-    /// When that may be written next.
-    next_roster: Steady,
-    /// The revision of the record of workers that are away.
-    away_at: Revision,
-    /// Whether jobs that ended are being removed.
+    /// Hosts published as drained.
+    published_empty: BTreeMap<HostId, (Emptied, Steady)>,
+    /// Whether a roster write is in flight.
+    roster_pending: bool,
+    /// Earliest time of the next roster write.
+    next_roster_write: Steady,
+    /// Revision of the record of silent workers.
+    silent_revision: Revision,
+    /// Whether a removal of ended jobs is in flight.
     removing: bool,
-    /// When that may be done next.
+    /// Earliest time of the next removal.
     next_removal: Steady,
-    /// The use of the hosts that was last written.
-    told_usage: Option<HostUsage>,
-    /// When it is next looked at.
+    /// The host usage that was last written.
+    published_usage: Option<HostUsage>,
+    /// Earliest time of the next usage check.
     next_usage: Steady,
-    /// What it tells of how many jobs wait.
-    word: Word,
-    /// When the store may next be asked to confirm that there is no later owner.
+    /// State of its reports on waiting jobs.
+    waiting_report: ReportState,
+    /// Earliest time of the next request to the store to confirm that there is no later owner.
     next_confirmation: Steady,
 }
 
-/// The work of all pools together, owned by this node.
+/// The fleet's work (all pools together), if this node owns it.
 pub(super) struct OwnedFleet {
     pub(super) fleet: Fleet,
     pub(super) tenure: Tenure,
-    /// Records of waves as this owner last wrote them.
+    /// Wave records as last written by this owner.
     pub(super) waves: BTreeMap<u64, At<WaveRecord>>,
-    /// What pools ask for, as last counted.
+    /// Demand of each pool, as last computed.
     pub(super) demands: Demands,
 }
 
-/// A piece of work that nobody owns.
+/// A unit of work (a pool or the fleet) that has no owner.
 struct Vacancy {
     since: Steady,
-    reaching: bool,
+    acquiring: bool,
     not_before: Steady,
 }
 
-/// The loop's state.
+/// State of the control loop.
 pub(crate) struct Drive {
     pub(super) node: Arc<Node>,
     pub(super) lease: Arc<Lease>,
-    life: u64,
+    instance_id: u64,
     runners: Runners,
     adviser: Option<Adviser>,
-    advising: Arc<Semaphore>,
+    advice_slot: Arc<Semaphore>,
     links: Links,
-    /// Orders of the present step, by the node that is to carry them out.
+    /// Orders of the current iteration, by the node that is to make the calls.
     outbox: BTreeMap<SocketAddr, Vec<Outgoing>>,
-    /// Workers that gave no answer by way of another node, and until when this one calls them.
-    detours: HashMap<Incarnation, Steady>,
-    /// When it is next decided who makes whose calls.
-    next_helpers: Steady,
-    owned: BTreeMap<String, Owned>,
+    /// Workers that did not answer a delegate, and until when this node calls them directly.
+    direct_until: HashMap<Incarnation, Steady>,
+    /// Earliest time of the next choice of delegates.
+    next_delegates: Steady,
+    owned: BTreeMap<String, OwnedPool>,
     pub(super) fleet: Option<OwnedFleet>,
     pub(super) next_fleet: Steady,
     pub(super) next_fleet_summary: Steady,
-    /// When the store may next be asked to confirm that the fleet's work has no later owner.
+    /// Earliest time of the next request to the store to confirm that the fleet has no later owner.
     next_fleet_confirmation: Steady,
     next_summary: Steady,
     pub(super) machines: Machines,
-    /// Won, but not yet seen in the view, by name.
+    /// Ownerships that were won but are not in the view yet, by name.
     won: BTreeMap<String, Won>,
     vacant: BTreeMap<String, Vacancy>,
-    /// Work may be given away from then on.
-    next_give: Steady,
-    behind: Behind,
+    /// Earliest time at which a pool may be released for balance.
+    next_rebalance: Steady,
+    stale_view: StaleView,
     pub(super) to: mpsc::UnboundedSender<Input>,
-    leaving: bool,
+    shutting_down: bool,
 }
 
 impl Drive {
-    /// The loop of a node.
+    /// Creates the control loop of a node.
     pub(crate) fn new(
         node: Arc<Node>,
         lease: Arc<Lease>,
         runners: Runners,
-        to: mpsc::UnboundedSender<Input>,
+        sender: mpsc::UnboundedSender<Input>,
     ) -> Drive {
         let hosts = node.settings.platform.hosts.to_string();
         let machines = Machines::new(&hosts, node.settings.node.clone());
@@ -177,15 +178,15 @@
         Drive {
             node,
             lease,
-            life: rand::random(),
+            instance_id: rand::random(),
             runners,
             adviser,
-            // The service answers one question of a node at a time.
-            advising: Arc::new(Semaphore::new(1)),
+            // The service answers one request of a node at a time.
+            advice_slot: Arc::new(Semaphore::new(1)),
             links: Links::default(),
             outbox: BTreeMap::new(),
-            detours: HashMap::new(),
-            next_helpers: Steady::default(),
+            direct_until: HashMap::new(),
+            next_delegates: Steady::default(),
             owned: BTreeMap::new(),
             fleet: None,
             next_fleet: Steady::default(),
@@ -195,76 +196,78 @@
             machines,
             won: BTreeMap::new(),
             vacant: BTreeMap::new(),
-            next_give: Steady::default(),
-            behind: Behind::default(),
-            to,
-            leaving: false,
+            next_rebalance: Steady::default(),
+            stale_view: StaleView::default(),
+            to: sender,
+            shutting_down: false,
         }
     }
 
     /// Runs until the process ends.
-    pub(crate) async fn run(mut self, mut from: mpsc::UnboundedReceiver<Input>) {
-        let mut tick = interval(TICK);
+    pub(crate) async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Input>) {
+        let mut tick = interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let (mut stepped, mut pause) = (Instant::now(), STEP_PAUSE);
+        let (mut last_tick, mut pause) = (Instant::now(), MIN_TICK_PAUSE);
         loop {
             tokio::select! {
-                input = from.recv() => {
+                input = receiver.recv() => {
                     let Some(input) = input else { return };
                     self.take(input);
                 }
                 _ = tick.tick() => {}
             }
-            let early = pause.saturating_sub(stepped.elapsed());
-            if !early.is_zero() {
-                sleep(early).await;
+            let remaining = pause.saturating_sub(last_tick.elapsed());
+            if !remaining.is_zero() {
+                sleep(remaining).await;
             }
-            while let Ok(more) = from.try_recv() {
+            while let Ok(more) = receiver.try_recv() {
                 self.take(more);
             }
             let began = Instant::now();
             self.step();
-            self.flush();
-            stepped = Instant::now();
-            pause = pause_after(stepped - began);
+            self.flush_outbox();
+            last_tick = Instant::now();
+            pause = pause_after(last_tick - began);
         }
     }
 
-    /// Takes in what has happened.
+    /// Handles an input.
     pub(crate) fn take(&mut self, input: Input) {
         let now = self.node.now();
-        self.give_up(now.steady);
+        self.drop_expired(now.steady);
         match input {
             Input::Deltas(deltas) => {
                 for delta in deltas {
-                    self.heard(delta, now);
+                    self.handle_delta(delta, now);
                 }
             }
-            Input::Owner { name, token, event } => {
+            Input::OwnerEvent { name, token, event } => {
                 let Some(owned) = self.owned.get_mut(&name) else {
                     return;
                 };
                 if owned.owner.token == token {
                     let mut out = Vec::new();
                     owned.owner.handle(*event, now, &mut out);
-                    self.carry_out(&name, token, out);
+                    self.execute(&name, token, out);
                 }
             }
-            Input::Reached { name, won } => self.reached(name, won, now),
-            Input::Saved { name, token, saves, end } => self.saved(&name, token, &saves, end, now),
-            Input::Rostered { name, token, note, end } => {
-                self.rostered(&name, token, &note, end, now);
+            Input::Reached { name, won } => self.note_acquire_result(name, won, now),
+            Input::ProgressWritten { name, token, writes, result } => {
+                self.note_progress_written(&name, token, &writes, result, now)
             }
-            Input::Worded { name, token, counts, sent, end } => {
-                self.worded(&name, token, (counts, sent), &end, now);
+            Input::RosterWritten { name, token, write, result } => {
+                self.note_roster_written(&name, token, &write, result, now);
+            }
+            Input::ReportWritten { name, token, counts, sent, result } => {
+                self.note_report_written(&name, token, (counts, sent), &result, now);
             }
             Input::Followed { name, token, asked, at } => {
                 if let Some(owned) = self.owned_under(&name, token) {
-                    owned.word.heard(asked, at);
+                    owned.waiting_report.note_jobs(asked, at);
                 }
             }
-            Input::Removed { name, token, jobs, done } => {
-                self.removed(&name, token, jobs, done, now);
+            Input::JobsRemoved { name, token, jobs, done } => {
+                self.note_jobs_removed(&name, token, jobs, done, now);
             }
             Input::HostList { token, sent, hosts } => {
                 if let Some(fleet) = self.fleet_under(token) {
@@ -279,30 +282,30 @@
             Input::FleetWritten { token, ends, wave } => {
                 self.fleet_written(token, &ends, wave, now);
             }
-            Input::Detour(worker) => self.detour(worker, now.steady),
-            Input::Leave => self.leave(),
+            Input::DelegateFailed(worker) => self.note_delegate_failure(worker, now.steady),
+            Input::Leave => self.release_all(),
         }
     }
 
-    /// Gives up what was won under a lease that is over, before anything else is done: another node
-    /// may have won it, and relies on how long this one goes on.
-    fn give_up(&mut self, now: Steady) {
-        let lasts = |name: &str, token: u64, tenure: &Tenure| {
-            let lasts = tenure.allows_orders(now);
-            if !lasts {
+    /// Drops all ownerships whose lease has ended. Runs before anything else: another node may have
+    /// acquired them, and relies on how long this node may continue.
+    fn drop_expired(&mut self, now: Steady) {
+        let is_valid = |name: &str, token: u64, tenure: &Tenure| {
+            let is_valid = tenure.allows_orders(now);
+            if !is_valid {
                 log::warn!("owner {name}: given up: token {token}, {}", tenure.describe(now));
             }
-            lasts
+            is_valid
         };
-        self.won.retain(|name, won| lasts(name, won.token, &won.tenure));
-        self.owned.retain(|name, owned| lasts(name, owned.owner.token, &owned.tenure));
-        self.fleet.take_if(|owned| !lasts(keys::FLEET, owned.fleet.token, &owned.tenure));
+        self.won.retain(|name, won| is_valid(name, won.token, &won.tenure));
+        self.owned.retain(|name, owned| is_valid(name, owned.owner.token, &owned.tenure));
+        self.fleet.take_if(|owned| !is_valid(keys::FLEET, owned.fleet.token, &owned.tenure));
     }
 
-    /// Does what is due now.
+    /// Runs one iteration.
     pub(crate) fn step(&mut self) {
         let now = self.node.now();
-        self.give_up(now.steady);
+        self.drop_expired(now.steady);
         let view = self.node.view();
         let config = view.config.as_ref().map_or(0, |config| config.version);
         self.node.metrics.refused(view.refused);
@@ -310,15 +313,15 @@
         let owned = self.owned.len() + usize::from(self.fleet.is_some());
         self.node.metrics.holds(owned, config);
         self.node.note_owning(owned != 0);
-        self.take_up(now);
-        self.reach(now);
-        self.give(now);
-        self.give_if_behind(now);
-        self.choose_helpers(now.steady);
+        self.take_over(now);
+        self.acquire(now);
+        self.rebalance(now);
+        self.release_if_stale(now);
+        self.choose_delegates(now.steady);
         let names: Vec<String> = self.owned.keys().cloned().collect();
         for name in names {
-            // Two watches tell of new jobs and new owners: a job may be told of before the owner
-            // that came first, though the view knows of both.
+            // New jobs and new owners arrive over two watches: a job may be delivered before an
+            // earlier change of owners, although the view has both.
             self.check_owner(&name);
             let Some(owned) = self.owned.get_mut(&name) else {
                 continue;
@@ -328,115 +331,117 @@
             owned.owner.set_confirmed(owned.tenure.confirmed());
             owned.owner.work(now, &mut out);
             if owned.owner.is_deposed() {
-                log::warn!("owner {name}: a worker knows a later owner than token {token}");
+                log::warn!("owner {name}: a worker reports a later owner than token {token}");
                 self.owned.remove(&name);
                 continue;
             }
             let counts = owned.owner.take_counts();
             self.node.metrics.counted(&counts);
-            owned.tally.again(counts.again);
-            self.carry_out(&name, token, out);
-            self.save(&name, now);
-            self.write_roster(&name, now);
-            self.remove_finished(&name, now);
-            self.tell_empty(&name, now);
-            self.tell_usage(&name, now);
-            self.tell_queued(&name, now);
-            self.ask_confirmation(&name, now);
-            self.tell_of_unknown(&name, now);
+            owned.order_counts.note_resent(counts.again);
+            self.execute(&name, token, out);
+            self.persist_progress(&name, now);
+            self.persist_roster(&name, now);
+            self.remove_ended_jobs(&name, now);
+            self.publish_empty_hosts(&name, now);
+            self.publish_usage(&name, now);
+            self.publish_report(&name, now);
+            self.request_confirmation(&name, now);
+            self.resolve_unknown_jobs(&name, now);
         }
-        self.ask_fleet_confirmation(now);
+        self.request_fleet_confirmation(now);
         self.fleet_step(now);
         self.summarize(now);
     }
 
-    /// Tells now and then what the owned pools do.
+    /// Logs what the owned pools do, at intervals.
     fn summarize(&mut self, now: Now) {
         if now.steady < self.next_summary {
             return;
         }
         self.next_summary = now.steady.after(SUMMARY_MS);
         for (name, owned) in &self.owned {
-            let s = owned.owner.summary();
-            let (used, room) = (s.used / 1000, s.room / 1000);
-            let (held, told) = (owned.owner.held(now), owned.tally.tell());
+            let summary = owned.owner.summary();
+            let (used, capacity) = (summary.used / 1000, summary.room / 1000);
+            let (held_back, orders) = (owned.owner.held(now), owned.order_counts.take_summary());
             log::info!(
-                "owner {name}: {} jobs, {} tasks wait, {used} of {room} cores, {} of {} workers; \
-                 {} take work, {} not asked yet, {} tasks held back; \
-                 {} orders on their way, {} of them own calls, {} again, {} refused, {} unanswered",
-                s.jobs,
-                s.waiting,
-                s.touched,
-                s.workers,
-                held.takers,
-                held.unasked,
-                held.tasks,
-                told.under_way,
-                told.own,
-                told.again,
-                told.refused,
-                told.unanswered
+                "owner {name}: {} jobs, {} tasks waiting, {used} of {capacity} cores used, \
+                 {} of {} workers respond; {} workers available, {} not polled yet, \
+                 {} tasks held back; {} orders pending, {} of them direct calls, {} resent, \
+                 {} refused, {} unanswered",
+                summary.jobs,
+                summary.waiting,
+                summary.touched,
+                summary.workers,
+                held_back.takers,
+                held_back.unasked,
+                held_back.tasks,
+                orders.pending,
+                orders.own,
+                orders.resent,
+                orders.refused,
+                orders.unanswered
             );
         }
     }
 
-    /// Starts to act on what was won, once the view has come so far.
-    fn take_up(&mut self, now: Now) {
+    /// Takes over what was won, once the view has reached the revision of the write that won it.
+    fn take_over(&mut self, now: Now) {
         let view = self.node.view();
-        let known: Vec<String> = self
+        let visible: Vec<String> = self
             .won
             .iter()
             .filter(|(_, won)| won.token <= view.known.0)
             .map(|(name, _)| name.clone())
             .collect();
         drop(view);
-        for name in known {
-            let Some(Won { token, earlier, tenure }) = self.won.remove(&name) else {
+        for name in visible {
+            let Some(Won { token, earlier_owners, tenure }) = self.won.remove(&name) else {
                 continue;
             };
-            if !self.node.view().owns(&name, token) || self.leaving {
+            if !self.node.view().owns(&name, token) || self.shutting_down {
                 continue;
             }
             if name == keys::FLEET {
-                self.log_taken_up(&name, token, earlier, now);
+                self.log_takeover(&name, token, earlier_owners, now);
                 let fleet = Fleet::new(token, self.node.settings.sizing, now.steady);
                 let (waves, demands) = (BTreeMap::new(), Demands::default());
                 self.fleet = Some(OwnedFleet { fleet, tenure, waves, demands });
             } else if let Some(pool) = name.strip_prefix("pool-").and_then(|pool| pool.parse().ok())
             {
-                self.take_up_pool(&name, pool, Won { token, earlier, tenure }, now);
+                self.take_over_pool(&name, pool, Won { token, earlier_owners, tenure }, now);
             }
         }
     }
 
-    fn log_taken_up(&self, name: &str, token: u64, earlier: u32, now: Now) {
+    fn log_takeover(&self, name: &str, token: u64, earlier_owners: u32, now: Now) {
         let age = self.node.view().ages.of(keys::ROOT, now.steady).unwrap_or_default();
         log::info!(
-            "owner {name}: taken up: token {token}, {earlier} owners before, records {age} ms old"
+            "owner {name}: taken up: token {token}, {earlier_owners} earlier owners, \
+             records {age} ms old"
         );
     }
 
-    fn take_up_pool(&mut self, name: &str, pool: PoolId, won: Won, now: Now) {
-        let Won { token, earlier, tenure } = won;
-        let mut owner = Owner::new(token, earlier, now.steady);
+    fn take_over_pool(&mut self, name: &str, pool: PoolId, won: Won, now: Now) {
+        let Won { token, earlier_owners, tenure } = won;
+        let mut owner = Owner::new(token, earlier_owners, now.steady);
         let view = self.node.view();
         let mut out = Vec::new();
-        let others = view.rostered_by_others(name);
+        let other_pools = view.rostered_by_others(name);
         let mut workers: Vec<(Revision, WorkerReport)> = view
             .workers
             .values()
-            .filter(|at| at.value.pool == pool && !others.contains(&at.value.id))
+            .filter(|at| at.value.pool == pool && !other_pools.contains(&at.value.id))
             .map(|at| (at.revision, at.value.clone()))
             .collect();
         workers.sort_by_key(|(revision, _)| *revision);
-        // Workers may run what earlier owners gave them, listed or not.
+        // Workers may run tasks of earlier owners, whether they are listed or not.
         let roster = view.roster(name);
-        let away = view.away.get(name).cloned();
-        let away_at = away.as_ref().map(|at| at.revision).unwrap_or_default();
-        let away = away.map(|at| at.value).unwrap_or_default();
-        owner.inherit(roster, &away, now, &mut out);
-        let elsewhere = view.workers.values().filter(|at| at.value.pool != pool);
-        for at in elsewhere {
+        let silent = view.away.get(name).cloned();
+        let silent_revision = silent.as_ref().map(|at| at.revision).unwrap_or_default();
+        let silent = silent.map(|at| at.value).unwrap_or_default();
+        owner.inherit(roster, &silent, now, &mut out);
+        let in_other_pools = view.workers.values().filter(|at| at.value.pool != pool);
+        for at in in_other_pools {
             owner.handle(Event::Elsewhere(at.value.clone()), now, &mut out);
         }
         for (_, report) in workers {
@@ -450,48 +455,50 @@
                 owner.handle(Event::Job(stored), now, &mut out);
             }
         }
-        owner.set_emptying(news::marks(&view, &pool));
-        // All jobs up to the token were told, and it was won after that was sent.
-        let word_at = view.queued.get(name).map(|at| at.revision).unwrap_or_default();
-        let word = Word::new(word_at, tenure.confirmed(), Revision(token));
+        owner.set_emptying(news::drain_marks(&view, &pool));
+        // The owner has received all jobs up to its token, and the write that won the token was
+        // sent at the time returned by `confirmed`.
+        let report_revision = view.queued.get(name).map(|at| at.revision).unwrap_or_default();
+        let waiting_report = ReportState::new(report_revision, tenure.confirmed(), Revision(token));
         drop(view);
-        self.log_taken_up(name, token, earlier, now);
-        let over = CancellationToken::new();
-        mirror::follow(&self.node, name, token, over.clone(), &self.to);
-        let owned = Owned {
+        self.log_takeover(name, token, earlier_owners, now);
+        let stop_watch = CancellationToken::new();
+        mirror::follow(&self.node, name, token, stop_watch.clone(), &self.to);
+        let owned = OwnedPool {
             pool,
             owner,
             tenure,
-            helpers: Helpers::default(),
-            tally: Arc::default(),
-            _following: over.drop_guard(),
-            saving: 0,
+            delegates: Helpers::default(),
+            order_counts: Arc::default(),
+            _watch_guard: stop_watch.drop_guard(),
+            pending_saves: 0,
             next_save: now.steady,
-            told_empty: BTreeMap::new(),
-            rostering: false,
-            next_roster: now.steady,
-            away_at,
+            published_empty: BTreeMap::new(),
+            roster_pending: false,
+            next_roster_write: now.steady,
+            silent_revision,
             removing: false,
             next_removal: now.steady,
-            told_usage: None,
+            published_usage: None,
             next_usage: now.steady,
-            word,
+            waiting_report,
             next_confirmation: now.steady,
         };
         self.owned.insert(name.to_owned(), owned);
-        // The first look at each worker goes out with this step: a node that owns a large pool has the
-        // time for a fifth of these calls, and late ones show living workers as silent.
-        self.next_helpers = now.steady;
-        self.carry_out(name, token, out);
+        // Chooses delegates before the first polls are sent in this iteration: the node that owns a
+        // large pool has time for a fifth of these calls, and late polls make live workers look
+        // silent.
+        self.next_delegates = now.steady;
+        self.execute(name, token, out);
     }
 }
 
-/// How long after a decision that took so long the next one may be made.
+/// Pause after an iteration of this duration.
 fn pause_after(took: Duration) -> Duration {
-    (STEP_REST * took).clamp(STEP_PAUSE, STEP_MOST_PAUSE)
+    (TICK_PAUSE_FACTOR * took).clamp(MIN_TICK_PAUSE, MAX_TICK_PAUSE)
 }
 
 pub(crate) fn json<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Records of ours hold nothing that JSON cannot.
+    // Our records contain nothing that cannot be written as JSON.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/src/scheduler/drive/input.rs
+++ b/src/scheduler/drive/input.rs
@@ -1,4 +1,4 @@
-//! What the loop is told, and how what it has begun may end.
+//! Inputs of the control loop, and results of its asynchronous operations.
 
 use std::collections::BTreeMap;
 
@@ -21,129 +21,129 @@
     },
 };
 
-/// What the loop is told.
+/// An input of the control loop.
 pub(crate) enum Input {
     Deltas(Vec<Delta>),
-    /// What became of an owner's order.
-    Owner {
+    /// An event for the owner of a pool: the result of an order or of a request for advice.
+    OwnerEvent {
         name: String,
         token: u64,
         event: Box<Event>,
     },
-    /// What became of a try to own a piece of work.
+    /// Result of an attempt to acquire ownership.
     Reached {
         name: String,
         won: Option<Won>,
     },
-    /// What became of a write of progress.
-    Saved {
+    /// Result of a write of progress.
+    ProgressWritten {
         name: String,
         token: u64,
-        saves: Vec<Save>,
-        end: SaveEnd,
+        writes: Vec<Save>,
+        result: SaveResult,
     },
-    /// What became of a write of what workers may hold.
-    Rostered {
+    /// Result of a write of the roster.
+    RosterWritten {
         name: String,
         token: u64,
-        note: RosterNote,
-        end: OverwriteEnd,
+        write: RosterNote,
+        result: OverwriteResult,
     },
-    /// What became of a word on how many jobs wait.
-    Worded {
+    /// Result of a write of a report on waiting jobs.
+    ReportWritten {
         name: String,
         token: u64,
         counts: BTreeMap<String, usize>,
         sent: Steady,
-        end: OverwriteEnd,
+        result: OverwriteResult,
     },
-    /// An owner's own watch has told of all that was there when it asked.
+    /// An owner's own watch has returned everything that existed when it was sent.
     Followed {
         name: String,
         token: u64,
         asked: Steady,
-        /// The revision up to which it has told of everything.
+        /// The revision up to which the watch is complete.
         at: Revision,
     },
-    /// What became of a removal of jobs that ended.
-    Removed {
+    /// Result of a removal of ended jobs.
+    JobsRemoved {
         name: String,
         token: u64,
         jobs: Vec<JobId>,
         done: bool,
     },
-    /// What became of a read of the list of hosts.
+    /// Result of a read of the host list.
     HostList {
         token: u64,
         sent: Steady,
         hosts: Option<Vec<ListedHost>>,
     },
-    /// What became of a call that changes a host.
+    /// Result of a call that changes a host.
     HostCalled {
         token: u64,
         host: HostId,
         leave: Leave,
         end: CallEnd,
     },
-    /// What became of writes of the fleet's work, and the record of a wave that they left.
+    /// Results of writes of the fleet's owner, and the wave record after them.
     FleetWritten {
         token: u64,
         ends: Vec<(FleetEffect, WriteEnd)>,
         wave: Option<(u64, At<WaveRecord>)>,
     },
-    /// A worker gave no answer to the node that was to call it.
-    Detour(Incarnation),
-    /// The node is to give back all that it owns.
+    /// A worker did not answer its delegate.
+    DelegateFailed(Incarnation),
+    /// The node is shutting down and has to release everything that it owns.
     Leave,
 }
 
-/// A piece of work that was won.
+/// An ownership that was won.
 pub(crate) struct Won {
     pub(super) token: u64,
-    /// Owners before.
-    pub(super) earlier: u32,
+    /// Number of earlier owners.
+    pub(super) earlier_owners: u32,
     pub(super) tenure: Tenure,
 }
 
 impl Won {
-    /// A piece of work that was won by the write of this token, after so many owners.
-    pub(crate) fn new(token: u64, earlier: u32, tenure: Tenure) -> Won {
-        Won { token, earlier, tenure }
+    /// Creates an ownership whose token is the revision of the write that won it.
+    pub(crate) fn new(token: u64, earlier_owners: u32, tenure: Tenure) -> Won {
+        Won { token, earlier_owners, tenure }
     }
 }
 
-/// How a write of progress ended.
-pub(crate) enum SaveEnd {
+/// Result of a write of progress.
+pub(crate) enum SaveResult {
     Done(Revision),
     /// There is a later owner.
     Deposed,
-    /// These were written by an earlier try; the others were not.
+    /// These were written by an earlier attempt; the others were not.
     Rebase(Vec<(usize, Revision)>),
     Failed,
 }
 
-/// How a write over the one before of the same record ended.
+/// Result of a write that replaces the previous version of a record.
 #[derive(Debug)]
-pub(crate) enum OverwriteEnd {
+pub(crate) enum OverwriteResult {
     Kept(Revision),
-    /// The record stands at this revision: that of an earlier try without an answer.
+    /// The record is at this revision, written by an earlier attempt whose answer was lost.
     Rebase(Revision),
     Failed,
 }
 
-impl OverwriteEnd {
-    /// Of a write under the condition that a record is as it was.
-    pub(super) fn of(end: Result<Committed, StoreError>, key: &str) -> OverwriteEnd {
-        match end {
-            Ok(Committed::Done(revision)) => OverwriteEnd::Kept(revision),
+impl OverwriteResult {
+    /// Result of a write that requires the record to be unchanged.
+    pub(super) fn of(result: Result<Committed, StoreError>, key: &str) -> OverwriteResult {
+        match result {
+            Ok(Committed::Done(revision)) => OverwriteResult::Kept(revision),
             Ok(Committed::Conflict(items)) => {
                 let found = items.iter().find(|item| item.key == key);
-                OverwriteEnd::Rebase(found.map(|item| item.revision).unwrap_or_default())
+                OverwriteResult::Rebase(found.map(|item| item.revision).unwrap_or_default())
             }
-            Ok(Committed::LeaseOver) => OverwriteEnd::Failed,
+            Ok(Committed::LeaseOver) => OverwriteResult::Failed,
             Err(error) => {
                 log::debug!("record {key}: not written: {error}");
-                OverwriteEnd::Failed
+                OverwriteResult::Failed
             }
         }
     }
--- a/src/scheduler/drive/keep.rs
+++ b/src/scheduler/drive/keep.rs
@@ -1,6 +1,6 @@
-//! What an owner has kept in the store for a later one: progress, and its roster.
+//! State that an owner persists for later owners: progress and the roster.
 
-use super::{Drive, Input, OverwriteEnd, Owned, SaveEnd, json};
+use super::{Drive, Input, OverwriteResult, OwnedPool, SaveResult, json};
 use crate::{
     jobs::{event::Save, roster::RosterNote},
     model::{
@@ -14,40 +14,40 @@
     scheduler::{Node, keys, lease::Tenure},
 };
 
-/// Jobs in one transaction: each needs a condition and a write, beside the one of the owner.
+/// Jobs per transaction: each needs a condition and a write, in addition to the condition on the
+/// owner.
 const SAVE_BATCH: usize = (TXN_ENTRIES - 1) / 2;
 
-/// Writes of one owner's progress that may be on their way at one time: with one, an owner kept a
-/// thousand jobs a second at the most, and a peak changes more.
-const MOST_SAVES: usize = 4;
+/// Maximum number of progress writes in flight per owner. A single one limited an owner to a
+/// thousand jobs a second, and a peak changes more.
+const MAX_PENDING_SAVES: usize = 4;
 
-/// The least time between two writes of one owner's progress, in milliseconds: ends that come
-/// close together share one.
+/// Minimum time between two progress writes of one owner, in milliseconds: changes close together
+/// share a write.
 const SAVE_PAUSE_MS: u64 = 5;
 
-/// How long after a write that failed the next is made, in milliseconds.
-const SAVE_AGAIN_MS: u64 = 100;
+/// Delay before the next write after a failed one, in milliseconds.
+const SAVE_RETRY_MS: u64 = 100;
 
-/// The least time between two writes of what one pool's workers may hold, in milliseconds: hosts
-/// that come or leave together share one, and a worker that comes waits so much longer at the most.
+/// Minimum time between two roster writes of one pool, in milliseconds: hosts that arrive or leave
+/// together share a write, and a new worker waits at most this much longer.
 const ROSTER_PAUSE_MS: u64 = 20;
 
-/// The least time between two removals of jobs that ended, in milliseconds: those that end close
-/// together share one. A node that starts meanwhile reads some 70 jobs more at 145 a second; all
-/// 2,400 jobs of half a day were 3.3 MB, and kept nodes with 10 Mbit/s seconds behind.
-const REMOVE_PAUSE_MS: u64 = 500;
+/// Minimum time between two removals of ended jobs, in milliseconds: jobs that end close together
+/// share one. A node that starts in between reads some 70 more jobs at 145 a second. All 2,400 jobs
+/// of half a day were 3.3 MB, which put nodes with 10 Mbit/s seconds behind.
+const REMOVAL_PAUSE_MS: u64 = 500;
 
-/// Workers' records in one transaction, beside two conditions and the record of those that are
-/// silent.
+/// Worker records per transaction, in addition to two conditions and the record of silent workers.
 const ROSTER_BATCH: usize = TXN_ENTRIES - 3;
 
 impl Drive {
-    /// A piece of work, if this node still owns it under the token of an earlier decision.
-    pub(super) fn owned_under(&mut self, name: &str, token: u64) -> Option<&mut Owned> {
+    /// The pool, if this node still owns it under the given token.
+    pub(super) fn owned_under(&mut self, name: &str, token: u64) -> Option<&mut OwnedPool> {
         self.owned.get_mut(name).filter(|owned| owned.owner.token == token)
     }
 
-    pub(super) fn save(&mut self, name: &str, now: Now) {
+    pub(super) fn persist_progress(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
@@ -55,103 +55,111 @@
             return;
         }
         let token = owned.owner.token;
-        // Beside the first, only full ones: what comes close together shares one.
-        while owned.saving == 0 || owned.saving < MOST_SAVES && SAVE_BATCH <= owned.owner.unsaved()
+        // Beyond the first write, only full batches are sent: changes close together share a write.
+        while owned.pending_saves == 0
+            || owned.pending_saves < MAX_PENDING_SAVES && SAVE_BATCH <= owned.owner.unsaved()
         {
-            let saves = owned.owner.saves(SAVE_BATCH);
-            if saves.is_empty() {
+            let writes = owned.owner.saves(SAVE_BATCH);
+            if writes.is_empty() {
                 return;
             }
-            owned.saving += 1;
-            let (node, to, name) = (self.node.clone(), self.to.clone(), name.to_owned());
+            owned.pending_saves += 1;
+            let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
             let tenure = owned.tenure.clone();
             tokio::spawn(async move {
-                let end = write_progress(&node, &tenure, &name, token, &saves).await;
-                let _ = to.send(Input::Saved { name, token, saves, end });
+                let result = commit_progress(&node, &tenure, &name, token, &writes).await;
+                let _ = inputs.send(Input::ProgressWritten { name, token, writes, result });
             });
         }
     }
 
-    pub(super) fn saved(&mut self, name: &str, token: u64, saves: &[Save], end: SaveEnd, now: Now) {
+    pub(super) fn note_progress_written(
+        &mut self,
+        name: &str,
+        token: u64,
+        writes: &[Save],
+        result: SaveResult,
+        now: Now,
+    ) {
         let Some(owned) = self.owned_under(name, token) else {
             return;
         };
-        owned.saving = owned.saving.saturating_sub(1);
+        owned.pending_saves = owned.pending_saves.saturating_sub(1);
         owned.next_save = now.steady.after(SAVE_PAUSE_MS);
-        match end {
-            SaveEnd::Done(revision) => {
-                for ended in owned.owner.saved(saves, revision) {
+        match result {
+            SaveResult::Done(revision) => {
+                for ended in owned.owner.saved(writes, revision) {
                     self.node.metrics.job_ended(&ended.queue, ended.state, ended.took);
                 }
             }
-            SaveEnd::Rebase(places) => {
-                for (place, revision) in places {
-                    owned.owner.rebase(saves[place].job, revision);
+            SaveResult::Rebase(positions) => {
+                for (position, revision) in positions {
+                    owned.owner.rebase(writes[position].job, revision);
                 }
-                owned.owner.not_saved(saves);
+                owned.owner.not_saved(writes);
             }
-            SaveEnd::Deposed => {
+            SaveResult::Deposed => {
                 log::warn!("owner {name}: token {token} is over");
                 self.owned.remove(name);
             }
-            SaveEnd::Failed => {
-                owned.owner.not_saved(saves);
-                owned.next_save = now.steady.after(SAVE_AGAIN_MS);
+            SaveResult::Failed => {
+                owned.owner.not_saved(writes);
+                owned.next_save = now.steady.after(SAVE_RETRY_MS);
             }
         }
     }
 
-    /// Keeps what the pool's workers may hold, for a later owner. One write at a time, each under
-    /// the condition of the one before, so that none that was held up undoes a later one.
-    pub(super) fn write_roster(&mut self, name: &str, now: Now) {
+    /// Persists the roster for a later owner. Only one write is in flight at a time, and each
+    /// requires the previous one to be the last, so that a delayed write cannot undo a later one.
+    pub(super) fn persist_roster(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        if owned.rostering || now.steady < owned.next_roster {
+        if owned.roster_pending || now.steady < owned.next_roster_write {
             return;
         }
-        let Some(note) = owned.owner.roster_note(ROSTER_BATCH) else {
-            // It is worked out over all workers: not with each decision.
-            owned.next_roster = now.steady.after(ROSTER_PAUSE_MS);
+        let Some(write) = owned.owner.roster_note(ROSTER_BATCH) else {
+            // The roster is computed from all workers, which is too costly for each iteration.
+            owned.next_roster_write = now.steady.after(ROSTER_PAUSE_MS);
             return;
         };
-        owned.rostering = true;
-        let (token, away_at) = (owned.owner.token, owned.away_at);
-        let (node, to, name) = (self.node.clone(), self.to.clone(), name.to_owned());
+        owned.roster_pending = true;
+        let (token, silent_revision) = (owned.owner.token, owned.silent_revision);
+        let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
         let tenure = owned.tenure.clone();
         tokio::spawn(async move {
-            let end = write_note(&node, &tenure, &name, token, away_at, &note).await;
-            let _ = to.send(Input::Rostered { name, token, note, end });
+            let result = commit_roster(&node, &tenure, &name, token, silent_revision, &write).await;
+            let _ = inputs.send(Input::RosterWritten { name, token, write, result });
         });
     }
 
-    pub(super) fn rostered(
+    pub(super) fn note_roster_written(
         &mut self,
         name: &str,
         token: u64,
-        note: &RosterNote,
-        end: OverwriteEnd,
+        write: &RosterNote,
+        result: OverwriteResult,
         now: Now,
     ) {
         let Some(owned) = self.owned_under(name, token) else {
             return;
         };
-        owned.rostering = false;
-        let full = note.changes() == ROSTER_BATCH;
-        owned.next_roster = now.steady.after(if full { 0 } else { ROSTER_PAUSE_MS });
-        match end {
-            OverwriteEnd::Kept(revision) => {
-                owned.away_at = revision;
-                owned.owner.rostered(note, revision);
+        owned.roster_pending = false;
+        let full = write.changes() == ROSTER_BATCH;
+        owned.next_roster_write = now.steady.after(if full { 0 } else { ROSTER_PAUSE_MS });
+        match result {
+            OverwriteResult::Kept(revision) => {
+                owned.silent_revision = revision;
+                owned.owner.rostered(write, revision);
             }
-            OverwriteEnd::Rebase(revision) => owned.away_at = revision,
-            OverwriteEnd::Failed => owned.next_roster = now.steady.after(SAVE_AGAIN_MS),
+            OverwriteResult::Rebase(revision) => owned.silent_revision = revision,
+            OverwriteResult::Failed => owned.next_roster_write = now.steady.after(SAVE_RETRY_MS),
         }
     }
 
-    /// Removes what is kept of jobs beside their ends, once these are durable: what was handed in is
-    /// most of what a node reads when it starts, and no caller is told of it.
-    pub(super) fn remove_finished(&mut self, name: &str, now: Now) {
+    /// Removes the records of ended jobs, except their ends, once these are durable. The accepted
+    /// requests are most of what a node reads when it starts, and callers no longer need them.
+    pub(super) fn remove_ended_jobs(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
@@ -166,18 +174,18 @@
         let token = owned.owner.token;
         let remove = |txn: Txn, id: &JobId| txn.remove(keys::job(&owned.pool, *id));
         let txn = jobs.iter().fold(Txn::default(), remove);
-        let (node, to, name) = (self.node.clone(), self.to.clone(), name.to_owned());
+        let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
         tokio::spawn(async move {
-            let end = node.kv.commit(&txn).await;
-            if let Err(error) = &end {
+            let result = node.kv.commit(&txn).await;
+            if let Err(error) = &result {
                 log::info!("owner {name}: {} ended jobs not removed: {error}", jobs.len());
             }
-            let done = matches!(end, Ok(Committed::Done(_)));
-            let _ = to.send(Input::Removed { name, token, jobs, done });
+            let done = matches!(result, Ok(Committed::Done(_)));
+            let _ = inputs.send(Input::JobsRemoved { name, token, jobs, done });
         });
     }
 
-    pub(super) fn removed(
+    pub(super) fn note_jobs_removed(
         &mut self,
         name: &str,
         token: u64,
@@ -191,9 +199,9 @@
         owned.removing = false;
         let full = jobs.len() == TXN_ENTRIES;
         let pause = match (done, full) {
-            (false, _) => SAVE_AGAIN_MS,
+            (false, _) => SAVE_RETRY_MS,
             (true, true) => 0,
-            (true, false) => REMOVE_PAUSE_MS,
+            (true, false) => REMOVAL_PAUSE_MS,
         };
         owned.next_removal = now.steady.after(pause);
         if !done {
@@ -202,92 +210,92 @@
     }
 }
 
-/// Writes what workers may hold under the condition that there is no later owner, and no write
-/// since the one before.
-async fn write_note(
+/// Writes the roster on the conditions that there is no later owner, and that nothing was written
+/// since the previous roster write.
+async fn commit_roster(
     node: &Node,
     tenure: &Tenure,
     name: &str,
     token: u64,
-    away_at: Revision,
-    note: &RosterNote,
-) -> OverwriteEnd {
-    let away_key = keys::away(name);
+    silent_revision: Revision,
+    write: &RosterNote,
+) -> OverwriteResult {
+    let silent_key = keys::away(name);
     let mut txn = Txn::default()
         .expect(keys::owner(name), Revision(token))
-        .expect(away_key.clone(), away_at)
-        .put(away_key.clone(), json(&note.away));
-    for report in &note.added {
+        .expect(silent_key.clone(), silent_revision)
+        .put(silent_key.clone(), json(&write.away));
+    for report in &write.added {
         txn = txn.put(keys::roster(name, &report.id), json(report));
     }
-    for worker in &note.dropped {
+    for worker in &write.dropped {
         txn = txn.remove(keys::roster(name, worker));
     }
-    let end = OverwriteEnd::of(commit(node, tenure, &txn).await, &away_key);
-    if matches!(end, OverwriteEnd::Failed) {
+    let result = OverwriteResult::of(commit(node, tenure, &txn).await, &silent_key);
+    if matches!(result, OverwriteResult::Failed) {
         log::warn!("owner {name}: roster not written");
     }
-    end
+    result
 }
 
-/// Writes progress under the condition that there is no later owner.
-async fn write_progress(
+/// Writes progress on the condition that there is no later owner.
+async fn commit_progress(
     node: &Node,
     tenure: &Tenure,
     name: &str,
     token: u64,
-    saves: &[Save],
-) -> SaveEnd {
+    writes: &[Save],
+) -> SaveResult {
     let owner_key = keys::owner(name);
     let mut txn = Txn::default().expect(owner_key.clone(), Revision(token));
-    for save in saves {
-        let key = keys::progress(save.job);
-        txn = txn.expect(key.clone(), save.expects).put(key, save.value.clone());
+    for write in writes {
+        let key = keys::progress(write.job);
+        txn = txn.expect(key.clone(), write.expects).put(key, write.value.clone());
     }
     let items = match commit(node, tenure, &txn).await {
-        Ok(Committed::Done(revision)) => return SaveEnd::Done(revision),
+        Ok(Committed::Done(revision)) => return SaveResult::Done(revision),
         Ok(Committed::Conflict(items)) => items,
-        Ok(Committed::LeaseOver) => return SaveEnd::Failed,
+        Ok(Committed::LeaseOver) => return SaveResult::Failed,
         Err(error) => {
-            log::warn!("owner {name}: progress of {} jobs not written: {error}", saves.len());
-            return SaveEnd::Failed;
+            log::warn!("owner {name}: progress of {} jobs not written: {error}", writes.len());
+            return SaveResult::Failed;
         }
     };
     let owner = items.iter().find(|item| item.key == owner_key);
     if owner.is_none_or(|item| item.revision != Revision(token)) {
-        return SaveEnd::Deposed;
+        return SaveResult::Deposed;
     }
-    // Only this owner writes there: another revision is that of a write without an answer.
-    let moved = saves.iter().enumerate().filter_map(|(place, save)| {
-        let key = keys::progress(save.job);
+    // Only this owner writes these keys: another revision comes from a write whose answer was lost.
+    let changed = writes.iter().enumerate().filter_map(|(position, write)| {
+        let key = keys::progress(write.job);
         let item = items.iter().find(|item| item.key == key)?;
-        (item.revision != save.expects).then_some((place, item.revision))
+        (item.revision != write.expects).then_some((position, item.revision))
     });
-    SaveEnd::Rebase(moved.collect())
+    SaveResult::Rebase(changed.collect())
 }
 
-/// Does a write under the condition that the owner is still the owner, which is its first one. If it
-/// was done, there was no later one when it was sent; if that condition failed, there is one now.
+/// Commits a transaction whose first condition is that the owner has not changed. If it succeeds,
+/// there was no later owner when it was sent; if that condition fails, there is one now.
 pub(super) async fn commit(
     node: &Node,
     tenure: &Tenure,
     txn: &Txn,
 ) -> Result<Committed, StoreError> {
     let sent = node.now().steady;
-    let end = node.kv.commit(txn).await;
-    match &end {
+    let result = node.kv.commit(txn).await;
+    match &result {
         Ok(Committed::Done(revision)) => {
             tenure.confirm(sent);
             node.view().ages.told(sent, *revision);
         }
-        Ok(Committed::Conflict(items)) if denies_owner(txn, items) => tenure.deny(),
+        Ok(Committed::Conflict(items)) if is_owner_conflict(txn, items) => tenure.deny(),
         Ok(Committed::Conflict(_) | Committed::LeaseOver) | Err(_) => {}
     }
-    end
+    result
 }
 
-/// Whether a write was refused because its first condition, that the owner is the owner, failed.
-fn denies_owner(txn: &Txn, found: &[Item]) -> bool {
+/// Whether a transaction failed on its first condition, that the owner has not changed.
+fn is_owner_conflict(txn: &Txn, found: &[Item]) -> bool {
     txn.expects.first().is_some_and(|(key, revision)| {
         let item = found.iter().find(|item| item.key == *key);
         item.is_none_or(|item| item.revision != *revision)
--- a/src/scheduler/drive/news.rs
+++ b/src/scheduler/drive/news.rs
@@ -1,4 +1,4 @@
-//! What the node hears of the store, as its owners are told of it.
+//! Delivers changes of the view to the owners.
 
 use std::collections::BTreeMap;
 
@@ -17,25 +17,25 @@
 
 #[cfg(test)]
 thread_local! {
-    /// How many marks were looked at, to tell what a change of one costs.
-    pub(super) static LOOKED_AT: std::cell::Cell<usize> = const { std::cell::Cell::new(0) };
+    /// Number of marks that were checked, to measure the cost of a change of one mark.
+    pub(super) static MARKS_CHECKED: std::cell::Cell<usize> = const { std::cell::Cell::new(0) };
 }
 
 impl Drive {
-    /// Tells the owners of a change of what the node knows.
-    pub(super) fn heard(&mut self, delta: Delta, now: Now) {
+    /// Delivers a change of the view to the owners that it concerns.
+    pub(super) fn handle_delta(&mut self, delta: Delta, now: Now) {
         match delta {
             Delta::Job(id) => {
                 let stored = self.node.view().jobs.get(&id).and_then(|known| known.stored(id));
                 if let Some(stored) = stored {
                     let name = keys::pool(&stored.record.pool);
-                    self.tell(&name, Event::Job(stored), now);
+                    self.deliver(&name, Event::Job(stored), now);
                 }
             }
             Delta::Removed(id) => {
                 let names: Vec<String> = self.owned.keys().cloned().collect();
                 for name in names {
-                    self.tell(&name, Event::Removed(id), now);
+                    self.deliver(&name, Event::Removed(id), now);
                 }
             }
             Delta::Cancelled(id) => {
@@ -44,7 +44,7 @@
                 let record = record.and_then(|known| known.record.as_ref());
                 if let Some(record) = record {
                     let name = keys::pool(&record.value.pool);
-                    self.tell(&name, Event::Cancelled(id), now);
+                    self.deliver(&name, Event::Cancelled(id), now);
                 }
             }
             Delta::Worker(report) => {
@@ -52,44 +52,47 @@
                 let others: Vec<String> =
                     self.owned.keys().filter(|name| **name != own).cloned().collect();
                 for name in others {
-                    self.tell(&name, Event::Elsewhere(report.clone()), now);
+                    self.deliver(&name, Event::Elsewhere(report.clone()), now);
                 }
                 let owns = self.owned.contains_key(&own);
                 if owns && self.node.view().is_of_another(&own, &report.id) {
-                    log::error!("worker {}: not used: another pool's, not {own}'s", report.id);
-                    return self.tell(&own, Event::Barred(report.id.worker), now);
+                    log::error!(
+                        "worker {}: not used: it belongs to another pool than {own}",
+                        report.id
+                    );
+                    return self.deliver(&own, Event::Barred(report.id.worker), now);
                 }
-                self.tell(&own, Event::Worker(report), now);
+                self.deliver(&own, Event::Worker(report), now);
             }
             Delta::Unlisted(id) => {
                 let names: Vec<String> = self.owned.keys().cloned().collect();
                 for name in names {
-                    self.tell(&name, Event::Unlisted(id.clone()), now);
+                    self.deliver(&name, Event::Unlisted(id.clone()), now);
                 }
             }
             Delta::Barred(id) => {
                 let names: Vec<String> = self.owned.keys().cloned().collect();
                 for name in names {
-                    self.tell(&name, Event::Barred(id.clone()), now);
+                    self.deliver(&name, Event::Barred(id.clone()), now);
                 }
             }
             Delta::Owner(name) => self.check_owner(&name),
-            Delta::Leave(host) => self.set_mark(&host),
+            Delta::Leave(host) => self.set_drain_mark(&host),
             Delta::Config => {}
         }
     }
 
-    /// Tells an owner of an event, and carries out what it wants done.
-    pub(super) fn tell(&mut self, name: &str, event: Event, now: Now) {
+    /// Delivers an event to an owner and executes the resulting effects.
+    pub(super) fn deliver(&mut self, name: &str, event: Event, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
         let (mut out, token) = (Vec::new(), owned.owner.token);
         owned.owner.handle(event, now, &mut out);
-        self.carry_out(name, token, out);
+        self.execute(name, token, out);
     }
 
-    /// Gives up what the store says is owned by another, or by nobody.
+    /// Drops an ownership that, according to the view, another node or no node holds.
     pub(super) fn check_owner(&mut self, name: &str) {
         if name == keys::FLEET
             && let Some(OwnedFleet { fleet, .. }) = &self.fleet
@@ -107,31 +110,32 @@
         }
     }
 
-    /// Tells the owners of one host's mark. All marks anew for each cost 49 us a mark while 600 hosts
-    /// were marked at a turn (`measure mirror`).
-    fn set_mark(&mut self, host: &HostId) {
+    /// Updates the drain mark of one host. Rebuilding all marks for each change took 49 us a mark
+    /// while 600 hosts were marked at a demand peak (`measure mirror`).
+    fn set_drain_mark(&mut self, host: &HostId) {
         let view = self.node.view();
         let leave = view.leaves.get(host);
         for owned in self.owned.values_mut() {
-            let mark = leave.filter(|at| counts(&at.value, &owned.pool)).map(|at| at.revision);
+            let mark =
+                leave.filter(|at| requires_drain(&at.value, &owned.pool)).map(|at| at.revision);
             owned.owner.set_mark(host, mark);
             if mark.is_none() {
-                owned.told_empty.remove(host);
+                owned.published_empty.remove(host);
             }
         }
     }
 }
 
-/// Whether a pool's owner is to empty a host with this mark. One that was marked to come to the pool
-/// has come.
-fn counts(mark: &Leave, pool: &PoolId) -> bool {
+/// Whether the pool's owner has to drain a host with this mark. A host marked to move into this
+/// pool has already arrived.
+fn requires_drain(mark: &Leave, pool: &PoolId) -> bool {
     #[cfg(test)]
-    LOOKED_AT.set(LOOKED_AT.get() + 1);
+    MARKS_CHECKED.set(MARKS_CHECKED.get() + 1);
     !matches!(mark, Leave::Move(to) if to == pool)
 }
 
-/// The hosts that a pool's owner is to empty, by the revisions of their marks.
-pub(super) fn marks(view: &View, pool: &PoolId) -> BTreeMap<HostId, Revision> {
-    let leaves = view.leaves.iter().filter(|(_, at)| counts(&at.value, pool));
+/// The hosts that the pool's owner has to drain, by the revisions of their marks.
+pub(super) fn drain_marks(view: &View, pool: &PoolId) -> BTreeMap<HostId, Revision> {
+    let leaves = view.leaves.iter().filter(|(_, at)| requires_drain(&at.value, pool));
     leaves.map(|(host, at)| (host.clone(), at.revision)).collect()
 }
--- a/src/scheduler/drive/orders.rs
+++ b/src/scheduler/drive/orders.rs
@@ -1,10 +1,10 @@
-//! How orders to workers leave the node: by calls of its own, or by way of another node.
+//! Sends orders to workers, either directly or through delegates (other nodes that make the calls).
 
 use std::{net::SocketAddr, time::Instant};
 
 use super::{
     Drive, Input,
-    tally::{Caller, UnderWay},
+    tally::{CallingNode, PendingOrder},
 };
 use crate::{
     jobs::{
@@ -22,87 +22,87 @@
     },
 };
 
-/// How often it is decided who makes whose calls, in milliseconds: hosts come to a pool within
-/// seconds, and until then the owner calls those that are new.
-const HELPERS_MS: u64 = 250;
+/// Interval between choices of delegates, in milliseconds. Hosts join a pool within seconds, and
+/// the owner calls new ones directly until then.
+const DELEGATES_INTERVAL_MS: u64 = 250;
 
-/// How long an owner calls a worker itself that gave no answer to another node, in milliseconds: the
-/// path from there may be cut, and this one not.
-const DETOUR_MS: u64 = 2_000;
+/// How long an owner calls a worker directly after the worker did not answer its delegate, in
+/// milliseconds: the path from the delegate may be broken while the direct one works.
+const DIRECT_CALL_MS: u64 = 2_000;
 
 impl Drive {
-    /// Has an owner's orders carried out, by this node or another.
-    pub(super) fn carry_out(&mut self, name: &str, token: u64, effects: Vec<Effect>) {
+    /// Executes the effects of an owner, on this node or through a delegate.
+    pub(super) fn execute(&mut self, name: &str, token: u64, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Advise { step, workers, needs } => {
-                    let tell = self.teller(name, token);
-                    let (adviser, advising) = (self.adviser.clone(), self.advising.clone());
+                    let tell = self.event_sender(name, token);
+                    let (adviser, advice_slot) = (self.adviser.clone(), self.advice_slot.clone());
                     let node = self.node.clone();
                     tokio::spawn(async move {
-                        let turn = advising.acquire().await;
+                        let slot = advice_slot.acquire().await;
                         let sent = node.now().steady;
                         let end = match &adviser {
                             Some(adviser) => adviser.ask(step, &workers, needs).await,
                             None => Advised::Failed,
                         };
-                        drop(turn);
+                        drop(slot);
                         tell(Event::Advised { step, asked: workers, sent, end });
                     });
                 }
-                order => match self.helper(name, &order) {
-                    Some(address) => self.pass_on(address, name, token, order),
-                    None => self.call(name, token, order),
+                order => match self.delegate_address(name, &order) {
+                    Some(address) => self.delegate(address, name, token, order),
+                    None => self.call_directly(name, token, order),
                 },
             }
         }
     }
 
-    /// Tells the owner of a piece of work of an event.
-    fn teller(&self, name: &str, token: u64) -> impl FnOnce(Event) + Send + 'static {
-        let (to, name) = (self.to.clone(), name.to_owned());
+    /// Returns a function that delivers an event to the owner.
+    fn event_sender(&self, name: &str, token: u64) -> impl FnOnce(Event) + Send + 'static {
+        let (inputs, name) = (self.to.clone(), name.to_owned());
         move |event| {
-            // The receiver ends with the process only.
-            let _ = to.send(Input::Owner { name, token, event: Box::new(event) });
+            // The receiver only ends with the process.
+            let _ = inputs.send(Input::OwnerEvent { name, token, event: Box::new(event) });
         }
     }
 
-    /// Tells whether an order under an ownership may still be sent: between the decision and that
-    /// moment the process may have stood still. Whatever was decided before that waits until the
-    /// store has confirmed the owner since: while it stood still, another one may have come.
-    pub(super) fn permit(&self, name: &str) -> impl Fn() -> bool + Send + 'static {
+    /// Returns a check whether an order of this owner may still be sent. The process may be
+    /// suspended between the decision and the send, and another node may become the owner
+    /// meanwhile: after a suspension nothing is sent until the store has confirmed the owner again.
+    pub(super) fn send_check(&self, name: &str) -> impl Fn() -> bool + Send + 'static {
         let tenure = self.owned.get(name).map(|owned| owned.tenure.clone());
         let node = self.node.clone();
         move || {
             let now = node.now().steady;
-            let may = |tenure: &Tenure| {
+            let is_allowed = |tenure: &Tenure| {
                 tenure.allows_orders(now) && !tenure.is_older_than(node.clock.woke())
             };
-            tenure.as_ref().is_some_and(may)
+            tenure.as_ref().is_some_and(is_allowed)
         }
     }
 
-    /// Counts an order until it has ended.
-    fn under_way(&self, name: &str, caller: Caller) -> Option<UnderWay> {
-        let tally = &self.owned.get(name)?.tally;
-        Some(UnderWay::new(tally, &self.node.metrics, caller))
+    /// Counts an order as pending until the returned value is dropped.
+    fn count_order(&self, name: &str, calling: CallingNode) -> Option<PendingOrder> {
+        let order_counts = &self.owned.get(name)?.order_counts;
+        Some(PendingOrder::new(order_counts, &self.node.metrics, calling))
     }
 
-    /// Makes the call itself.
-    fn call(&self, name: &str, token: u64, effect: Effect) {
-        let (tell, may_go) = (self.teller(name, token), self.permit(name));
+    /// Makes the call on this node.
+    fn call_directly(&self, name: &str, token: u64, effect: Effect) {
+        let (tell, may_go) = (self.event_sender(name, token), self.send_check(name));
         let runners = self.runners.clone();
         let metrics = self.node.metrics.clone();
-        let under_way = self.under_way(name, Caller::Own);
+        let pending = self.count_order(name, CallingNode::Own);
         let (sent, began) = (self.node.now().steady, Instant::now());
         tokio::spawn(async move {
             let answer = match may_go() {
                 true => call(&runners, &effect).await,
                 false => Answer::End(OrderEnd::Unsent),
             };
-            metrics.ordered(kind(&effect), outcome(&answer), began.elapsed());
-            if let Some(under_way) = under_way {
-                under_way.ended(outcome(&answer));
+            metrics.ordered(order_kind(&effect), outcome(&answer), began.elapsed());
+            if let Some(pending) = pending {
+                pending.note_outcome(outcome(&answer));
             }
             if let Some(event) = call::event(effect, sent, answer) {
                 tell(event);
@@ -110,71 +110,71 @@
         });
     }
 
-    /// Has another node make the call, with all others that go there in this step.
-    fn pass_on(&mut self, address: SocketAddr, name: &str, token: u64, effect: Effect) {
-        let tell = self.teller(name, token);
-        let to = self.to.clone();
-        let worker = addressee(&effect).cloned();
-        let (metrics, kind) = (self.node.metrics.clone(), kind(&effect));
-        let (under_way, began) = (self.under_way(name, Caller::Other), Instant::now());
+    /// Has another node make the call, batched with all others for that node in this iteration.
+    fn delegate(&mut self, address: SocketAddr, name: &str, token: u64, effect: Effect) {
+        let tell = self.event_sender(name, token);
+        let inputs = self.to.clone();
+        let worker = target_worker(&effect).cloned();
+        let (metrics, kind) = (self.node.metrics.clone(), order_kind(&effect));
+        let (pending, began) = (self.count_order(name, CallingNode::Other), Instant::now());
         let tell = move |event: Event, unanswered: bool| {
-            metrics.ordered(kind, end_of(&event), began.elapsed());
-            if let Some(under_way) = under_way {
-                under_way.ended(end_of(&event));
+            metrics.ordered(kind, event_outcome(&event), began.elapsed());
+            if let Some(pending) = pending {
+                pending.note_outcome(event_outcome(&event));
             }
             if let Some(worker) = worker.filter(|_| unanswered) {
-                // The receiver ends with the process only.
-                let _ = to.send(Input::Detour(worker));
+                // The receiver only ends with the process.
+                let _ = inputs.send(Input::DelegateFailed(worker));
             }
             tell(event);
         };
-        let (sent, may_go) = (self.node.now().steady, Box::new(self.permit(name)));
+        let (sent, may_go) = (self.node.now().steady, Box::new(self.send_check(name)));
         let order = Outgoing { effect, sent, may_go, tell: Box::new(tell) };
         self.outbox.entry(address).or_default().push(order);
     }
 
-    /// Sends what this step has for other nodes.
-    pub(super) fn flush(&mut self) {
+    /// Sends the orders of this iteration to the delegates.
+    pub(super) fn flush_outbox(&mut self) {
         for (address, orders) in std::mem::take(&mut self.outbox) {
             self.links.send(address, orders);
         }
     }
 
-    /// The address of the node that is to make a call; none if this one is.
-    fn helper(&self, name: &str, effect: &Effect) -> Option<SocketAddr> {
-        let worker = addressee(effect)?;
-        let helper = self.owned.get(name)?.helpers.of(worker)?;
-        if self.detours.contains_key(worker) {
+    /// The address of the delegate for an order; none if this node makes the call itself.
+    fn delegate_address(&self, name: &str, effect: &Effect) -> Option<SocketAddr> {
+        let worker = target_worker(effect)?;
+        let delegate = self.owned.get(name)?.delegates.of(worker)?;
+        if self.direct_until.contains_key(worker) {
             return None;
         }
-        let address = self.node.view().nodes.get(helper)?.value.peers?;
+        let address = self.node.view().nodes.get(delegate)?.value.peers?;
         self.links.is_open(address).then_some(address)
     }
 
-    /// Takes note that a worker gave no answer to the node that was to call it.
-    pub(super) fn detour(&mut self, worker: Incarnation, now: Steady) {
-        self.detours.insert(worker, now.after(DETOUR_MS));
+    /// Records that a worker did not answer its delegate.
+    pub(super) fn note_delegate_failure(&mut self, worker: Incarnation, now: Steady) {
+        self.direct_until.insert(worker, now.after(DIRECT_CALL_MS));
     }
 
-    /// Decides who makes whose calls.
-    pub(super) fn choose_helpers(&mut self, now: Steady) {
-        if now < self.next_helpers {
+    /// Chooses the delegates and the workers that each of them calls.
+    pub(super) fn choose_delegates(&mut self, now: Steady) {
+        if now < self.next_delegates {
             return;
         }
-        self.next_helpers = now.after(HELPERS_MS);
-        self.detours.retain(|_, until| now < *until);
-        let candidates = self.candidates();
+        self.next_delegates = now.after(DELEGATES_INTERVAL_MS);
+        self.direct_until.retain(|_, until| now < *until);
+        let candidates = self.delegate_candidates();
         let cpu = self.node.settings.cpu;
-        let all = self.owned.values().map(|owned| owned.owner.worker_count()).sum();
+        let worker_count = self.owned.values().map(|owned| owned.owner.worker_count()).sum();
         for (name, owned) in &mut self.owned {
-            if helpers::is_small(all, cpu) {
-                owned.helpers.clear();
+            if helpers::is_small(worker_count, cpu) {
+                owned.delegates.clear();
                 continue;
             }
-            owned.helpers.choose(name, &candidates, &owned.owner.worker_ids());
+            owned.delegates.choose(name, &candidates, &owned.owner.worker_ids());
         }
         let nodes: Vec<String> =
-            self.owned.values().flat_map(|owned| owned.helpers.nodes().cloned()).collect();
+            self.owned.values().flat_map(|owned| owned.delegates.nodes().cloned()).collect();
         let view = self.node.view();
         let addresses: Vec<SocketAddr> =
             nodes.iter().filter_map(|node| view.nodes.get(node)?.value.peers).collect();
@@ -182,20 +182,20 @@
         self.links.keep_only(&addresses);
     }
 
-    /// The nodes that may make calls: those that own nothing, so that they have time.
-    fn candidates(&self) -> Vec<String> {
+    /// The nodes that may be delegates: those that own nothing and so have time.
+    fn delegate_candidates(&self) -> Vec<String> {
         let view = self.node.view();
-        let me = self.node.settings.node.as_str();
+        let own_name = self.node.settings.node.as_str();
         let owns = |name: &str| view.owners.values().any(|owner| owner.value.node == name);
         let others = view
             .nodes
             .iter()
-            .filter(|(name, at)| *name != me && at.value.peers.is_some() && !owns(name));
+            .filter(|(name, at)| *name != own_name && at.value.peers.is_some() && !owns(name));
         others.map(|(name, _)| name.clone()).collect()
     }
 }
 
-fn addressee(effect: &Effect) -> Option<&Incarnation> {
+fn target_worker(effect: &Effect) -> Option<&Incarnation> {
     match effect {
         Effect::Start { to, .. }
         | Effect::Stop { to, .. }
@@ -205,7 +205,7 @@
     }
 }
 
-fn kind(effect: &Effect) -> &'static str {
+fn order_kind(effect: &Effect) -> &'static str {
     match effect {
         Effect::Start { .. } => "start",
         Effect::Stop { .. } => "stop",
@@ -217,23 +217,23 @@
 
 fn outcome(answer: &Answer) -> &'static str {
     match answer {
-        Answer::End(end) => word(end),
-        Answer::Look(end) => word(end),
+        Answer::End(end) => outcome_label(end),
+        Answer::Look(end) => outcome_label(end),
     }
 }
 
-/// The outcome of an order, by what its owner is told.
-fn end_of(event: &Event) -> &'static str {
+/// The outcome of an order, from the event for its owner.
+fn event_outcome(event: &Event) -> &'static str {
     match event {
         Event::Started { end, .. } | Event::Stopped { end, .. } | Event::Paced { end, .. } => {
-            word(end)
+            outcome_label(end)
         }
-        Event::Looked { end, .. } => word(end),
+        Event::Looked { end, .. } => outcome_label(end),
         _ => "done",
     }
 }
 
-fn word<T>(end: &OrderEnd<T>) -> &'static str {
+fn outcome_label<T>(end: &OrderEnd<T>) -> &'static str {
     match end {
         OrderEnd::Done(_) => "done",
         OrderEnd::Refused { .. } => "refused",
--- a/src/scheduler/drive/reach.rs
+++ b/src/scheduler/drive/reach.rs
@@ -1,8 +1,8 @@
-//! Which work this node reaches for, and what it gives away.
+//! Acquires and releases ownership of pools and of the fleet's work.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Drive, Input, Owned, Vacancy, Won, behind::REACH_LATE_MS, json};
+use super::{Drive, Input, OwnedPool, Vacancy, Won, behind::STALE_ACQUIRE_DELAY_MS, json};
 use crate::{
     jobs::balance::{self, Capacity},
     model::unit::{Millicores, Now, Revision},
@@ -17,26 +17,26 @@
     },
 };
 
-/// How long a node waits, for each node that should own a piece of work before it, before it
-/// reaches for it, in milliseconds: two nodes' views differ by up to that much.
-const REACH_STEP_MS: u64 = 60;
+/// How long a node waits for each node that ranks before it, before it tries to acquire work, in
+/// milliseconds: the views of two nodes differ by up to this much.
+const ACQUIRE_STEP_MS: u64 = 60;
 
-/// The most nodes that are waited for: some may be away, and work must not wait for long.
-const REACH_MOST_STEPS: usize = 8;
+/// Maximum number of nodes to wait for: some may be down, and work must not wait for long.
+const MAX_ACQUIRE_STEPS: usize = 8;
 
-/// How long after a failed try the next is made, in milliseconds.
-const REACH_AGAIN_MS: u64 = 300;
+/// Delay before the next attempt after a failed one, in milliseconds.
+const ACQUIRE_RETRY_MS: u64 = 300;
 
-/// How long a node keeps its work before it may give some of it away, in milliseconds: the view
-/// of the nodes is to be whole, and each change of owners costs a pause.
-const GIVE_AFTER_MS: u64 = 2_500;
+/// How long a node keeps its work before it may release some for balance, in milliseconds: its view
+/// of the nodes must be complete first, and each change of owners costs a pause.
+const REBALANCE_MS: u64 = 2_500;
 
 impl Drive {
-    /// Takes note of what became of a try to own a piece of work.
-    pub(super) fn reached(&mut self, name: String, won: Option<Won>, now: Now) {
+    /// Records the result of an attempt to acquire ownership.
+    pub(super) fn note_acquire_result(&mut self, name: String, won: Option<Won>, now: Now) {
         if let Some(vacancy) = self.vacant.get_mut(&name) {
-            vacancy.reaching = false;
-            vacancy.not_before = now.steady.after(REACH_AGAIN_MS);
+            vacancy.acquiring = false;
+            vacancy.not_before = now.steady.after(ACQUIRE_RETRY_MS);
         }
         let Some(won) = won else {
             return;
@@ -46,48 +46,49 @@
             log::warn!("owner {name}: not taken up: token {token}, {tenure}");
             return;
         }
-        self.next_give = now.steady.after(GIVE_AFTER_MS);
+        self.next_rebalance = now.steady.after(REBALANCE_MS);
         self.won.insert(name, won);
     }
 
-    /// Tries to own what nobody does.
-    pub(super) fn reach(&mut self, now: Now) {
+    /// Tries to acquire work that has no owner.
+    pub(super) fn acquire(&mut self, now: Now) {
         let Some(lease) = self.lease.held(now.steady) else {
             return;
         };
-        if self.leaving {
+        if self.shutting_down {
             return;
         }
-        let names = self.vacancies();
-        self.vacant.retain(|name, vacancy| vacancy.reaching || names.contains(name));
+        let names = self.unowned();
+        self.vacant.retain(|name, vacancy| vacancy.acquiring || names.contains(name));
         if names.is_empty() {
             return;
         }
-        let nodes = self.nodes();
-        let late = if self.is_behind(now) { REACH_LATE_MS } else { 0 };
+        let nodes = self.node_capacities();
+        let stale_delay = if self.has_stale_view(now) { STALE_ACQUIRE_DELAY_MS } else { 0 };
         for name in names {
             let vacancy = self.vacant.entry(name.clone()).or_insert(Vacancy {
                 since: now.steady,
-                reaching: false,
+                acquiring: false,
                 not_before: now.steady,
             });
-            let cost = costs(&self.node.view(), &name);
+            let cost = ownership_cost(&self.node.view(), &name);
             let rank = balance::rank(&nodes, self.node.settings.node.as_str(), cost);
-            let steps = rank.min(REACH_MOST_STEPS) as u64 * REACH_STEP_MS;
-            let turn = vacancy.since.after(steps + late);
-            if vacancy.reaching || now.steady < turn || now.steady < vacancy.not_before {
+            let steps = rank.min(MAX_ACQUIRE_STEPS) as u64 * ACQUIRE_STEP_MS;
+            let allowed_from = vacancy.since.after(steps + stale_delay);
+            if vacancy.acquiring || now.steady < allowed_from || now.steady < vacancy.not_before {
                 continue;
             }
-            vacancy.reaching = true;
-            self.reach_for(name, lease, now);
-            // One at a time: the next waits until this one counts.
+            vacancy.acquiring = true;
+            self.try_acquire(name, lease, now);
+            // One at a time: the next attempt waits until this one is included in the used
+            // capacity.
             return;
         }
     }
 
-    /// The nodes that hear of everything and may own work, with what they own by the view; of this one, with all that it
-    /// has won or reaches for.
-    fn nodes(&self) -> BTreeMap<String, Capacity> {
+    /// Capacity and use of the nodes that mirror all records and may own work, according to the
+    /// view. The use of this node also includes what it has won or is trying to acquire.
+    fn node_capacities(&self) -> BTreeMap<String, Capacity> {
         let view = self.node.view();
         let (none, replicas) = (Millicores(0), view.replicas(self.node.settings.replicas));
         let mut nodes: BTreeMap<String, Capacity> = view
@@ -98,61 +99,67 @@
             .collect();
         for (name, owner) in &view.owners {
             if let Some(node) = nodes.get_mut(&owner.value.node) {
-                node.used.0 += costs(&view, name).0;
+                node.used.0 += ownership_cost(&view, name).0;
             }
         }
         let fleet = self.fleet.iter().map(|_| keys::FLEET);
-        let reaching = self.vacant.iter().filter(|(_, vacancy)| vacancy.reaching);
+        let acquiring = self.vacant.iter().filter(|(_, vacancy)| vacancy.acquiring);
         let own: BTreeSet<&str> = (self.owned.keys().chain(self.won.keys()))
-            .chain(reaching.map(|(name, _)| name))
+            .chain(acquiring.map(|(name, _)| name))
             .map(String::as_str)
             .chain(fleet)
             .collect();
-        let used = own.iter().map(|name| costs(&view, name).0).sum();
-        let mine = Capacity { cpu: self.node.settings.cpu, used: Millicores(used) };
-        nodes.insert(self.node.settings.node.to_string(), mine);
+        let used = own.iter().map(|name| ownership_cost(&view, name).0).sum();
+        let own_capacity = Capacity { cpu: self.node.settings.cpu, used: Millicores(used) };
+        nodes.insert(self.node.settings.node.to_string(), own_capacity);
         nodes
     }
 
-    /// Gives a pool away if this node is busy and another would be clearly less so.
-    pub(super) fn give(&mut self, now: Now) {
-        if now.steady < self.next_give || self.leaving || self.lease.held(now.steady).is_none() {
+    /// Releases a pool if this node is busy and another one would be clearly less busy with it.
+    pub(super) fn rebalance(&mut self, now: Now) {
+        if now.steady < self.next_rebalance
+            || self.shutting_down
+            || self.lease.held(now.steady).is_none()
+        {
             return;
         }
-        self.next_give = now.steady.after(GIVE_AFTER_MS);
-        let nodes = self.nodes();
+        self.next_rebalance = now.steady.after(REBALANCE_MS);
+        let nodes = self.node_capacities();
         let view = self.node.view();
-        let owned = self.owned.keys().map(|name| (name.as_str(), costs(&view, name))).collect();
-        let me = self.node.settings.node.as_str();
-        let name = balance::to_give(&nodes, me, &owned).map(str::to_owned);
+        let owned =
+            self.owned.keys().map(|name| (name.as_str(), ownership_cost(&view, name))).collect();
+        let own_name = self.node.settings.node.as_str();
+        let name = balance::to_give(&nodes, own_name, &owned).map(str::to_owned);
         drop(view);
         let Some(name) = name else {
             return;
         };
-        log::info!("owner {name}: to be given to a node with more processor time");
-        self.hand_over(name, now);
+        log::info!("owner {name}: to be released to a node with more free processor time");
+        self.release_ownership(name, now);
     }
 
-    /// Gives up a piece of work, so that another node takes it up.
-    pub(super) fn hand_over(&mut self, name: String, now: Now) {
-        // Others come first, also if this one is told of it first.
-        let not_before = now.steady.after(REACH_AGAIN_MS);
-        let vacancy = Vacancy { since: now.steady, reaching: false, not_before };
+    /// Releases the ownership of a unit of work, so that another node acquires it.
+    pub(super) fn release_ownership(&mut self, name: String, now: Now) {
+        // Other nodes go first, even if this one sees the release before them.
+        let not_before = now.steady.after(ACQUIRE_RETRY_MS);
+        let vacancy = Vacancy { since: now.steady, acquiring: false, not_before };
         if let Some(owned) = self.owned.remove(&name) {
             self.vacant.insert(name.clone(), vacancy);
-            self.give_back_pool(name, &owned, now);
+            self.release_pool(name, &owned, now);
         } else if let Some(owned) = self.fleet.take_if(|_| name == keys::FLEET) {
             let token = owned.fleet.token;
-            // Calls that are being kept are not made: the next owner may have the work before.
+            // Host calls whose records are being written are not made: the next owner may have
+            // acquired the work before.
             owned.tenure.deny();
             log::info!("owner {name}: given back: token {token}");
             self.vacant.insert(name.clone(), vacancy);
-            self.give_back(name, token, Txn::default());
+            self.remove_owner_record(name, token, Txn::default());
         }
     }
 
-    /// The pieces of work that nobody owns, or this node without acting on it.
-    fn vacancies(&self) -> BTreeSet<String> {
+    /// Units of work that have no owner, or whose owner record names this node although it does not
+    /// act as the owner.
+    fn unowned(&self) -> BTreeSet<String> {
         let view = self.node.view();
         let Some(config) = view.is_whole().then_some(view.config.as_ref()).flatten() else {
             return BTreeSet::new();
@@ -164,8 +171,8 @@
             .filter(|name| name != keys::FLEET || self.fleet.is_none())
             .filter(|name| match view.owners.get(name) {
                 None => true,
-                // An earlier life of this node won it, or this one did and was not told.
-                // One that cannot be read is nobody's, and is succeeded at its revision.
+                // An earlier process of this node won it, or this one did and the answer was lost.
+                // An unreadable record has no owner; the next owner replaces it at its revision.
                 Some(owner) => {
                     let node = owner.value.node.as_str();
                     node.is_empty() || node == self.node.settings.node.as_str()
@@ -174,88 +181,90 @@
             .collect()
     }
 
-    fn reach_for(&self, name: String, lease: LeaseId, now: Now) {
+    fn try_acquire(&self, name: String, lease: LeaseId, now: Now) {
         let view = self.node.view();
         let term = view.terms.get(&name).cloned();
         let held = view.owners.get(&name).map(|owner| owner.revision).unwrap_or_default();
         drop(view);
         let count = term.as_ref().map(|term| term.value.count).unwrap_or_default();
-        let record = OwnerRecord { node: self.node.settings.node.to_string(), life: self.life };
+        let record =
+            OwnerRecord { node: self.node.settings.node.to_string(), life: self.instance_id };
         let (owner_key, term_key) = (keys::owner(&name), keys::term(&name));
         let txn = Txn::default()
             .expect(owner_key.clone(), held)
             .expect(term_key.clone(), term.map(|term| term.revision).unwrap_or_default())
             .put_leased(&owner_key, json(&record), lease)
             .put(term_key, json(&TermRecord { count: count + 1 }));
-        let (node, to) = (self.node.clone(), self.to.clone());
+        let (node, inputs) = (self.node.clone(), self.to.clone());
         let tenure = Tenure::new(&self.lease, lease, now.steady);
         tokio::spawn(async move {
             let won = match node.kv.commit(&txn).await {
                 Ok(Committed::Done(revision)) => {
-                    Some(Won { token: revision.0, earlier: count, tenure })
+                    Some(Won { token: revision.0, earlier_owners: count, tenure })
                 }
                 Ok(Committed::Conflict(_) | Committed::LeaseOver) => None,
                 Err(error) => {
-                    log::warn!("owner {name}: not reached: {error}");
+                    log::warn!("owner {name}: ownership not acquired: {error}");
                     None
                 }
             };
-            let _ = to.send(Input::Reached { name, won });
+            let _ = inputs.send(Input::Reached { name, won });
         });
     }
 
-    /// Gives back all that the node owns, so that others need not wait for its lease to end.
-    pub(super) fn leave(&mut self) {
+    /// Releases everything that the node owns, so that other nodes need not wait for its lease to
+    /// expire.
+    pub(super) fn release_all(&mut self) {
         let now = self.node.now();
-        self.leaving = true;
+        self.shutting_down = true;
         self.won.clear();
         for (name, owned) in std::mem::take(&mut self.owned) {
-            self.give_back_pool(name, &owned, now);
+            self.release_pool(name, &owned, now);
         }
         let node = self.node.clone();
         let key = keys::node(node.settings.node.as_str());
         tokio::spawn(async move {
             // Work goes to nodes that stay.
             if let Err(error) = node.kv.commit(&Txn::default().remove(key)).await {
-                log::warn!("node {}: still listed: {error}", node.settings.node);
+                log::warn!("node {}: its record was not removed: {error}", node.settings.node);
             }
         });
     }
 
-    /// Gives a pool back, with word of what may run: all that waits need not wait for workers that
-    /// the next owner does not reach.
-    fn give_back_pool(&self, name: String, owned: &Owned, now: Now) {
-        // Nothing that was decided on is sent any more; what was left counts it all the same.
+    /// Releases a pool with a handover record of the tasks that may run, so that waiting tasks do
+    /// not wait for workers that the next owner cannot reach.
+    fn release_pool(&self, name: String, owned: &OwnedPool, now: Now) {
+        // Pending orders are not sent any more, but the handover record still includes them.
         owned.tenure.deny();
         let token = owned.owner.token;
-        let left = owned.owner.parting(now);
-        let may_run = match left.as_ref().and_then(|away| away.handover.as_ref()) {
+        let silent = owned.owner.parting(now);
+        let may_run = match silent.as_ref().and_then(|silent| silent.handover.as_ref()) {
             Some(handover) => format!("{} tasks may run", handover.len()),
-            None => "not known what may run".to_owned(),
+            None => "unknown which tasks may run".to_owned(),
         };
         log::info!("owner {name}: given back: token {token}, {may_run}");
-        let txn = match left {
-            Some(away) => Txn::default().put(keys::away(&name), json(&away)),
+        let txn = match silent {
+            Some(silent) => Txn::default().put(keys::away(&name), json(&silent)),
             None => Txn::default(),
         };
-        self.give_back(name, token, txn);
+        self.remove_owner_record(name, token, txn);
     }
 
-    /// Gives up an ownership in the store, with what is to be written beside.
-    fn give_back(&self, name: String, token: u64, beside: Txn) {
+    /// Removes the owner record from the store in the given transaction.
+    fn remove_owner_record(&self, name: String, token: u64, extra: Txn) {
         let key = keys::owner(&name);
-        let txn = beside.expect(key.clone(), Revision(token)).remove(key);
+        let txn = extra.expect(key.clone(), Revision(token)).remove(key);
         let node = self.node.clone();
         tokio::spawn(async move {
             if let Err(error) = node.kv.commit(&txn).await {
-                log::warn!("owner {name}: not given back: {error}");
+                log::warn!("owner {name}: ownership not released: {error}");
             }
         });
     }
 }
 
-/// What owning a piece of work costs.
-fn costs(view: &View, name: &str) -> Millicores {
+/// Processor time that owning a unit of work costs.
+fn ownership_cost(view: &View, name: &str) -> Millicores {
     match name.strip_prefix("pool-") {
         Some(pool) => {
             let workers = view.workers.values().filter(|at| at.value.pool.as_str() == pool);
--- a/src/scheduler/drive/tally.rs
+++ b/src/scheduler/drive/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of one owner's orders: how many are on their way, and what became of the others.
+//! Counts of one owner's orders: how many are pending, and the outcomes of the others.
 
 use std::sync::{
     Arc,
@@ -7,65 +7,65 @@
 
 use crate::scheduler::metrics::Metrics;
 
-/// Who makes the call of an order.
+/// The node that makes the call of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Caller {
+pub(super) enum CallingNode {
     /// The owner's node.
     Own,
-    /// Another node.
+    /// A delegate.
     Other,
 }
 
-impl Caller {
-    fn word(self) -> &'static str {
+impl CallingNode {
+    fn label(self) -> &'static str {
         match self {
-            Caller::Own => "own",
-            Caller::Other => "other",
+            CallingNode::Own => "own",
+            CallingNode::Other => "other",
         }
     }
 }
 
-/// The orders of one owner.
+/// Counts of the orders of one owner.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
-    /// On their way as calls of the owner's node.
+pub(super) struct OrderCounts {
+    /// Pending direct calls of the owner's node.
     own: AtomicU64,
-    /// On their way to or from other nodes, which make the calls.
+    /// Pending at delegates, or on the way to or from them.
     other: AtomicU64,
-    /// Given again since that was last told, because the one before had no answer.
-    again: AtomicU64,
+    /// Sent again since the last summary because the previous attempt had no answer.
+    resent: AtomicU64,
     refused: AtomicU64,
     unanswered: AtomicU64,
 }
 
-/// What the log is told of an owner's orders.
+/// Summary of an owner's orders for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(super) struct Told {
-    /// On their way now.
-    pub(super) under_way: u64,
-    /// Of these, calls of the owner's node.
+pub(super) struct OrderSummary {
+    /// Number of pending orders.
+    pub(super) pending: u64,
+    /// Of these, direct calls of the owner's node.
     pub(super) own: u64,
-    /// Since this was last told:
-    pub(super) again: u64,
+    /// Since the last summary:
+    pub(super) resent: u64,
     pub(super) refused: u64,
     pub(super) unanswered: u64,
 }
 
-impl Tally {
-    fn of(&self, caller: Caller) -> &AtomicU64 {
-        match caller {
-            Caller::Own => &self.own,
-            Caller::Other => &self.other,
+impl OrderCounts {
+    fn of(&self, calling: CallingNode) -> &AtomicU64 {
+        match calling {
+            CallingNode::Own => &self.own,
+            CallingNode::Other => &self.other,
         }
     }
 
-    /// Takes note of orders that are given again.
-    pub(super) fn again(&self, orders: u64) {
-        self.again.fetch_add(orders, Relaxed);
+    /// Records orders that are sent again.
+    pub(super) fn note_resent(&self, orders: u64) {
+        self.resent.fetch_add(orders, Relaxed);
     }
 
-    /// Takes note of how an order ended.
-    pub(super) fn ended(&self, outcome: &str) {
+    /// Records the outcome of an order.
+    pub(super) fn note_outcome(&self, outcome: &str) {
         match outcome {
             "refused" => _ = self.refused.fetch_add(1, Relaxed),
             "unanswered" => _ = self.unanswered.fetch_add(1, Relaxed),
@@ -73,42 +73,46 @@
         }
     }
 
-    /// What is to be told now; counts begin anew.
-    pub(super) fn tell(&self) -> Told {
+    /// Returns the summary and resets the counts since the last one.
+    pub(super) fn take_summary(&self) -> OrderSummary {
         let (own, other) = (self.own.load(Relaxed), self.other.load(Relaxed));
-        Told {
-            under_way: own + other,
+        OrderSummary {
+            pending: own + other,
             own,
-            again: self.again.swap(0, Relaxed),
+            resent: self.resent.swap(0, Relaxed),
             refused: self.refused.swap(0, Relaxed),
             unanswered: self.unanswered.swap(0, Relaxed),
         }
     }
 }
 
-/// An order that is on its way until this is dropped.
-pub(super) struct UnderWay {
-    tally: Arc<Tally>,
+/// An order that counts as pending until this is dropped.
+pub(super) struct PendingOrder {
+    order_counts: Arc<OrderCounts>,
     metrics: Arc<Metrics>,
-    caller: Caller,
+    calling: CallingNode,
 }
 
-impl UnderWay {
-    pub(super) fn new(tally: &Arc<Tally>, metrics: &Arc<Metrics>, caller: Caller) -> UnderWay {
-        tally.of(caller).fetch_add(1, Relaxed);
-        metrics.orders_under_way(caller.word(), 1);
-        UnderWay { tally: tally.clone(), metrics: metrics.clone(), caller }
+impl PendingOrder {
+    pub(super) fn new(
+        order_counts: &Arc<OrderCounts>,
+        metrics: &Arc<Metrics>,
+        calling: CallingNode,
+    ) -> PendingOrder {
+        order_counts.of(calling).fetch_add(1, Relaxed);
+        metrics.orders_under_way(calling.label(), 1);
+        PendingOrder { order_counts: order_counts.clone(), metrics: metrics.clone(), calling }
     }
 
-    /// Takes note of how the order ended.
-    pub(super) fn ended(&self, outcome: &str) {
-        self.tally.ended(outcome);
+    /// Records the outcome of the order.
+    pub(super) fn note_outcome(&self, outcome: &str) {
+        self.order_counts.note_outcome(outcome);
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for PendingOrder {
     fn drop(&mut self) {
-        self.tally.of(self.caller).fetch_sub(1, Relaxed);
-        self.metrics.orders_under_way(self.caller.word(), -1);
+        self.order_counts.of(self.calling).fetch_sub(1, Relaxed);
+        self.metrics.orders_under_way(self.calling.label(), -1);
     }
 }
--- a/src/scheduler/drive/tell.rs
+++ b/src/scheduler/drive/tell.rs
@@ -1,9 +1,9 @@
-//! What an owner tells other nodes by way of the store: which hosts are empty, how the others are
-//! used, and how many jobs wait.
+//! What an owner publishes through the store for other nodes: which hosts are drained, how the
+//! others are used, and how many jobs wait.
 
 use std::collections::BTreeMap;
 
-use super::{Drive, Input, OverwriteEnd, json, keep::commit, word::Counts};
+use super::{Drive, Input, OverwriteResult, json, keep::commit, word::Counts};
 use crate::{
     jobs::{event::Event, owner::Emptied},
     model::unit::{Now, Revision, Steady},
@@ -11,57 +11,57 @@
     scheduler::{keys, lease::Tenure, view::EmptyRecord},
 };
 
-/// The least time between two words on how hosts are used, in milliseconds: a hint only.
+/// Minimum time between two writes of the host usage, in milliseconds; it is only a hint.
 const USAGE_PAUSE_MS: u64 = 300;
 
-/// The least time between two writes for the sake of a confirmation, in milliseconds: one tick of
-/// the owner's loop.
+/// Minimum time between two writes that only request a confirmation, in milliseconds: one interval
+/// of the control loop.
 const CONFIRM_PAUSE_MS: u64 = 100;
 
-/// How long a job is waited for that workers list ends of and that the view does not show, in
-/// milliseconds: what was accepted is shown on every node within that time.
-const ABSENT_MS: u64 = 3_000;
+/// How long a job may be absent from the view while workers list ends of its tasks, in
+/// milliseconds: an accepted job is visible on every node within that time.
+const ABSENT_JOB_MS: u64 = 3_000;
 
-/// How long after an empty host was told of it is told again if the view does not show it, in
+/// After this time the record of a drained host is written again if the view does not have it, in
 /// milliseconds.
-const EMPTY_AGAIN_MS: u64 = 700;
+const EMPTY_REPEAT_MS: u64 = 700;
 
 impl Drive {
-    /// Tells the fleet's owner which hosts are empty.
-    pub(super) fn tell_empty(&mut self, name: &str, now: Now) {
+    /// Publishes the drained hosts for the fleet's owner.
+    pub(super) fn publish_empty_hosts(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
         let token = owned.owner.token;
-        for emptied in owned.owner.emptied() {
-            let host = emptied.host.clone();
-            let told = owned.told_empty.get(&host);
-            let lately = |(was, at): &(Emptied, Steady)| {
-                *was == emptied && now.steady.since(*at) < EMPTY_AGAIN_MS
+        for drained in owned.owner.emptied() {
+            let host = drained.host.clone();
+            let published = owned.published_empty.get(&host);
+            let is_recent = |(previous, at): &(Emptied, Steady)| {
+                *previous == drained && now.steady.since(*at) < EMPTY_REPEAT_MS
             };
-            let shown = self.node.view().empties.get(&host).is_some_and(|at| {
-                at.value.mark == emptied.mark && at.value.worker == emptied.worker
+            let is_visible = self.node.view().empties.get(&host).is_some_and(|at| {
+                at.value.mark == drained.mark && at.value.worker == drained.worker
             });
-            if shown || told.is_some_and(lately) {
+            if is_visible || published.is_some_and(is_recent) {
                 continue;
             }
-            let record = EmptyRecord { worker: emptied.worker.clone(), mark: emptied.mark };
+            let record = EmptyRecord { worker: drained.worker.clone(), mark: drained.mark };
             let txn = Txn::default()
                 .expect(keys::owner(name), Revision(token))
-                .expect(keys::leave(&host), emptied.mark)
+                .expect(keys::leave(&host), drained.mark)
                 .put(keys::empty(&host), json(&record));
-            owned.told_empty.insert(host.clone(), (emptied, now.steady));
+            owned.published_empty.insert(host.clone(), (drained, now.steady));
             let (node, tenure) = (self.node.clone(), owned.tenure.clone());
             tokio::spawn(async move {
                 if let Err(error) = commit(&node, &tenure, &txn).await {
-                    log::warn!("host {host}: not told to be empty: {error}");
+                    log::warn!("host {host}: record that it is drained not written: {error}");
                 }
             });
         }
     }
 
-    /// Tells the fleet's owner now and then how the hosts are used.
-    pub(super) fn tell_usage(&mut self, name: &str, now: Now) {
+    /// Publishes the host usage for the fleet's owner, at intervals.
+    pub(super) fn publish_usage(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
@@ -70,113 +70,114 @@
         }
         owned.next_usage = now.steady.after(USAGE_PAUSE_MS);
         let usage = owned.owner.usage();
-        if owned.told_usage.as_ref() == Some(&usage) {
+        if owned.published_usage.as_ref() == Some(&usage) {
             return;
         }
         let (token, value) = (owned.owner.token, json(&usage));
-        owned.told_usage = Some(usage);
+        owned.published_usage = Some(usage);
         let tenure = owned.tenure.clone();
         self.write_hint(name, token, tenure, keys::usage(name), value);
     }
 
-    /// Tells the nodes that do not hear of jobs how many have not begun.
-    pub(super) fn tell_queued(&mut self, name: &str, now: Now) {
+    /// Publishes how many jobs have not begun, for the nodes that do not mirror the jobs.
+    pub(super) fn publish_report(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        if !owned.word.may_be_due(now.steady) {
+        if !owned.waiting_report.may_be_due(now.steady) {
             return;
         }
         let queued = owned.owner.queued();
-        if owned.word.is_due(&queued, now.steady) {
-            self.send_word(name, queued, now);
+        if owned.waiting_report.is_due(&queued, now.steady) {
+            self.send_report(name, queued, now);
         }
     }
 
-    /// Sends a word, on the condition that the one before is the last that was taken: one that is held
-    /// up on its way does not undo a later one.
-    fn send_word(&mut self, name: &str, counts: Counts, now: Now) {
+    /// Writes a report on the condition that the previous accepted one is still the last, so that a
+    /// delayed report cannot replace a later one.
+    fn send_report(&mut self, name: &str, counts: Counts, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        owned.word.sent(now.steady);
+        owned.waiting_report.note_sent(now.steady);
         let (token, key) = (owned.owner.token, keys::queued(name));
         let txn = Txn::default()
             .expect(keys::owner(name), Revision(token))
-            .expect(key.clone(), owned.word.at)
-            .put(key.clone(), json(&owned.word.record(counts.clone())));
+            .expect(key.clone(), owned.waiting_report.revision)
+            .put(key.clone(), json(&owned.waiting_report.to_record(counts.clone())));
         let (node, tenure, sent) = (self.node.clone(), owned.tenure.clone(), now.steady);
-        let (to, name) = (self.to.clone(), name.to_owned());
+        let (inputs, name) = (self.to.clone(), name.to_owned());
         tokio::spawn(async move {
-            let end = OverwriteEnd::of(commit(&node, &tenure, &txn).await, &key);
-            let _ = to.send(Input::Worded { name, token, counts, sent, end });
+            let result = OverwriteResult::of(commit(&node, &tenure, &txn).await, &key);
+            let _ = inputs.send(Input::ReportWritten { name, token, counts, sent, result });
         });
     }
 
-    pub(super) fn worded(
+    pub(super) fn note_report_written(
         &mut self,
         name: &str,
         token: u64,
         (counts, sent): (Counts, Steady),
-        end: &OverwriteEnd,
+        result: &OverwriteResult,
         now: Now,
     ) {
         let Some(owned) = self.owned_under(name, token) else {
             return;
         };
-        if owned.word.ended(counts, sent, end, now.steady) {
-            log::warn!("owner {name}: how many jobs wait was not taken: {end:?}");
+        if owned.waiting_report.note_result(counts, sent, result, now.steady) {
+            log::warn!("owner {name}: waiting report not written: {result:?}");
         }
     }
 
-    /// Tells an owner which of the jobs that it does not know, and of which workers list ends, are over.
-    /// One whose records cannot be read is not: it may yet be told. Nor is one that is absent from a
-    /// view that does not reach to when the end was listed: it was accepted before that.
-    pub(super) fn tell_of_unknown(&mut self, name: &str, now: Now) {
+    /// Notifies the owner of unknown jobs that are over, among those whose ends workers list. A job
+    /// with unreadable records is not over: it may become readable. Nor is a job that is absent
+    /// from a view older than the listing of the end: it was accepted before that.
+    pub(super) fn resolve_unknown_jobs(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get(name) else {
             return;
         };
         for (id, since) in owned.owner.unknown_jobs() {
             let view = self.node.view();
-            let reaches = view.ages.as_of(keys::ROOT).is_some_and(|as_of| since <= as_of);
+            let view_reaches = view.ages.as_of(keys::ROOT).is_some_and(|as_of| since <= as_of);
             let is_over = match view.jobs.get(&id) {
-                Some(known) => known.state().is_final(),
-                None => reaches && ABSENT_MS <= now.steady.since(since),
+                Some(job) => job.state().is_final(),
+                None => view_reaches && ABSENT_JOB_MS <= now.steady.since(since),
             };
             drop(view);
             if is_over {
-                self.tell(name, Event::Over(id), now);
+                self.deliver(name, Event::Over(id), now);
             }
         }
     }
 
-    /// Has the store confirm that a pool has no later owner, where something waits for that: any
-    /// write under that condition does, and most often one has just been made.
-    pub(super) fn ask_confirmation(&mut self, name: &str, now: Now) {
+    /// Requests the store's confirmation that a pool has no later owner, if something waits for it.
+    /// Any write on that condition confirms it, and usually one has just been made.
+    pub(super) fn request_confirmation(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        let stood_still = owned.tenure.is_older_than(self.node.clock.woke());
-        let waits = owned.owner.awaits_confirmation(now.steady)
+        let was_suspended = owned.tenure.is_older_than(self.node.clock.woke());
+        let is_needed = owned.owner.awaits_confirmation(now.steady)
             || owned.tenure.is_doubtful()
-            || stood_still;
-        if !waits || now.steady < owned.next_confirmation {
+            || was_suspended;
+        if !is_needed || now.steady < owned.next_confirmation {
             return;
         }
         owned.next_confirmation = now.steady.after(CONFIRM_PAUSE_MS);
-        if owned.word.is_known(now.steady) {
+        if owned.waiting_report.knows_jobs(now.steady) {
             let queued = owned.owner.queued();
-            return self.send_word(name, queued, now);
+            return self.send_report(name, queued, now);
         }
-        // Written by one that knows too little of its jobs, a word would look new.
+        // A report by an owner whose jobs are stale would look fresh, so the usage is written
+        // instead.
         let (token, value) = (owned.owner.token, json(&owned.owner.usage()));
         let tenure = owned.tenure.clone();
         self.write_hint(name, token, tenure, keys::usage(name), value);
     }
 
-    /// The same for the fleet's work. It has no queues: what is written is empty, and adds nothing to
-    /// what callers are told.
-    pub(super) fn ask_fleet_confirmation(&mut self, now: Now) {
+    /// The same for the fleet's work. It has no queues: the written record is empty and adds
+    /// nothing to the counts for callers.
+    pub(super) fn request_fleet_confirmation(&mut self, now: Now) {
         let Some(owned) = self.fleet.as_ref().filter(|owned| owned.tenure.is_doubtful()) else {
             return;
         };
@@ -185,11 +186,12 @@
         }
         self.next_fleet_confirmation = now.steady.after(CONFIRM_PAUSE_MS);
         let (token, tenure) = (owned.fleet.token, owned.tenure.clone());
-        let none = BTreeMap::<String, usize>::new();
-        self.write_hint(keys::FLEET, token, tenure, keys::queued(keys::FLEET), json(&none));
+        let no_counts = BTreeMap::<String, usize>::new();
+        self.write_hint(keys::FLEET, token, tenure, keys::queued(keys::FLEET), json(&no_counts));
     }
 
-    /// Writes what others may know late or not at all, as long as there is no later owner.
+    /// Writes a hint, which other nodes may receive late or never, on the condition that there is
+    /// no later owner.
     fn write_hint(&self, name: &str, token: u64, tenure: Tenure, key: String, value: Vec<u8>) {
         let txn = Txn::default().expect(keys::owner(name), Revision(token)).put(key.clone(), value);
         let node = self.node.clone();
--- a/src/scheduler/drive/tests/behind.rs
+++ b/src/scheduler/drive/tests/behind.rs
@@ -1,4 +1,4 @@
-//! Tests of what a node does while its view is behind, with all times given.
+//! Tests of a node with a stale view, with explicit times.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     },
     platform::records::{OPERATOR_PREFIX, WORKER_PREFIX},
     scheduler::{
-        drive::{Input, OverwriteEnd, json as bytes},
+        drive::{Input, OverwriteResult, json as bytes},
         keys,
         view::age::{RECORDS_MS, WORD_MS},
     },
@@ -22,8 +22,8 @@
 
 const POOL: &str = "pool-work";
 
-/// A node whose lease is renewed all the while, and the time.
-struct Play {
+/// A node whose lease is always renewed, and the current time.
+struct Harness {
     world: World,
     now: Now,
 }
@@ -32,29 +32,29 @@
     Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-impl Play {
+impl Harness {
     /// A node that owns nothing.
-    fn start() -> Play {
+    fn start() -> Harness {
         let mut world = World::new();
-        world.apply(Op::Renew);
+        world.apply(Op::RenewLease);
         let now = world.node.now();
-        let mut play = Play { world, now };
-        play.list("one");
-        play
+        let mut harness = Harness { world, now };
+        harness.list_node("one");
+        harness
     }
 
     /// Lists a node that may own work.
-    fn list(&mut self, node: &str) {
-        self.world.write(keys::node(node), bytes(&json!({ "cpu": 500 })));
+    fn list_node(&mut self, node: &str) {
+        self.world.apply_write(keys::node(node), bytes(&json!({ "cpu": 500 })));
     }
 
     fn configure(&self, config: QueueConfig) {
         self.world.node.view().config = Some(Arc::new(config));
     }
 
-    /// The node wins the fleet's work, or a pool.
-    fn win(&mut self, fleet: bool) {
-        for op in [Op::Reach { fleet }, Op::Reached, Op::Show, Op::Step] {
+    /// The node acquires the fleet's work, or a pool.
+    fn acquire(&mut self, fleet: bool) {
+        for op in [Op::Acquire { fleet }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick] {
             self.world.apply(op);
         }
         assert!(self.owns(fleet));
@@ -66,11 +66,11 @@
     }
 
     /// The watches are answered: nothing has changed until now.
-    fn hear(&self) {
-        self.world.hear(self.now.steady);
+    fn answer_watches(&self) {
+        self.world.answer_watches(self.now.steady);
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let now = self.now.steady.after(millis);
         self.now.steady = now;
         let lease = self.world.lease.last().unwrap();
@@ -78,26 +78,26 @@
     }
 }
 
-/// What users saw: hosts were moved by what had been asked for nine seconds before, while queues that
-/// waited got none. Evidence: the owner's plans beside the pools' own summaries of the same moments.
+/// Hosts were moved according to a demand that was nine seconds old, while queues with waiting jobs
+/// got none.
 #[test]
-fn no_plan_is_made_for_the_fleet_from_a_view_that_is_old() {
+fn no_fleet_plan_is_made_from_a_stale_view() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
-    play.configure(QueueConfig::default());
-    play.win(true);
-    // Each plan is told of in the log, at most once a second.
-    let mut plans = |millis: u64, heard: bool| {
-        play.pass(millis);
-        if heard {
-            play.hear();
+    let mut harness = Harness::start();
+    harness.configure(QueueConfig::default());
+    harness.acquire(true);
+    // A plan writes a summary to the log, at most once a second.
+    let mut plans = |millis: u64, is_answered: bool| {
+        harness.advance(millis);
+        if is_answered {
+            harness.answer_watches();
         }
-        let before = play.world.drive.next_fleet_summary;
-        play.world.drive.fleet_step(play.now);
-        play.world.drive.next_fleet_summary != before
+        let before = harness.world.drive.next_fleet_summary;
+        harness.world.drive.fleet_step(harness.now);
+        harness.world.drive.next_fleet_summary != before
     };
-    assert!(!plans(1_500, false), "nothing was heard of yet");
+    assert!(!plans(1_500, false), "the watches have not answered yet");
     assert!(plans(1_500, true));
     assert!(plans(RECORDS_MS, false));
     assert!(!plans(1_500, false));
@@ -105,161 +105,161 @@
 }
 
 #[test]
-fn work_is_given_back_by_a_node_that_stays_behind_while_its_lease_holds() {
+fn a_node_with_a_stale_view_and_a_valid_lease_releases_its_work() {
     for fleet in [true, false] {
         let runtime = runtime();
         let _entered = runtime.enter();
-        let mut play = Play::start();
-        play.win(fleet);
-        play.hear();
-        play.world.drive.give_if_behind(play.now);
+        let mut harness = Harness::start();
+        harness.acquire(fleet);
+        harness.answer_watches();
+        harness.world.drive.release_if_stale(harness.now);
         let mut owns_after = |millis, successor| {
-            play.pass(millis);
+            harness.advance(millis);
             if successor {
-                play.list("two");
+                harness.list_node("two");
             }
-            play.world.drive.give_if_behind(play.now);
-            play.owns(fleet)
+            harness.world.drive.release_if_stale(harness.now);
+            harness.owns(fleet)
         };
-        assert!(owns_after(4_000, true), "it may catch up yet");
+        assert!(owns_after(4_000, true), "it may still catch up");
         assert!(!owns_after(1, true));
     }
 }
 
 #[test]
-fn work_is_kept_by_a_node_that_is_behind_if_there_is_no_other() {
+fn a_node_with_a_stale_view_keeps_its_work_if_there_is_no_other_node() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
-    play.win(true);
-    play.hear();
-    play.world.drive.give_if_behind(play.now);
+    let mut harness = Harness::start();
+    harness.acquire(true);
+    harness.answer_watches();
+    harness.world.drive.release_if_stale(harness.now);
     for _ in 0..5 {
-        play.pass(1_500);
-        play.world.drive.give_if_behind(play.now);
+        harness.advance(1_500);
+        harness.world.drive.release_if_stale(harness.now);
     }
-    assert!(play.owns(true));
+    assert!(harness.owns(true));
 }
 
-/// When all nodes are behind, work must not go round between them.
+/// When the views of all nodes are stale, work must not move around between them.
 #[test]
-fn work_that_a_node_has_won_while_it_was_behind_is_kept() {
+fn work_acquired_with_a_stale_view_is_not_released() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
-    play.list("two");
-    let early = play.now.steady;
-    play.world.node.clock.stand_still(RECORDS_MS + 1);
-    play.world.apply(Op::Renew);
-    play.now = play.world.node.now();
-    play.world.hear(early);
-    play.win(true);
+    let mut harness = Harness::start();
+    harness.list_node("two");
+    let early = harness.now.steady;
+    harness.world.node.clock.stand_still(RECORDS_MS + 1);
+    harness.world.apply(Op::RenewLease);
+    harness.now = harness.world.node.now();
+    harness.world.answer_watches(early);
+    harness.acquire(true);
     for _ in 0..5 {
-        play.pass(1_500);
-        play.world.drive.give_if_behind(play.now);
+        harness.advance(1_500);
+        harness.world.drive.release_if_stale(harness.now);
     }
-    assert!(play.owns(true), "it was never kept up");
-    play.hear();
-    play.world.drive.give_if_behind(play.now);
+    assert!(harness.owns(true), "its view was never fresh while it owned the fleet");
+    harness.answer_watches();
+    harness.world.drive.release_if_stale(harness.now);
     for _ in 0..5 {
-        play.pass(1_500);
-        play.world.drive.give_if_behind(play.now);
+        harness.advance(1_500);
+        harness.world.drive.release_if_stale(harness.now);
     }
-    assert!(!play.owns(true));
+    assert!(!harness.owns(true));
 }
 
 #[test]
-fn a_node_that_is_behind_reaches_for_work_after_the_others() {
+fn a_node_with_a_stale_view_acquires_work_after_the_others() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
+    let mut harness = Harness::start();
     let mut config = QueueConfig::default();
     config.pools.insert("work".parse().unwrap(), PoolRules { off: false, guards: true });
-    play.configure(config);
+    harness.configure(config);
     for prefix in [OPERATOR_PREFIX, keys::ALL, keys::ROOT, WORKER_PREFIX] {
-        play.world.node.view().note_answer(prefix, play.now.steady);
+        harness.world.node.view().note_answer(prefix, harness.now.steady);
     }
-    let reaches = |play: &mut Play| {
-        play.world.drive.reach(play.now);
-        play.world.drive.vacant.values().any(|vacancy| vacancy.reaching)
+    let tries_to_acquire = |harness: &mut Harness| {
+        harness.world.drive.acquire(harness.now);
+        harness.world.drive.vacant.values().any(|vacancy| vacancy.acquiring)
     };
-    assert!(!reaches(&mut play));
-    play.pass(1_500);
-    assert!(!reaches(&mut play), "others come first");
-    play.pass(1_500);
-    assert!(reaches(&mut play), "nobody came");
-    play.world.drive.vacant.clear();
-    play.hear();
-    reaches(&mut play);
-    play.pass(600);
-    assert!(reaches(&mut play), "it is not behind any more");
+    assert!(!tries_to_acquire(&mut harness));
+    harness.advance(1_500);
+    assert!(!tries_to_acquire(&mut harness), "other nodes come first");
+    harness.advance(1_500);
+    assert!(tries_to_acquire(&mut harness), "no other node acquired it");
+    harness.world.drive.vacant.clear();
+    harness.answer_watches();
+    tries_to_acquire(&mut harness);
+    harness.advance(600);
+    assert!(tries_to_acquire(&mut harness), "its view is fresh again");
 }
 
-/// A write that asks for a confirmation carried the word with it, and made one that was old count as
-/// new at the nodes that add words up.
+/// A write that requested a confirmation contained a report, so that an old report looked fresh to
+/// the nodes that sum reports.
 #[test]
-fn a_confirmation_is_asked_for_without_a_word_by_an_owner_that_does_not_hear_of_jobs() {
+fn an_owner_with_stale_jobs_requests_confirmation_without_a_report() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
-    play.hear();
-    play.win(false);
+    let mut harness = Harness::start();
+    harness.answer_watches();
+    harness.acquire(false);
     // The lease is renewed too late, and the owner's own watch stays silent.
-    play.pass(2 * RECORDS_MS);
-    let before = play.world.drive.owned[POOL].word.on_way;
-    play.world.drive.ask_confirmation(POOL, play.now);
-    let owned = &play.world.drive.owned[POOL];
-    assert!(play.now.steady < owned.next_confirmation, "it was asked for");
-    assert_eq!(owned.word.on_way, before);
+    harness.advance(2 * RECORDS_MS);
+    let before = harness.world.drive.owned[POOL].waiting_report.pending;
+    harness.world.drive.request_confirmation(POOL, harness.now);
+    let owned = &harness.world.drive.owned[POOL];
+    assert!(harness.now.steady < owned.next_confirmation, "a confirmation was requested");
+    assert_eq!(owned.waiting_report.pending, before);
 }
 
-/// Calls to hosts and orders that wait to be sent outlived the ownership that was given back: the next
-/// owner had won the work before they were made.
+/// Host calls and orders that waited to be sent were still made after the ownership had been
+/// released: the next owner had already acquired the work.
 #[test]
-fn what_was_decided_on_before_work_was_given_back_is_not_sent_after_it() {
+fn orders_and_host_calls_are_not_sent_after_ownership_is_released() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
-    play.win(true);
-    play.win(false);
-    let drive = &mut play.world.drive;
+    let mut harness = Harness::start();
+    harness.acquire(true);
+    harness.acquire(false);
+    let drive = &mut harness.world.drive;
     let calls = drive.fleet.as_ref().unwrap().tenure.clone();
     let orders = drive.owned[POOL].tenure.clone();
-    assert!(calls.holds(play.now.steady) && orders.allows_orders(play.now.steady));
-    drive.hand_over(keys::FLEET.to_owned(), play.now);
-    drive.hand_over(POOL.to_owned(), play.now);
-    assert!(!calls.holds(play.now.steady), "a call to a host");
-    assert!(!orders.allows_orders(play.now.steady), "an order to a worker");
+    assert!(calls.holds(harness.now.steady) && orders.allows_orders(harness.now.steady));
+    drive.release_ownership(keys::FLEET.to_owned(), harness.now);
+    drive.release_ownership(POOL.to_owned(), harness.now);
+    assert!(!calls.holds(harness.now.steady), "a call to a host");
+    assert!(!orders.allows_orders(harness.now.steady), "an order to a worker");
 }
 
-/// A pool whose count did not change was told of so seldom that its word was too old, for half a second
-/// of each pause, at nodes that add words up: a watch of these waits for half a second, and the next
-/// one is sent as long after it.
+/// The report of a pool whose counts did not change was repeated so rarely that it was too old for
+/// half a second of each pause at nodes that sum reports: their watch waits for half a second, and
+/// the next one is sent as long after it.
 #[test]
-fn a_word_is_renewed_before_it_is_too_old_elsewhere() {
+fn a_report_is_renewed_before_it_is_too_old_on_other_nodes() {
     const WATCH_MS: u64 = 500;
     const PAUSE_MS: u64 = 500;
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut play = Play::start();
-    play.hear();
-    play.win(false);
-    let (mut told, mut longest) = (play.now.steady, 0);
+    let mut harness = Harness::start();
+    harness.answer_watches();
+    harness.acquire(false);
+    let (mut last_published, mut longest) = (harness.now.steady, 0);
     for _ in 0..100 {
-        play.pass(100);
-        let (now, drive) = (play.now, &mut play.world.drive);
+        harness.advance(100);
+        let (now, drive) = (harness.now, &mut harness.world.drive);
         let (name, token) = (POOL.to_owned(), drive.owned[POOL].owner.token);
         let (asked, at) = (now.steady, Revision(token));
         drive.take(Input::Followed { name: name.clone(), token, asked, at });
-        drive.tell_queued(POOL, now);
-        if drive.owned[POOL].word.on_way == 0 {
+        drive.publish_report(POOL, now);
+        if drive.owned[POOL].waiting_report.pending == 0 {
             continue;
         }
         let (counts, sent) = (drive.owned[POOL].owner.queued(), now.steady);
-        let end = OverwriteEnd::Kept(Revision(1));
-        drive.take(Input::Worded { name, token, counts, sent, end });
-        longest = longest.max(sent.since(told));
-        told = sent;
+        let result = OverwriteResult::Kept(Revision(1));
+        drive.take(Input::ReportWritten { name, token, counts, sent, result });
+        longest = longest.max(sent.since(last_published));
+        last_published = sent;
     }
     assert!(longest + WATCH_MS + PAUSE_MS <= WORD_MS, "renewed after {longest} ms");
 }
--- a/src/scheduler/drive/tests/words.rs
+++ b/src/scheduler/drive/tests/words.rs
@@ -1,5 +1,5 @@
-//! Tests of the word of a pool's owner on how many jobs wait. Most nodes answer callers from these
-//! words, and take one that was written lately for true.
+//! Tests of the reports of a pool's owner on waiting jobs. Most nodes answer callers from these
+//! reports, and trust one that was written recently.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
     },
     platform::kv::Change,
     scheduler::{
-        drive::{Input, OverwriteEnd, Owned},
+        drive::{Input, OverwriteResult, OwnedPool},
         keys,
         view::{OwnerRecord, age::RECORDS_MS},
     },
@@ -22,63 +22,69 @@
 
 const POOL: &str = "pool-work";
 
-/// Longer than an owner may know nothing of its jobs, in milliseconds.
-const LONG_MS: u64 = 10_000;
+/// Longer than an owner may report without an update on its jobs, in milliseconds.
+const STALE_JOBS_MS: u64 = 10_000;
 
 fn runtime() -> Runtime {
     runtime::Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-/// A node that has won a pool, and has not heard so.
-fn won() -> World {
+/// A node that has won a pool, but whose view does not have its owner record yet.
+fn world_with_won_pool() -> World {
     let mut world = World::new();
-    // Something else was written before.
-    world.tokens.insert(1, 0);
-    for op in [Op::Renew, Op::Reach { fleet: false }, Op::Reached] {
+    // Another write came before.
+    world.won_leases.insert(1, 0);
+    for op in [Op::RenewLease, Op::Acquire { fleet: false }, Op::ConfirmAcquired] {
         world.apply(op);
     }
     world
 }
 
-/// A node that owns a pool, with its first word on its way.
-fn owning() -> World {
-    let mut world = won();
-    world.apply(Op::Show);
-    world.apply(Op::Step);
-    assert_eq!(world.on_way(), 1);
+/// A node that owns a pool, with its first report in flight.
+fn world_with_owned_pool() -> World {
+    let mut world = world_with_won_pool();
+    world.apply(Op::ShowOwner);
+    world.apply(Op::Tick);
+    assert_eq!(world.pending_reports(), 1);
     world
 }
 
 impl World {
-    fn owned(&self) -> &Owned {
+    fn owned(&self) -> &OwnedPool {
         &self.drive.owned[POOL]
     }
 
-    fn on_way(&self) -> usize {
-        self.owned().word.on_way
+    fn pending_reports(&self) -> usize {
+        self.owned().waiting_report.pending
     }
 
-    /// The view hears of a record, and is not known to be as far.
-    fn hear_of(&mut self, key: String, revision: u64, value: Vec<u8>) {
+    /// The view receives a record, without being complete up to its revision.
+    fn apply_record(&mut self, key: String, revision: u64, value: Vec<u8>) {
         let (revision, value) = (Revision(revision), Some(value.into()));
         self.node.view().apply(Change { key, revision, value });
     }
 
-    /// What becomes of the word on its way, which was sent at a moment.
-    fn end_word(&mut self, sent: Steady, end: OverwriteEnd) {
+    /// Finishes the write of the report that was sent at this time.
+    fn finish_write(&mut self, sent: Steady, result: OverwriteResult) {
         let (token, counts) = (self.owned().owner.token, self.owned().owner.queued());
-        self.drive.take(Input::Worded { name: POOL.to_owned(), token, counts, sent, end });
+        self.drive.take(Input::ReportWritten {
+            name: POOL.to_owned(),
+            token,
+            counts,
+            sent,
+            result,
+        });
     }
 
-    /// Whether a word is sent at a moment.
-    fn tells(&mut self, now: Now) -> bool {
-        let before = self.on_way();
-        self.drive.tell_queued(POOL, now);
-        before < self.on_way()
+    /// Whether the owner sends a report at this time.
+    fn publishes(&mut self, now: Now) -> bool {
+        let before = self.pending_reports();
+        self.drive.publish_report(POOL, now);
+        before < self.pending_reports()
     }
 
-    /// The owner hears that it knows of all jobs that were there at a moment.
-    fn follow(&mut self, asked: Steady) {
+    /// The owner's watch returns all jobs that existed when it was sent.
+    fn answer_watch(&mut self, asked: Steady) {
         let token = self.owned().owner.token;
         self.drive.take(Input::Followed {
             name: POOL.to_owned(),
@@ -93,81 +99,81 @@
     Now { steady: now.steady.after(millis), ..now }
 }
 
-/// A node that was told of no word adds up the one before, for as long as that was told to be so.
+/// Until a new report arrives, other nodes sum the previous one for as long as it is valid.
 #[test]
-fn a_word_that_was_not_taken_is_told_again_soon() {
+fn a_report_that_was_not_accepted_is_sent_again_soon() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    for end in [OverwriteEnd::Failed, OverwriteEnd::Rebase(Revision(77))] {
-        let mut world = owning();
+    for result in [OverwriteResult::Failed, OverwriteResult::Rebase(Revision(77))] {
+        let mut world = world_with_owned_pool();
         let now = world.node.now();
-        world.end_word(now.steady, end);
-        assert!(world.tells(after(now, 300)));
+        world.finish_write(now.steady, result);
+        assert!(world.publishes(after(now, 300)));
     }
 }
 
-/// One that is held up on its way could undo a later one.
+/// A delayed report could replace a later one.
 #[test]
-fn a_word_is_written_over_the_one_before_and_alone_on_its_way() {
+fn a_report_replaces_the_previous_one_and_only_one_is_in_flight() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = owning();
+    let mut world = world_with_owned_pool();
     let now = world.node.now();
-    assert!(!world.tells(after(now, 900)));
-    world.end_word(now.steady, OverwriteEnd::Rebase(Revision(77)));
-    assert_eq!(world.owned().word.at, Revision(77));
-    assert!(world.tells(after(now, 300)));
-    world.end_word(now.steady, OverwriteEnd::Kept(Revision(78)));
-    assert_eq!(world.owned().word.at, Revision(78));
+    assert!(!world.publishes(after(now, 900)));
+    world.finish_write(now.steady, OverwriteResult::Rebase(Revision(77)));
+    assert_eq!(world.owned().waiting_report.revision, Revision(77));
+    assert!(world.publishes(after(now, 300)));
+    world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
+    assert_eq!(world.owned().waiting_report.revision, Revision(78));
 }
 
-/// Nodes answer from a word for two seconds after it was written.
+/// Nodes use a report for two seconds after it was written.
 #[test]
-fn a_word_that_was_taken_is_told_again_every_second() {
+fn an_unchanged_report_is_repeated_every_second() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = owning();
+    let mut world = world_with_owned_pool();
     let now = world.node.now();
-    world.end_word(now.steady, OverwriteEnd::Kept(Revision(78)));
-    world.follow(after(now, 1_100).steady);
-    assert!(!world.tells(after(now, 510)), "nothing has changed");
-    assert!(world.tells(after(now, 1_100)));
+    world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
+    world.answer_watch(after(now, 1_100).steady);
+    assert!(!world.publishes(after(now, 510)), "nothing has changed");
+    assert!(world.publishes(after(now, 1_100)));
 }
 
 #[test]
-fn the_first_word_of_an_owner_counts_all_jobs_that_came_before_it() {
+fn the_first_report_of_an_owner_counts_all_earlier_jobs() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = won();
-    let token = world.last.clone().unwrap().1;
+    let mut world = world_with_won_pool();
+    let token = world.last_won.clone().unwrap().1;
     let owner = bytes(&OwnerRecord { node: "one".to_owned(), life: 1 });
-    world.hear_of(keys::owner(POOL), token, owner);
-    world.apply(Op::Step);
-    assert!(world.drive.owned.is_empty(), "it may not know of all jobs before token {token}");
+    world.apply_record(keys::owner(POOL), token, owner);
+    world.apply(Op::Tick);
+    assert!(world.drive.owned.is_empty(), "it may not know all jobs accepted before token {token}");
     let pool = "work".parse().unwrap();
     let record = JobRecord { pool, ..sample::record(Vec::new()) };
     let key = keys::job(&record.pool, JobId::from_number(1));
-    world.hear_of(key, token - 1, bytes(&record));
-    world.apply(Op::Show);
-    world.apply(Op::Step);
-    assert_eq!(world.on_way(), 1);
+    world.apply_record(key, token - 1, bytes(&record));
+    world.apply(Op::ShowOwner);
+    world.apply(Op::Tick);
+    assert_eq!(world.pending_reports(), 1);
     assert_eq!(world.owned().owner.queued(), BTreeMap::from([("q".to_owned(), 1)]));
 }
 
-/// Its own watch hangs, or its node is far behind: what it would tell is as old as what it knows, and
-/// looks new.
+/// If its own watch hangs, or its node lags far behind, an owner's report is as old as what it
+/// knows, but looks fresh.
 #[test]
-fn an_owner_that_has_not_heard_of_its_jobs_lately_tells_nothing() {
+fn an_owner_with_stale_jobs_sends_no_report() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = owning();
+    let mut world = world_with_owned_pool();
     let now = world.node.now();
-    world.end_word(now.steady, OverwriteEnd::Kept(Revision(78)));
-    assert!(!world.tells(after(now, RECORDS_MS)));
-    let later = after(now, LONG_MS);
-    assert!(!world.tells(later));
-    world.drive.ask_confirmation(POOL, later);
-    assert_eq!(world.on_way(), 0, "nor does it for the sake of a confirmation");
-    world.follow(later.steady);
-    assert!(world.tells(later));
+    world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
+    assert!(!world.publishes(after(now, RECORDS_MS)));
+    let later = after(now, STALE_JOBS_MS);
+    assert!(!world.publishes(later));
+    world.drive.request_confirmation(POOL, later);
+    assert_eq!(world.pending_reports(), 0, "no report is sent to request a confirmation either");
+    world.answer_watch(later.steady);
+    assert!(world.publishes(later));
 }
--- a/src/scheduler/drive/word.rs
+++ b/src/scheduler/drive/word.rs
@@ -1,122 +1,138 @@
-//! The word of a pool's owner on how many jobs of each queue have not begun: when it is told, and what
-//! counts as told.
+//! Reports of a pool's owner on how many jobs of each queue have not begun: when a report is due,
+//! and when it counts as published.
 //!
-//! Most nodes add these words up for their callers, and know of a word only when it was written. So it
-//! counts as told once the store has taken it, one at a time and each over the one before, and it is
-//! told only by an owner that knows of its jobs lately.
+//! Most nodes sum these reports for their callers, and know only when a report was written. A
+//! report therefore counts as published once the store has accepted it, only one is in flight at a
+//! time and each replaces the previous one, and an owner reports only while its knowledge of its
+//! jobs is recent.
 
 use std::collections::BTreeMap;
 
-use super::OverwriteEnd;
+use super::OverwriteResult;
 use crate::{
     model::unit::{Revision, Steady},
     scheduler::view::waiting::WordRecord,
 };
 
-/// The least time between two words, in milliseconds: callers may be told what is two seconds old,
-/// and other nodes hear of it half a second later at the most.
-const QUEUED_PAUSE_MS: u64 = 500;
+/// Minimum time between two reports, in milliseconds: counts for callers may be two seconds old,
+/// and other nodes receive a report at most half a second later.
+const REPORT_PAUSE_MS: u64 = 500;
 
-/// How long after the last word it is told again though nothing has changed, in milliseconds: nodes
-/// answer from a word for two seconds, hear of it up to one second late (a watch of half a second, and
-/// its pause), and 200 are left for the write and its way.
-const QUEUED_AGAIN_MS: u64 = 800;
+/// After this time a report is repeated even if nothing has changed, in milliseconds. Nodes use a
+/// report for two seconds and receive it up to one second late (a watch of half a second and its
+/// pause), and 200 ms are left for the write and its transfer.
+const REPORT_REPEAT_MS: u64 = 800;
 
-/// How long after a word that was not taken it is told again, in milliseconds: five fit into a
-/// second, and a store that is away is not asked more often than that.
-const QUEUED_RETRY_MS: u64 = 200;
+/// Delay before a report that was not accepted is sent again, in milliseconds: five attempts fit
+/// into a second, and an unavailable store gets no more than that.
+const REPORT_RETRY_MS: u64 = 200;
 
-/// How old may be what an owner knows of new jobs when it tells how many wait, in milliseconds: a watch
-/// that nothing changes is answered after 800, and the rest is for the way of the answer.
-const KNOWN_MS: u64 = 1_200;
+/// Maximum age of the owner's knowledge of its jobs when it reports, in milliseconds: a watch
+/// without changes is answered after 800 ms, and the rest is for the transfer of the answer.
+const MAX_JOBS_AGE_MS: u64 = 1_200;
 
-/// How many jobs of each queue have not begun.
+/// Number of jobs of each queue that have not begun.
 pub(super) type Counts = BTreeMap<String, usize>;
 
-/// What became of an owner's word.
+/// State of an owner's reports.
 #[derive(Debug)]
-pub(super) struct Word {
-    /// What was last taken, and when it was sent.
-    taken: Option<(Counts, Steady)>,
-    /// The revision of the record.
-    pub(super) at: Revision,
-    /// Words on their way.
-    pub(super) on_way: usize,
-    /// When it is next looked at.
-    next: Steady,
-    /// Up to when the owner knows of its jobs.
-    known: Steady,
-    /// The revision up to which it does.
-    known_at: Revision,
-    /// Whether the last one was not taken.
+pub(super) struct ReportState {
+    /// The counts that were last accepted, and when they were sent.
+    accepted: Option<(Counts, Steady)>,
+    /// Revision of the record.
+    pub(super) revision: Revision,
+    /// Number of reports in flight.
+    pub(super) pending: usize,
+    /// Earliest time of the next check whether a report is due.
+    next_check: Steady,
+    /// The time up to which the owner knows all its jobs.
+    jobs_as_of: Steady,
+    /// The revision up to which the owner knows all its jobs.
+    jobs_revision: Revision,
+    /// Whether the last report was not accepted.
     failing: bool,
 }
 
-impl Word {
-    /// Of an owner that knows of its jobs up to a moment, over a record of earlier ones.
-    pub(super) fn new(at: Revision, known: Steady, known_at: Revision) -> Word {
-        let next = Steady::default();
-        Word { taken: None, at, on_way: 0, next, known, known_at, failing: false }
+impl ReportState {
+    /// State of an owner that knows its jobs up to a time and a revision, and replaces the record
+    /// of earlier owners.
+    pub(super) fn new(
+        revision: Revision,
+        jobs_as_of: Steady,
+        jobs_revision: Revision,
+    ) -> ReportState {
+        let next_check = Steady::default();
+        ReportState {
+            accepted: None,
+            revision,
+            pending: 0,
+            next_check,
+            jobs_as_of,
+            jobs_revision,
+            failing: false,
+        }
     }
 
-    /// Takes note that the owner has heard of all jobs up to a moment.
-    pub(super) fn heard(&mut self, known: Steady, at: Revision) {
-        self.known = self.known.max(known);
-        self.known_at = self.known_at.max(at);
+    /// Records that the owner has received all jobs up to a time and a revision.
+    pub(super) fn note_jobs(&mut self, as_of: Steady, revision: Revision) {
+        self.jobs_as_of = self.jobs_as_of.max(as_of);
+        self.jobs_revision = self.jobs_revision.max(revision);
     }
 
-    /// What is written of these counts: with the revision up to which the jobs were known, by which
-    /// other nodes tell how old they are, however late it is written.
-    pub(super) fn record(&self, counts: Counts) -> WordRecord {
-        WordRecord { known: Some(self.known_at), counts }
+    /// The record of these counts, with the revision up to which the jobs were known: from it other
+    /// nodes determine the age of the counts, however late the record is written.
+    pub(super) fn to_record(&self, counts: Counts) -> WordRecord {
+        WordRecord { known: Some(self.jobs_revision), counts }
     }
 
-    /// Whether the owner knows of its jobs lately enough to tell how many wait.
-    pub(super) fn is_known(&self, now: Steady) -> bool {
-        now.since(self.known) < KNOWN_MS
+    /// Whether the owner's knowledge of its jobs is recent enough for a report.
+    pub(super) fn knows_jobs(&self, now: Steady) -> bool {
+        now.since(self.jobs_as_of) < MAX_JOBS_AGE_MS
     }
 
-    /// Whether it is to be looked at now.
+    /// Whether to check now if a report is due.
     pub(super) fn may_be_due(&self, now: Steady) -> bool {
-        self.on_way == 0 && self.next <= now && self.is_known(now)
+        self.pending == 0 && self.next_check <= now && self.knows_jobs(now)
     }
 
-    /// Whether these counts are to be told now; if not, they are looked at again a pause later.
+    /// Whether to report these counts now; the next check is a pause later.
     pub(super) fn is_due(&mut self, counts: &Counts, now: Steady) -> bool {
-        self.next = now.after(QUEUED_PAUSE_MS);
-        self.taken
-            .as_ref()
-            .is_none_or(|(told, sent)| told != counts || QUEUED_AGAIN_MS <= now.since(*sent))
+        self.next_check = now.after(REPORT_PAUSE_MS);
+        self.accepted.as_ref().is_none_or(|(published, sent)| {
+            published != counts || REPORT_REPEAT_MS <= now.since(*sent)
+        })
     }
 
-    /// Takes note that a word is on its way.
-    pub(super) fn sent(&mut self, now: Steady) {
-        self.on_way += 1;
-        self.next = now.after(QUEUED_PAUSE_MS);
+    /// Records that a report was sent.
+    pub(super) fn note_sent(&mut self, now: Steady) {
+        self.pending += 1;
+        self.next_check = now.after(REPORT_PAUSE_MS);
     }
 
-    /// Takes note of what became of a word; whether it is the first in a row that was not taken.
-    pub(super) fn ended(
+    /// Records the result of a report. Returns whether it is the first of a series that were not
+    /// accepted.
+    pub(super) fn note_result(
         &mut self,
         counts: Counts,
         sent: Steady,
-        end: &OverwriteEnd,
+        result: &OverwriteResult,
         now: Steady,
     ) -> bool {
-        self.on_way = self.on_way.saturating_sub(1);
-        let pause = match end {
-            OverwriteEnd::Kept(at) => {
-                (self.at, self.taken, self.failing) = (*at, Some((counts, sent)), false);
+        self.pending = self.pending.saturating_sub(1);
+        let pause = match result {
+            OverwriteResult::Kept(revision) => {
+                (self.revision, self.accepted, self.failing) =
+                    (*revision, Some((counts, sent)), false);
                 return false;
             }
-            OverwriteEnd::Rebase(at) => {
-                self.at = *at;
+            OverwriteResult::Rebase(revision) => {
+                self.revision = *revision;
                 0
             }
-            OverwriteEnd::Failed => QUEUED_RETRY_MS,
+            OverwriteResult::Failed => REPORT_RETRY_MS,
         };
-        self.taken = None;
-        self.next = now.after(pause);
+        self.accepted = None;
+        self.next_check = now.after(pause);
         !std::mem::replace(&mut self.failing, true)
     }
 }
