--- a/src/scheduler/drive.rs
+++ b/src/scheduler/drive.rs
@@ -51,7 +51,7 @@
 };
 
 use behind::StaleView;
-pub(crate) use input::{Input, OverwriteResult, SaveResult, Won};
+pub(crate) use input::{Input, OverwriteResult, ProgressResult, Won};
 use word::ReportState;
 
 /// Interval between iterations when there is no input.
@@ -88,15 +88,15 @@
     /// Ends the owner's own watch when dropped.
     _watch_guard: DropGuard,
     /// Number of progress writes in flight.
-    pending_saves: usize,
+    pending_writes: usize,
     /// Earliest time of the next progress write.
-    next_save: Steady,
+    next_progress: Steady,
     /// Hosts published as drained.
-    published_empty: BTreeMap<HostId, (Emptied, Steady)>,
+    published_drained: BTreeMap<HostId, (Emptied, Steady)>,
     /// Whether a roster write is in flight.
     roster_pending: bool,
     /// Earliest time of the next roster write.
-    next_roster_write: Steady,
+    next_roster: Steady,
     /// Revision of the record of silent workers.
     silent_revision: Revision,
     /// Whether a removal of ended jobs is in flight.
@@ -342,7 +342,7 @@
             self.persist_progress(&name, now);
             self.persist_roster(&name, now);
             self.remove_ended_jobs(&name, now);
-            self.publish_empty_hosts(&name, now);
+            self.publish_drained_hosts(&name, now);
             self.publish_usage(&name, now);
             self.publish_report(&name, now);
             self.request_confirmation(&name, now);
@@ -471,11 +471,11 @@
             delegates: Helpers::default(),
             order_counts: Arc::default(),
             _watch_guard: stop_watch.drop_guard(),
-            pending_saves: 0,
-            next_save: now.steady,
-            published_empty: BTreeMap::new(),
+            pending_writes: 0,
+            next_progress: now.steady,
+            published_drained: BTreeMap::new(),
             roster_pending: false,
-            next_roster_write: now.steady,
+            next_roster: now.steady,
             silent_revision,
             removing: false,
             next_removal: now.steady,
--- a/src/scheduler/drive/input.rs
+++ b/src/scheduler/drive/input.rs
@@ -40,7 +40,7 @@
         name: String,
         token: u64,
         writes: Vec<Save>,
-        result: SaveResult,
+        result: ProgressResult,
     },
     /// Result of a write of the roster.
     RosterWritten {
@@ -113,7 +113,7 @@
 }
 
 /// Result of a write of progress.
-pub(crate) enum SaveResult {
+pub(crate) enum ProgressResult {
     Done(Revision),
     /// There is a later owner.
     Deposed,
--- a/src/scheduler/drive/keep.rs
+++ b/src/scheduler/drive/keep.rs
@@ -1,6 +1,6 @@
 //! State that an owner persists for later owners: progress and the roster.
 
-use super::{Drive, Input, OverwriteResult, OwnedPool, SaveResult, json};
+use super::{Drive, Input, OverwriteResult, OwnedPool, ProgressResult, json};
 use crate::{
     jobs::{event::Save, roster::RosterNote},
     model::{
@@ -16,18 +16,18 @@
 
 /// Jobs per transaction: each needs a condition and a write, in addition to the condition on the
 /// owner.
-const SAVE_BATCH: usize = (TXN_ENTRIES - 1) / 2;
+const PROGRESS_BATCH: usize = (TXN_ENTRIES - 1) / 2;
 
 /// Maximum number of progress writes in flight per owner. A single one limited an owner to a
 /// thousand jobs a second, and a peak changes more.
-const MAX_PENDING_SAVES: usize = 4;
+const MAX_PENDING_WRITES: usize = 4;
 
 /// Minimum time between two progress writes of one owner, in milliseconds: changes close together
 /// share a write.
-const SAVE_PAUSE_MS: u64 = 5;
+const PROGRESS_PAUSE_MS: u64 = 5;
 
 /// Delay before the next write after a failed one, in milliseconds.
-const SAVE_RETRY_MS: u64 = 100;
+const WRITE_RETRY_MS: u64 = 100;
 
 /// Minimum time between two roster writes of one pool, in milliseconds: hosts that arrive or leave
 /// together share a write, and a new worker waits at most this much longer.
@@ -51,19 +51,19 @@
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        if now.steady < owned.next_save {
+        if now.steady < owned.next_progress {
             return;
         }
         let token = owned.owner.token;
         // Beyond the first write, only full batches are sent: changes close together share a write.
-        while owned.pending_saves == 0
-            || owned.pending_saves < MAX_PENDING_SAVES && SAVE_BATCH <= owned.owner.unsaved()
+        while owned.pending_writes == 0
+            || owned.pending_writes < MAX_PENDING_WRITES && PROGRESS_BATCH <= owned.owner.unsaved()
         {
-            let writes = owned.owner.saves(SAVE_BATCH);
+            let writes = owned.owner.saves(PROGRESS_BATCH);
             if writes.is_empty() {
                 return;
             }
-            owned.pending_saves += 1;
+            owned.pending_writes += 1;
             let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
             let tenure = owned.tenure.clone();
             tokio::spawn(async move {
@@ -78,33 +78,33 @@
         name: &str,
         token: u64,
         writes: &[Save],
-        result: SaveResult,
+        result: ProgressResult,
         now: Now,
     ) {
         let Some(owned) = self.owned_under(name, token) else {
             return;
         };
-        owned.pending_saves = owned.pending_saves.saturating_sub(1);
-        owned.next_save = now.steady.after(SAVE_PAUSE_MS);
+        owned.pending_writes = owned.pending_writes.saturating_sub(1);
+        owned.next_progress = now.steady.after(PROGRESS_PAUSE_MS);
         match result {
-            SaveResult::Done(revision) => {
+            ProgressResult::Done(revision) => {
                 for ended in owned.owner.saved(writes, revision) {
                     self.node.metrics.job_ended(&ended.queue, ended.state, ended.took);
                 }
             }
-            SaveResult::Rebase(positions) => {
+            ProgressResult::Rebase(positions) => {
                 for (position, revision) in positions {
                     owned.owner.rebase(writes[position].job, revision);
                 }
                 owned.owner.not_saved(writes);
             }
-            SaveResult::Deposed => {
+            ProgressResult::Deposed => {
                 log::warn!("owner {name}: token {token} is over");
                 self.owned.remove(name);
             }
-            SaveResult::Failed => {
+            ProgressResult::Failed => {
                 owned.owner.not_saved(writes);
-                owned.next_save = now.steady.after(SAVE_RETRY_MS);
+                owned.next_progress = now.steady.after(WRITE_RETRY_MS);
             }
         }
     }
@@ -115,12 +115,12 @@
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        if owned.roster_pending || now.steady < owned.next_roster_write {
+        if owned.roster_pending || now.steady < owned.next_roster {
             return;
         }
         let Some(write) = owned.owner.roster_note(ROSTER_BATCH) else {
             // The roster is computed from all workers, which is too costly for each iteration.
-            owned.next_roster_write = now.steady.after(ROSTER_PAUSE_MS);
+            owned.next_roster = now.steady.after(ROSTER_PAUSE_MS);
             return;
         };
         owned.roster_pending = true;
@@ -146,14 +146,14 @@
         };
         owned.roster_pending = false;
         let full = write.changes() == ROSTER_BATCH;
-        owned.next_roster_write = now.steady.after(if full { 0 } else { ROSTER_PAUSE_MS });
+        owned.next_roster = now.steady.after(if full { 0 } else { ROSTER_PAUSE_MS });
         match result {
             OverwriteResult::Kept(revision) => {
                 owned.silent_revision = revision;
                 owned.owner.rostered(write, revision);
             }
             OverwriteResult::Rebase(revision) => owned.silent_revision = revision,
-            OverwriteResult::Failed => owned.next_roster_write = now.steady.after(SAVE_RETRY_MS),
+            OverwriteResult::Failed => owned.next_roster = now.steady.after(WRITE_RETRY_MS),
         }
     }
 
@@ -199,7 +199,7 @@
         owned.removing = false;
         let full = jobs.len() == TXN_ENTRIES;
         let pause = match (done, full) {
-            (false, _) => SAVE_RETRY_MS,
+            (false, _) => WRITE_RETRY_MS,
             (true, true) => 0,
             (true, false) => REMOVAL_PAUSE_MS,
         };
@@ -245,7 +245,7 @@
     name: &str,
     token: u64,
     writes: &[Save],
-) -> SaveResult {
+) -> ProgressResult {
     let owner_key = keys::owner(name);
     let mut txn = Txn::default().expect(owner_key.clone(), Revision(token));
     for write in writes {
@@ -253,17 +253,17 @@
         txn = txn.expect(key.clone(), write.expects).put(key, write.value.clone());
     }
     let items = match commit(node, tenure, &txn).await {
-        Ok(Committed::Done(revision)) => return SaveResult::Done(revision),
+        Ok(Committed::Done(revision)) => return ProgressResult::Done(revision),
         Ok(Committed::Conflict(items)) => items,
-        Ok(Committed::LeaseOver) => return SaveResult::Failed,
+        Ok(Committed::LeaseOver) => return ProgressResult::Failed,
         Err(error) => {
             log::warn!("owner {name}: progress of {} jobs not written: {error}", writes.len());
-            return SaveResult::Failed;
+            return ProgressResult::Failed;
         }
     };
     let owner = items.iter().find(|item| item.key == owner_key);
     if owner.is_none_or(|item| item.revision != Revision(token)) {
-        return SaveResult::Deposed;
+        return ProgressResult::Deposed;
     }
     // Only this owner writes these keys: another revision comes from a write whose answer was lost.
     let changed = writes.iter().enumerate().filter_map(|(position, write)| {
@@ -271,7 +271,7 @@
         let item = items.iter().find(|item| item.key == key)?;
         (item.revision != write.expects).then_some((position, item.revision))
     });
-    SaveResult::Rebase(changed.collect())
+    ProgressResult::Rebase(changed.collect())
 }
 
 /// Commits a transaction whose first condition is that the owner has not changed. If it succeeds,
--- a/src/scheduler/drive/news.rs
+++ b/src/scheduler/drive/news.rs
@@ -114,13 +114,14 @@
     /// while 600 hosts were marked at a demand peak (`measure mirror`).
     fn set_drain_mark(&mut self, host: &HostId) {
         let view = self.node.view();
-        let leave = view.leaves.get(host);
+        let stored_mark = view.leaves.get(host);
         for owned in self.owned.values_mut() {
-            let mark =
-                leave.filter(|at| requires_drain(&at.value, &owned.pool)).map(|at| at.revision);
+            let mark = stored_mark
+                .filter(|at| requires_drain(&at.value, &owned.pool))
+                .map(|at| at.revision);
             owned.owner.set_mark(host, mark);
             if mark.is_none() {
-                owned.published_empty.remove(host);
+                owned.published_drained.remove(host);
             }
         }
     }
@@ -136,6 +137,6 @@
 
 /// The hosts that the pool's owner has to drain, by the revisions of their marks.
 pub(super) fn drain_marks(view: &View, pool: &PoolId) -> BTreeMap<HostId, Revision> {
-    let leaves = view.leaves.iter().filter(|(_, at)| requires_drain(&at.value, pool));
-    leaves.map(|(host, at)| (host.clone(), at.revision)).collect()
+    let marks = view.leaves.iter().filter(|(_, at)| requires_drain(&at.value, pool));
+    marks.map(|(host, at)| (host.clone(), at.revision)).collect()
 }
--- a/src/scheduler/drive/orders.rs
+++ b/src/scheduler/drive/orders.rs
@@ -36,7 +36,7 @@
         for effect in effects {
             match effect {
                 Effect::Advise { step, workers, needs } => {
-                    let tell = self.event_sender(name, token);
+                    let send_event = self.event_sender(name, token);
                     let (adviser, advice_slot) = (self.adviser.clone(), self.advice_slot.clone());
                     let node = self.node.clone();
                     tokio::spawn(async move {
@@ -47,7 +47,7 @@
                             None => Advised::Failed,
                         };
                         drop(slot);
-                        tell(Event::Advised { step, asked: workers, sent, end });
+                        send_event(Event::Advised { step, asked: workers, sent, end });
                     });
                 }
                 order => match self.delegate_address(name, &order) {
@@ -83,14 +83,14 @@
     }
 
     /// Counts an order as pending until the returned value is dropped.
-    fn count_order(&self, name: &str, calling: CallingNode) -> Option<PendingOrder> {
+    fn count_order(&self, name: &str, calling_node: CallingNode) -> Option<PendingOrder> {
         let order_counts = &self.owned.get(name)?.order_counts;
-        Some(PendingOrder::new(order_counts, &self.node.metrics, calling))
+        Some(PendingOrder::new(order_counts, &self.node.metrics, calling_node))
     }
 
     /// Makes the call on this node.
     fn call_directly(&self, name: &str, token: u64, effect: Effect) {
-        let (tell, may_go) = (self.event_sender(name, token), self.send_check(name));
+        let (send_event, may_go) = (self.event_sender(name, token), self.send_check(name));
         let runners = self.runners.clone();
         let metrics = self.node.metrics.clone();
         let pending = self.count_order(name, CallingNode::Own);
@@ -105,19 +105,19 @@
                 pending.note_outcome(outcome(&answer));
             }
             if let Some(event) = call::event(effect, sent, answer) {
-                tell(event);
+                send_event(event);
             }
         });
     }
 
     /// Has another node make the call, batched with all others for that node in this iteration.
     fn delegate(&mut self, address: SocketAddr, name: &str, token: u64, effect: Effect) {
-        let tell = self.event_sender(name, token);
+        let send_event = self.event_sender(name, token);
         let inputs = self.to.clone();
         let worker = target_worker(&effect).cloned();
         let (metrics, kind) = (self.node.metrics.clone(), order_kind(&effect));
         let (pending, began) = (self.count_order(name, CallingNode::Other), Instant::now());
-        let tell = move |event: Event, unanswered: bool| {
+        let finish = move |event: Event, unanswered: bool| {
             metrics.ordered(kind, event_outcome(&event), began.elapsed());
             if let Some(pending) = pending {
                 pending.note_outcome(event_outcome(&event));
@@ -126,10 +126,10 @@
                 // The receiver only ends with the process.
                 let _ = inputs.send(Input::DelegateFailed(worker));
             }
-            tell(event);
+            send_event(event);
         };
         let (sent, may_go) = (self.node.now().steady, Box::new(self.send_check(name)));
-        let order = Outgoing { effect, sent, may_go, tell: Box::new(tell) };
+        let order = Outgoing { effect, sent, may_go, tell: Box::new(finish) };
         self.outbox.entry(address).or_default().push(order);
     }
 
--- a/src/scheduler/drive/reach.rs
+++ b/src/scheduler/drive/reach.rs
@@ -238,19 +238,19 @@
         owned.tenure.deny();
         let token = owned.owner.token;
         let silent = owned.owner.parting(now);
-        let may_run = match silent.as_ref().and_then(|silent| silent.handover.as_ref()) {
+        let may_run = match silent.as_ref().and_then(|record| record.handover.as_ref()) {
             Some(handover) => format!("{} tasks may run", handover.len()),
             None => "unknown which tasks may run".to_owned(),
         };
         log::info!("owner {name}: given back: token {token}, {may_run}");
         let txn = match silent {
-            Some(silent) => Txn::default().put(keys::away(&name), json(&silent)),
+            Some(record) => Txn::default().put(keys::away(&name), json(&record)),
             None => Txn::default(),
         };
         self.remove_owner_record(name, token, txn);
     }
 
-    /// Removes the owner record from the store in the given transaction.
+    /// Removes the owner record from the store, in one transaction with other writes.
     fn remove_owner_record(&self, name: String, token: u64, extra: Txn) {
         let key = keys::owner(&name);
         let txn = extra.expect(key.clone(), Revision(token)).remove(key);
--- a/src/scheduler/drive/tally.rs
+++ b/src/scheduler/drive/tally.rs
@@ -52,8 +52,8 @@
 }
 
 impl OrderCounts {
-    fn of(&self, calling: CallingNode) -> &AtomicU64 {
-        match calling {
+    fn of(&self, calling_node: CallingNode) -> &AtomicU64 {
+        match calling_node {
             CallingNode::Own => &self.own,
             CallingNode::Other => &self.other,
         }
@@ -90,18 +90,18 @@
 pub(super) struct PendingOrder {
     order_counts: Arc<OrderCounts>,
     metrics: Arc<Metrics>,
-    calling: CallingNode,
+    calling_node: CallingNode,
 }
 
 impl PendingOrder {
     pub(super) fn new(
         order_counts: &Arc<OrderCounts>,
         metrics: &Arc<Metrics>,
-        calling: CallingNode,
+        calling_node: CallingNode,
     ) -> PendingOrder {
-        order_counts.of(calling).fetch_add(1, Relaxed);
-        metrics.orders_under_way(calling.label(), 1);
-        PendingOrder { order_counts: order_counts.clone(), metrics: metrics.clone(), calling }
+        order_counts.of(calling_node).fetch_add(1, Relaxed);
+        metrics.orders_under_way(calling_node.label(), 1);
+        PendingOrder { order_counts: order_counts.clone(), metrics: metrics.clone(), calling_node }
     }
 
     /// Records the outcome of the order.
@@ -112,7 +112,7 @@
 
 impl Drop for PendingOrder {
     fn drop(&mut self) {
-        self.order_counts.of(self.calling).fetch_sub(1, Relaxed);
-        self.metrics.orders_under_way(self.calling.label(), -1);
+        self.order_counts.of(self.calling_node).fetch_sub(1, Relaxed);
+        self.metrics.orders_under_way(self.calling_node.label(), -1);
     }
 }
--- a/src/scheduler/drive/tell.rs
+++ b/src/scheduler/drive/tell.rs
@@ -24,20 +24,20 @@
 
 /// After this time the record of a drained host is written again if the view does not have it, in
 /// milliseconds.
-const EMPTY_REPEAT_MS: u64 = 700;
+const DRAINED_REPEAT_MS: u64 = 700;
 
 impl Drive {
     /// Publishes the drained hosts for the fleet's owner.
-    pub(super) fn publish_empty_hosts(&mut self, name: &str, now: Now) {
+    pub(super) fn publish_drained_hosts(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
         let token = owned.owner.token;
         for drained in owned.owner.emptied() {
             let host = drained.host.clone();
-            let published = owned.published_empty.get(&host);
+            let published = owned.published_drained.get(&host);
             let is_recent = |(previous, at): &(Emptied, Steady)| {
-                *previous == drained && now.steady.since(*at) < EMPTY_REPEAT_MS
+                *previous == drained && now.steady.since(*at) < DRAINED_REPEAT_MS
             };
             let is_visible = self.node.view().empties.get(&host).is_some_and(|at| {
                 at.value.mark == drained.mark && at.value.worker == drained.worker
@@ -50,7 +50,7 @@
                 .expect(keys::owner(name), Revision(token))
                 .expect(keys::leave(&host), drained.mark)
                 .put(keys::empty(&host), json(&record));
-            owned.published_empty.insert(host.clone(), (drained, now.steady));
+            owned.published_drained.insert(host.clone(), (drained, now.steady));
             let (node, tenure) = (self.node.clone(), owned.tenure.clone());
             tokio::spawn(async move {
                 if let Err(error) = commit(&node, &tenure, &txn).await {
@@ -138,10 +138,10 @@
         };
         for (id, since) in owned.owner.unknown_jobs() {
             let view = self.node.view();
-            let view_reaches = view.ages.as_of(keys::ROOT).is_some_and(|as_of| since <= as_of);
+            let view_covers = view.ages.as_of(keys::ROOT).is_some_and(|as_of| since <= as_of);
             let is_over = match view.jobs.get(&id) {
                 Some(job) => job.state().is_final(),
-                None => view_reaches && ABSENT_JOB_MS <= now.steady.since(since),
+                None => view_covers && ABSENT_JOB_MS <= now.steady.since(since),
             };
             drop(view);
             if is_over {
--- a/src/scheduler/drive/tests.rs
+++ b/src/scheduler/drive/tests.rs
@@ -199,8 +199,9 @@
 
 /// A process stood still for 3.3 s. Meanwhile its lease ran out, and another node won the pool,
 /// received the end of a task's first run and reported the job as succeeded. The first owner had
-/// rightly assumed that run to have lapsed, and the next run had failed. It ordered a third run 2
-/// ms after it resumed, within the grace period of its lease and before any call to the store.
+/// rightly assumed that run to have lapsed, and the next run had failed. Two milliseconds after it
+/// resumed, it ordered a third run, within the grace period of its lease and before any call to the
+/// store.
 #[test]
 fn no_order_is_sent_after_a_pause_until_the_store_confirms_the_owner() {
     for pause_ms in [1_100, 2_500, 3_300] {
@@ -329,8 +330,8 @@
         world.apply_write(keys::node(&format!("n{number}")), bytes(&record));
     }
     for number in 0..WORKERS {
-        let entry = json!({ "service": "work", "address": UNREACHABLE, "zone": "z", "state": "ready",
-            "machine": format!("h{number}"), "capacity": { "cpu": 32_000, "mem_mb": 64_000 },
+        let entry = json!({ "service": "work", "address": UNREACHABLE, "zone": "z",
+            "state": "ready", "machine": format!("h{number}"), "capacity": { "cpu": 32_000, "mem_mb": 64_000 },
             "labels": ["a", "r"] });
         world.apply_write(format!("servers/w{number}"), bytes(&entry));
     }
--- a/src/scheduler/drive/tests/load.rs
+++ b/src/scheduler/drive/tests/load.rs
@@ -47,9 +47,9 @@
     assert!((MARKED..=2 * MARKED).contains(&checked), "{checked} marks checked");
 }
 
-/// Decisions take at most a quarter of a node's time as long as they are short. After a long one the
-/// pause is limited: otherwise, as tasks of 0.8 s ended, a quarter of their pool's capacity stayed
-/// free until the next decision, and callers were answered late.
+/// Decisions take at most a quarter of a node's time as long as they are short. After a long one
+/// the pause is limited: otherwise, as tasks of 0.8 s ended, a quarter of their pool's capacity
+/// stayed free until the next decision, and callers were answered late.
 #[test]
 fn decisions_take_at_most_a_quarter_of_the_time_and_pauses_at_most_60_ms() {
     for took in [1, 5, 20].map(Duration::from_millis) {
