--- a/src/scheduler/drive/tests.rs
+++ b/src/scheduler/drive/tests.rs
@@ -62,7 +62,7 @@
 struct World {
     node: Arc<Node>,
     lease: Arc<Lease>,
-    drive: Drive,
+    control_loop: Drive,
     next_lease: LeaseId,
     /// Writes in flight, with the lease that each of them carries.
     pending_writes: Vec<(String, LeaseId)>,
@@ -85,11 +85,11 @@
         let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
         let lease = Arc::new(Lease::default());
         let (inputs, _) = mpsc::unbounded_channel();
-        let drive = Drive::new(node.clone(), lease.clone(), Runners::new(), inputs);
+        let control_loop = Drive::new(node.clone(), lease.clone(), Runners::new(), inputs);
         World {
             node,
             lease,
-            drive,
+            control_loop,
             next_lease: 1,
             pending_writes: Vec::new(),
             won_leases: BTreeMap::new(),
@@ -107,7 +107,7 @@
         self.last_won = Some((name.clone(), token));
         let tenure = Tenure::new(&self.lease, id, self.node.now().steady);
         let won = Some(Won { token, earlier_owners: 0, tenure });
-        self.drive.take(Input::Reached { name, won });
+        self.control_loop.take(Input::Reached { name, won });
         self.check();
     }
 
@@ -140,9 +140,9 @@
 
     /// Checks what the node holds after an iteration or an input.
     fn check(&mut self) {
-        let won = self.drive.won.values().map(|won| won.token);
-        let owned = self.drive.owned.values().map(|owned| owned.owner.token);
-        let fleet = self.drive.fleet.iter().map(|owned| owned.fleet.token);
+        let won = self.control_loop.won.values().map(|won| won.token);
+        let owned = self.control_loop.owned.values().map(|owned| owned.owner.token);
+        let fleet = self.control_loop.fleet.iter().map(|owned| owned.fleet.token);
         for token in won.chain(owned).chain(fleet) {
             self.held_tokens += 1;
             let (won_lease, now) = (self.won_leases[&token], self.lease.last());
@@ -173,11 +173,11 @@
             Op::ConfirmAcquired => self.confirm_acquired(),
             Op::ShowOwner => self.show_owner(),
             Op::HandleInput => {
-                self.drive.take(Input::Deltas(Vec::new()));
+                self.control_loop.take(Input::Deltas(Vec::new()));
                 self.check();
             }
             Op::Tick => {
-                self.drive.step();
+                self.control_loop.step();
                 self.check();
             }
         }
@@ -217,13 +217,13 @@
         ] {
             world.apply(op);
         }
-        let send_check = world.drive.send_check("pool-work");
+        let send_check = world.control_loop.send_check("pool-work");
         assert!(send_check());
         world.node.clock.stand_still(pause_ms);
         assert!(!send_check(), "an order decided before a pause of {pause_ms} ms may be sent");
         world.apply(Op::RenewLease);
         assert!(!send_check(), "a lease renewal does not confirm the owner");
-        let tenure = world.drive.owned["pool-work"].tenure.clone();
+        let tenure = world.control_loop.owned["pool-work"].tenure.clone();
         tenure.confirm(world.node.now().steady);
         assert!(send_check());
     }
@@ -258,7 +258,7 @@
             saved: String::new(),
         }
     });
-    let owned = world.drive.owned.get_mut("pool-work").unwrap();
+    let owned = world.control_loop.owned.get_mut("pool-work").unwrap();
     let mut out = Vec::new();
     let worker = WorkerReport::without_place(&"w1".parse().unwrap(), "work").unwrap();
     owned.owner.handle(Event::Worker(worker), now, &mut out);
@@ -267,17 +267,17 @@
     let polled = Event::Looked { worker: "w1".parse().unwrap(), sent: now.steady, end };
     owned.owner.handle(polled, now, &mut out);
     let unknown = |world: &World| {
-        let jobs = world.drive.owned["pool-work"].owner.unknown_jobs();
+        let jobs = world.control_loop.owned["pool-work"].owner.unknown_jobs();
         jobs.into_iter().map(|(job, _)| job).collect::<Vec<JobId>>()
     };
     assert_eq!(unknown(&world), [absent, unreadable, ended]);
-    world.drive.resolve_unknown_jobs("pool-work", now);
+    world.control_loop.resolve_unknown_jobs("pool-work", now);
     assert_eq!(unknown(&world), [absent, unreadable]);
     let later = Now { steady: now.steady.after(10_000), ..now };
-    world.drive.resolve_unknown_jobs("pool-work", later);
+    world.control_loop.resolve_unknown_jobs("pool-work", later);
     assert_eq!(unknown(&world), [absent, unreadable], "the view may not include the job yet");
     world.answer_watches(later.steady);
-    world.drive.resolve_unknown_jobs("pool-work", later);
+    world.control_loop.resolve_unknown_jobs("pool-work", later);
     assert_eq!(unknown(&world), [unreadable], "its progress may become readable");
 }
 
@@ -298,7 +298,7 @@
     let (now, job) = (world.node.now(), JobId::from_number(1));
     let task = TaskId { of: StepId { job, time: 0, step: 0 }, index: 0 };
     let ended = vec![Ended { number: 1, task, run: 1, how: HowEnded::Done, saved: String::new() }];
-    let owned = world.drive.owned.get_mut("pool-work").unwrap();
+    let owned = world.control_loop.owned.get_mut("pool-work").unwrap();
     let mut out = Vec::new();
     let worker = WorkerReport::without_place(&"w1".parse().unwrap(), "work").unwrap();
     owned.owner.handle(Event::Worker(worker), now, &mut out);
@@ -306,8 +306,8 @@
     let polled = Event::Looked { worker: "w1".parse().unwrap(), sent: now.steady, end };
     owned.owner.handle(polled, now, &mut out);
     let later = Now { steady: now.steady.after(10_000), ..now };
-    world.drive.resolve_unknown_jobs("pool-work", later);
-    assert_eq!(world.drive.owned["pool-work"].owner.unknown_jobs().len(), 1);
+    world.control_loop.resolve_unknown_jobs("pool-work", later);
+    assert_eq!(world.control_loop.owned["pool-work"].owner.unknown_jobs().len(), 1);
 }
 
 /// After a change of owners, the first polls of 550 workers were all sent by the new owner's node,
@@ -331,14 +331,14 @@
     }
     for number in 0..WORKERS {
         let entry = json!({ "service": "work", "address": UNREACHABLE, "zone": "z",
-            "state": "ready", "machine": format!("h{number}"), "capacity": { "cpu": 32_000, "mem_mb": 64_000 },
-            "labels": ["a", "r"] });
+            "state": "ready", "machine": format!("h{number}"),
+            "capacity": { "cpu": 32_000, "mem_mb": 64_000 }, "labels": ["a", "r"] });
         world.apply_write(format!("servers/w{number}"), bytes(&entry));
     }
     for op in [Op::Acquire { fleet: false }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick] {
         world.apply(op);
     }
-    let orders = world.drive.owned["pool-work"].order_counts.take_summary();
+    let orders = world.control_loop.owned["pool-work"].order_counts.take_summary();
     assert_eq!(orders.pending, WORKERS as u64, "one poll for each worker");
     assert_eq!(orders.own, 0, "polls called directly by the owner's node");
 }
--- a/src/scheduler/drive/tests/behind.rs
+++ b/src/scheduler/drive/tests/behind.rs
@@ -61,8 +61,8 @@
     }
 
     fn owns(&self, fleet: bool) -> bool {
-        let drive = &self.world.drive;
-        if fleet { drive.fleet.is_some() } else { drive.owned.contains_key(POOL) }
+        let control_loop = &self.world.control_loop;
+        if fleet { control_loop.fleet.is_some() } else { control_loop.owned.contains_key(POOL) }
     }
 
     /// The watches are answered: nothing has changed until now.
@@ -93,9 +93,9 @@
         if is_answered {
             harness.answer_watches();
         }
-        let before = harness.world.drive.next_fleet_summary;
-        harness.world.drive.fleet_step(harness.now);
-        harness.world.drive.next_fleet_summary != before
+        let before = harness.world.control_loop.next_fleet_summary;
+        harness.world.control_loop.fleet_step(harness.now);
+        harness.world.control_loop.next_fleet_summary != before
     };
     assert!(!plans(1_500, false), "the watches have not answered yet");
     assert!(plans(1_500, true));
@@ -112,13 +112,13 @@
         let mut harness = Harness::start();
         harness.acquire(fleet);
         harness.answer_watches();
-        harness.world.drive.release_if_stale(harness.now);
+        harness.world.control_loop.release_if_stale(harness.now);
         let mut owns_after = |millis, successor| {
             harness.advance(millis);
             if successor {
                 harness.list_node("two");
             }
-            harness.world.drive.release_if_stale(harness.now);
+            harness.world.control_loop.release_if_stale(harness.now);
             harness.owns(fleet)
         };
         assert!(owns_after(4_000, true), "it may still catch up");
@@ -133,10 +133,10 @@
     let mut harness = Harness::start();
     harness.acquire(true);
     harness.answer_watches();
-    harness.world.drive.release_if_stale(harness.now);
+    harness.world.control_loop.release_if_stale(harness.now);
     for _ in 0..5 {
         harness.advance(1_500);
-        harness.world.drive.release_if_stale(harness.now);
+        harness.world.control_loop.release_if_stale(harness.now);
     }
     assert!(harness.owns(true));
 }
@@ -156,14 +156,14 @@
     harness.acquire(true);
     for _ in 0..5 {
         harness.advance(1_500);
-        harness.world.drive.release_if_stale(harness.now);
+        harness.world.control_loop.release_if_stale(harness.now);
     }
     assert!(harness.owns(true), "its view was never fresh while it owned the fleet");
     harness.answer_watches();
-    harness.world.drive.release_if_stale(harness.now);
+    harness.world.control_loop.release_if_stale(harness.now);
     for _ in 0..5 {
         harness.advance(1_500);
-        harness.world.drive.release_if_stale(harness.now);
+        harness.world.control_loop.release_if_stale(harness.now);
     }
     assert!(!harness.owns(true));
 }
@@ -180,15 +180,15 @@
         harness.world.node.view().note_answer(prefix, harness.now.steady);
     }
     let tries_to_acquire = |harness: &mut Harness| {
-        harness.world.drive.acquire(harness.now);
-        harness.world.drive.vacant.values().any(|vacancy| vacancy.acquiring)
+        harness.world.control_loop.acquire(harness.now);
+        harness.world.control_loop.vacant.values().any(|vacancy| vacancy.acquiring)
     };
     assert!(!tries_to_acquire(&mut harness));
     harness.advance(1_500);
     assert!(!tries_to_acquire(&mut harness), "other nodes come first");
     harness.advance(1_500);
     assert!(tries_to_acquire(&mut harness), "no other node acquired it");
-    harness.world.drive.vacant.clear();
+    harness.world.control_loop.vacant.clear();
     harness.answer_watches();
     tries_to_acquire(&mut harness);
     harness.advance(600);
@@ -206,9 +206,9 @@
     harness.acquire(false);
     // The lease is renewed too late, and the owner's own watch stays silent.
     harness.advance(2 * RECORDS_MS);
-    let before = harness.world.drive.owned[POOL].waiting_report.pending;
-    harness.world.drive.request_confirmation(POOL, harness.now);
-    let owned = &harness.world.drive.owned[POOL];
+    let before = harness.world.control_loop.owned[POOL].waiting_report.pending;
+    harness.world.control_loop.request_confirmation(POOL, harness.now);
+    let owned = &harness.world.control_loop.owned[POOL];
     assert!(harness.now.steady < owned.next_confirmation, "a confirmation was requested");
     assert_eq!(owned.waiting_report.pending, before);
 }
@@ -222,12 +222,12 @@
     let mut harness = Harness::start();
     harness.acquire(true);
     harness.acquire(false);
-    let drive = &mut harness.world.drive;
-    let calls = drive.fleet.as_ref().unwrap().tenure.clone();
-    let orders = drive.owned[POOL].tenure.clone();
+    let control_loop = &mut harness.world.control_loop;
+    let calls = control_loop.fleet.as_ref().unwrap().tenure.clone();
+    let orders = control_loop.owned[POOL].tenure.clone();
     assert!(calls.holds(harness.now.steady) && orders.allows_orders(harness.now.steady));
-    drive.release_ownership(keys::FLEET.to_owned(), harness.now);
-    drive.release_ownership(POOL.to_owned(), harness.now);
+    control_loop.release_ownership(keys::FLEET.to_owned(), harness.now);
+    control_loop.release_ownership(POOL.to_owned(), harness.now);
     assert!(!calls.holds(harness.now.steady), "a call to a host");
     assert!(!orders.allows_orders(harness.now.steady), "an order to a worker");
 }
@@ -247,17 +247,17 @@
     let (mut last_published, mut longest) = (harness.now.steady, 0);
     for _ in 0..100 {
         harness.advance(100);
-        let (now, drive) = (harness.now, &mut harness.world.drive);
-        let (name, token) = (POOL.to_owned(), drive.owned[POOL].owner.token);
+        let (now, control_loop) = (harness.now, &mut harness.world.control_loop);
+        let (name, token) = (POOL.to_owned(), control_loop.owned[POOL].owner.token);
         let (asked, at) = (now.steady, Revision(token));
-        drive.take(Input::Followed { name: name.clone(), token, asked, at });
-        drive.publish_report(POOL, now);
-        if drive.owned[POOL].waiting_report.pending == 0 {
+        control_loop.take(Input::Followed { name: name.clone(), token, asked, at });
+        control_loop.publish_report(POOL, now);
+        if control_loop.owned[POOL].waiting_report.pending == 0 {
             continue;
         }
-        let (counts, sent) = (drive.owned[POOL].owner.queued(), now.steady);
+        let (counts, sent) = (control_loop.owned[POOL].owner.queued(), now.steady);
         let result = OverwriteResult::Kept(Revision(1));
-        drive.take(Input::ReportWritten { name, token, counts, sent, result });
+        control_loop.take(Input::ReportWritten { name, token, counts, sent, result });
         longest = longest.max(sent.since(last_published));
         last_published = sent;
     }
--- a/src/scheduler/drive/tests/words.rs
+++ b/src/scheduler/drive/tests/words.rs
@@ -51,7 +51,7 @@
 
 impl World {
     fn owned(&self) -> &OwnedPool {
-        &self.drive.owned[POOL]
+        &self.control_loop.owned[POOL]
     }
 
     fn pending_reports(&self) -> usize {
@@ -67,7 +67,7 @@
     /// Finishes the write of the report that was sent at this time.
     fn finish_write(&mut self, sent: Steady, result: OverwriteResult) {
         let (token, counts) = (self.owned().owner.token, self.owned().owner.queued());
-        self.drive.take(Input::ReportWritten {
+        self.control_loop.take(Input::ReportWritten {
             name: POOL.to_owned(),
             token,
             counts,
@@ -79,14 +79,14 @@
     /// Whether the owner sends a report at this time.
     fn publishes(&mut self, now: Now) -> bool {
         let before = self.pending_reports();
-        self.drive.publish_report(POOL, now);
+        self.control_loop.publish_report(POOL, now);
         before < self.pending_reports()
     }
 
     /// The owner's watch returns all jobs that existed when it was sent.
     fn answer_watch(&mut self, asked: Steady) {
         let token = self.owned().owner.token;
-        self.drive.take(Input::Followed {
+        self.control_loop.take(Input::Followed {
             name: POOL.to_owned(),
             token,
             asked,
@@ -149,7 +149,10 @@
     let owner = bytes(&OwnerRecord { node: "one".to_owned(), life: 1 });
     world.apply_record(keys::owner(POOL), token, owner);
     world.apply(Op::Tick);
-    assert!(world.drive.owned.is_empty(), "it may not know all jobs accepted before token {token}");
+    assert!(
+        world.control_loop.owned.is_empty(),
+        "it may not know all jobs accepted before token {token}"
+    );
     let pool = "work".parse().unwrap();
     let record = JobRecord { pool, ..sample::record(Vec::new()) };
     let key = keys::job(&record.pool, JobId::from_number(1));
@@ -172,7 +175,7 @@
     assert!(!world.publishes(after(now, RECORDS_MS)));
     let later = after(now, STALE_JOBS_MS);
     assert!(!world.publishes(later));
-    world.drive.request_confirmation(POOL, later);
+    world.control_loop.request_confirmation(POOL, later);
     assert_eq!(world.pending_reports(), 0, "no report is sent to request a confirmation either");
     world.answer_watch(later.steady);
     assert!(world.publishes(later));
