--- a/src/scheduler/drive/keep.rs
+++ b/src/scheduler/drive/keep.rs
@@ -19,7 +19,7 @@
 const PROGRESS_BATCH: usize = (TXN_ENTRIES - 1) / 2;
 
 /// Maximum number of progress writes in flight per owner. A single one limited an owner to a
-/// thousand jobs a second, and a peak changes more.
+/// thousand jobs a second, and more change at a peak.
 const MAX_PENDING_WRITES: usize = 4;
 
 /// Minimum time between two progress writes of one owner, in milliseconds: changes close together
@@ -158,7 +158,7 @@
     }
 
     /// Removes the records of ended jobs, except their ends, once these are durable. The accepted
-    /// requests are most of what a node reads when it starts, and callers no longer need them.
+    /// requests are most of what a node reads when it starts, and no answer to callers needs them.
     pub(super) fn remove_ended_jobs(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
