--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Stateful fuzzing of owners: they are paused and replaced between any two steps, workers apply
-//! orders late, fall silent, crash, and are cut off from one owner and not from another, and
-//! answers of the store are lost. The oracle watches what workers really run, and shares no code
-//! with the decisions.
+//! Stateful fuzzing of owners against simulated workers and a simulated store. Owners are paused
+//! and replaced between any two steps; workers execute orders late, become unresponsive, crash, and
+//! are disconnected from some owners only; responses of the store are lost. The oracle checks the
+//! runs that workers actually execute and shares no code with the decisions.
 
 mod wire;
 
@@ -30,35 +30,38 @@
 const HOSTS: usize = 3;
 /// How long a worker runs a task, in milliseconds.
 const WORK_MS: u64 = 700;
-/// How long a start waits at the most before it is late: workers refuse it, unless they have
-/// started again.
-const HELD_MS: u64 = HOLD_MS;
-/// How long a worker takes to stop a run.
-const STOP_MS: u64 = 400;
-/// How long after a cancel no task may begin, for an owner that hears of it at once.
-const CANCEL_MS: u64 = 3_000;
-/// A task that has failed so often is not started again.
-const ATTEMPTS: usize = 3;
-/// How long after its start a task crashes its worker, and for how long that is down.
-const CRASH_MS: u64 = 20;
-const DOWN_MS: u64 = 2_000;
-/// A task may be given up once so many workers have crashed under it.
-const MAY_GIVE_UP: usize = 2;
-/// A task that has crashed three workers is started fewer times than this after the third.
-const STARTS_AFTER_THREE: usize = 3;
-
-/// Workers' records that one write changes: fewer than there are hosts, so that some follow later.
+/// After how long a delayed start order is late, in milliseconds: workers refuse it, unless they
+/// have restarted.
+const START_EXPIRY_MS: u64 = HOLD_MS;
+/// How long a worker takes to stop a run, in milliseconds.
+const STOP_DELAY_MS: u64 = 400;
+/// How long after a cancellation tasks may still start, in milliseconds, if the owner receives it
+/// immediately.
+const CANCEL_GRACE_MS: u64 = 3_000;
+/// Number of failures after which a task is not started again.
+const MAX_FAILURES: usize = 3;
+/// How long after its start a task crashes its worker, and how long the worker is then down, in
+/// milliseconds.
+const CRASH_DELAY_MS: u64 = 20;
+const DOWNTIME_MS: u64 = 2_000;
+/// Number of workers that must have crashed while running a task before it may be given up.
+const MIN_CRASHES_TO_GIVE_UP: usize = 2;
+/// A task that has crashed three workers must be started fewer times than this afterwards.
+const STARTS_AFTER_THREE_LIMIT: usize = 3;
+
+/// Maximum workers' records changed by one write: fewer than there are hosts, so that some follow
+/// in later writes.
 const ROSTER_BATCH: usize = 2;
 
-/// What becomes of an order or a write.
+/// How an order or a write is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, TypeGenerator)]
-enum Fate {
-    Done,
+enum Delivery {
+    Delivered,
     AnswerLost,
     Lost,
-    /// It never left the node that was to carry it out; a look may have, but nothing came back.
+    /// It never left the sending node; a poll may have, but its answer was lost.
     Unsent,
-    /// Unanswered, and carried out when the world gets round to it.
+    /// Unanswered, and executed by a later [`Op::DeliverLate`].
     Late,
 }
 
@@ -70,207 +73,216 @@
     Cancel {
         job: u8,
     },
-    /// Time passes, in steps of 20 ms.
-    Pass(u8),
-    /// All orders of the present owner are carried out and answered, and it works on.
+    /// Time advances by this number of 20 ms steps.
+    Advance(u8),
+    /// The current owner works for some rounds; all its orders are executed and answered.
     Run {
         rounds: u8,
     },
-    /// One order of an owner meets its fate.
-    Order {
+    /// One order of an owner is delivered or lost.
+    Deliver {
         owner: u8,
-        which: u8,
-        fate: Fate,
+        index: u8,
+        delivery: Delivery,
     },
     Work {
         owner: u8,
     },
-    Save {
+    PersistProgress {
         owner: u8,
-        fate: Fate,
+        delivery: Delivery,
     },
-    Roster {
+    PersistRoster {
         owner: u8,
-        fate: Fate,
+        delivery: Delivery,
     },
-    Mark {
+    ToggleDrain {
         host: u8,
     },
-    LateOrder {
-        which: u8,
+    /// One late order is executed, and the oldest late writes are made.
+    DeliverLate {
+        index: u8,
     },
-    /// Two owners work side by side.
+    /// A new owner takes over, and the earlier one keeps working beside it.
     Overlap {
         rounds: u8,
     },
-    Replace {
-        know: u8,
+    ReplaceOwner {
+        listed: u8,
     },
-    Crash {
+    /// A worker crashes, or one that is down restarts.
+    CrashOrRestart {
         host: u8,
     },
-    Cut {
+    Disconnect {
         host: u8,
         owner: u8,
     },
-    Heal,
+    ReconnectAll,
 }
 
-/// A run at a worker.
+/// A run on a worker.
 #[derive(Debug, Clone)]
 struct Run {
     run: u32,
-    left: u64,
-    stopping: Option<u64>,
+    remaining_ms: u64,
+    stops_at: Option<u64>,
 }
 
-/// A worker as it really is.
+/// The actual state of a worker.
 struct SimWorker {
     report: WorkerReport,
-    /// When its clock began.
-    since: u64,
+    /// When its clock started.
+    clock_start: u64,
     alive: bool,
-    /// Its clock's rate, in percent.
-    rate: u64,
-    /// How late it ends what has lapsed, in milliseconds.
-    lag: u64,
-    fence: u64,
-    until: u64,
+    /// The rate of its clock, in percent of real time.
+    clock_percent: u64,
+    /// How late it ends its runs once its lease has expired, in milliseconds.
+    expiry_lag: u64,
+    /// The highest fencing token that it has received.
+    fencing_token: u64,
+    /// When its lease expires, on its clock.
+    lease_until: u64,
     runs: BTreeMap<TaskId, Run>,
     ends: Vec<Ended>,
     next_end: u64,
-    /// The highest end that was listed when its time was over: by the contract, what is noted of it
-    /// later does not count, for good.
+    /// The highest end that was listed when the lease expired: by the platform's contract, a later
+    /// acknowledgement of these ends is never binding.
     lapsed_end: u64,
     /// The highest run of each task that was stopped or ended here.
-    over: BTreeMap<TaskId, u32>,
-    cut: BTreeSet<usize>,
-    /// When it crashes under a run.
-    crashes: Option<u64>,
-    /// When it is back, if it is down by a crash of that kind.
-    back: Option<u64>,
+    highest_over: BTreeMap<TaskId, u32>,
+    /// Owners that cannot reach it.
+    disconnected: BTreeSet<usize>,
+    /// When a run crashes it.
+    crash_at: Option<u64>,
+    /// When it restarts after such a crash.
+    restart_at: Option<u64>,
 }
 
-/// An owner and what it wants done.
-struct Held {
+/// An owner and its orders that are not yet delivered.
+struct SimOwner {
     owner: Owner,
-    allowed_until: u64,
+    /// When it must stop acting.
+    active_until: u64,
+    /// Orders, with the time when each was sent.
     orders: Vec<(Effect, u64)>,
-    /// The revision that it knows of the record of its workers.
-    roster_at: u64,
+    /// The revision of the roster that it knows.
+    roster_revision: u64,
 }
 
-/// How the next life of a worker is called.
+/// How a restarted worker is named.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Names {
-    /// It has a name of its own.
-    Fresh,
-    /// It has that of the one before, and tells when it started.
-    Kept,
+enum Naming {
+    /// Each incarnation has a new name.
+    Unique,
+    /// An incarnation keeps the worker's name and reports when it started.
+    Reused,
 }
 
-/// The truth.
-struct World {
-    names: Names,
+/// The simulated platform, with the actual state that the oracle checks.
+struct Simulation {
+    naming: Naming,
     now: u64,
     revision: u64,
-    owners: Vec<Held>,
+    owners: Vec<SimOwner>,
     token: u64,
     workers: Vec<SimWorker>,
-    /// How late workers end what has lapsed, in milliseconds.
-    lag: u64,
-    /// Answers that are not handled yet.
-    answers: Vec<wire::Answer>,
-    lives: u32,
+    /// How late workers end their runs once their lease has expired, in milliseconds.
+    expiry_lag: u64,
+    /// Answers that no owner has handled yet.
+    answers: Vec<wire::PendingAnswer>,
+    incarnations: u32,
     jobs: BTreeMap<JobId, StoredJob>,
     cancelled: BTreeMap<JobId, u64>,
     progress: BTreeMap<JobId, (Progress, u64)>,
-    /// What is kept of the workers, and the revision of its newest write.
+    /// The persisted roster, and the revision of its latest write.
     roster: (BTreeMap<Incarnation, WorkerReport>, Away, u64),
-    /// Hosts that are marked to be emptied.
-    marked: BTreeSet<usize>,
-    late: Vec<Effect>,
-    /// Whether the start that is carried out was sent so long ago that it is late.
-    is_late: bool,
+    /// Hosts with a drain mark.
+    draining: BTreeSet<usize>,
+    late_orders: Vec<Effect>,
+    /// Whether the start order that is being executed is late.
+    is_order_late: bool,
     late_saves: Vec<(u64, Vec<Save>)>,
     late_rosters: Vec<(u64, u64, RosterNote)>,
-    /// Jobs of which some run has begun at a worker.
-    begun: BTreeSet<JobId>,
-    /// Tasks that have really ended as done.
-    done: BTreeSet<TaskId>,
-    /// Ends that were acknowledged: done, and the failed runs.
-    noted_done: BTreeSet<TaskId>,
-    noted_failed: BTreeMap<TaskId, BTreeSet<u32>>,
-    /// Workers that have crashed under a run of a task, whatever the cause.
+    /// Jobs with a run that has started on a worker.
+    started_jobs: BTreeSet<JobId>,
+    /// Tasks with a run that has actually ended as done.
+    done_tasks: BTreeSet<TaskId>,
+    /// Tasks acknowledged as done, and runs acknowledged as failed.
+    acknowledged_done: BTreeSet<TaskId>,
+    acknowledged_failures: BTreeMap<TaskId, BTreeSet<u32>>,
+    /// Workers that have crashed while running a task, whatever the cause.
     crashed: BTreeMap<TaskId, BTreeSet<Incarnation>>,
-    /// Starts of each task after it had crashed three workers.
+    /// Number of starts of each task after it has crashed three workers.
     starts_after_three: BTreeMap<TaskId, usize>,
 }
 
-impl World {
-    fn new(lag: u64) -> World {
-        World::with(lag, Names::Fresh)
+impl Simulation {
+    fn new(expiry_lag: u64) -> Simulation {
+        Simulation::with(expiry_lag, Naming::Unique)
     }
 
-    fn with(lag: u64, names: Names) -> World {
-        let mut world = World {
-            names,
+    fn with(expiry_lag: u64, naming: Naming) -> Simulation {
+        let mut simulation = Simulation {
+            naming,
             now: 1_000,
             revision: 10,
             owners: Vec::new(),
             token: 0,
             workers: Vec::new(),
-            lag,
+            expiry_lag,
             answers: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             jobs: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             progress: BTreeMap::new(),
             roster: (BTreeMap::new(), Away::default(), 0),
-            marked: BTreeSet::new(),
-            late: Vec::new(),
-            is_late: false,
+            draining: BTreeSet::new(),
+            late_orders: Vec::new(),
+            is_order_late: false,
             late_saves: Vec::new(),
             late_rosters: Vec::new(),
-            begun: BTreeSet::new(),
-            done: BTreeSet::new(),
-            noted_done: BTreeSet::new(),
-            noted_failed: BTreeMap::new(),
+            started_jobs: BTreeSet::new(),
+            done_tasks: BTreeSet::new(),
+            acknowledged_done: BTreeSet::new(),
+            acknowledged_failures: BTreeMap::new(),
             crashed: BTreeMap::new(),
             starts_after_three: BTreeMap::new(),
         };
         for host in 0..HOSTS {
-            let worker = world.live(host);
-            world.workers.push(worker);
+            let worker = simulation.spawn_worker(host);
+            simulation.workers.push(worker);
         }
-        world.replace(true);
-        world
+        simulation.replace_owner(true);
+        simulation
     }
 
-    fn live(&mut self, host: usize) -> SimWorker {
-        self.lives += 1;
-        let name = match self.names {
-            Names::Fresh => format!("w{}", self.lives),
-            // The time of day has jumped back for each third life.
-            Names::Kept if self.lives.is_multiple_of(3) => format!("w{host}@{}", 900 - self.lives),
-            Names::Kept => format!("w{host}@{}", 1_000 + self.lives),
+    fn spawn_worker(&mut self, host: usize) -> SimWorker {
+        self.incarnations += 1;
+        let name = match self.naming {
+            Naming::Unique => format!("w{}", self.incarnations),
+            // For each third incarnation the wall clock has jumped back.
+            Naming::Reused if self.incarnations.is_multiple_of(3) => {
+                format!("w{host}@{}", 900 - self.incarnations)
+            }
+            Naming::Reused => format!("w{host}@{}", 1_000 + self.incarnations),
         };
         SimWorker {
             report: report(&name, &format!("h{host}")),
-            since: if self.names == Names::Kept { self.now } else { 0 },
+            clock_start: if self.naming == Naming::Reused { self.now } else { 0 },
             alive: true,
-            rate: [98, 100, 102][host % 3],
-            lag: self.lag,
-            fence: 0,
-            until: 0,
+            clock_percent: [98, 100, 102][host % 3],
+            expiry_lag: self.expiry_lag,
+            fencing_token: 0,
+            lease_until: 0,
             runs: BTreeMap::new(),
             ends: Vec::new(),
             next_end: 1,
             lapsed_end: 0,
-            over: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            crashes: None,
-            back: None,
+            highest_over: BTreeMap::new(),
+            disconnected: BTreeSet::new(),
+            crash_at: None,
+            restart_at: None,
         }
     }
 
@@ -279,32 +291,32 @@
         Now { steady: Steady::from_millis(self.now), wall }
     }
 
-    /// Another owner takes over, whether or not the one before it has been told. With `know`, the
-    /// workers' reports are listed; else only the roster tells of them.
-    fn replace(&mut self, know: bool) {
+    /// Another owner takes over, whether or not the earlier one notices. If `listed`, the workers'
+    /// reports are listed; otherwise the new owner only has the roster.
+    fn replace_owner(&mut self, listed: bool) {
         let now = self.now;
         if let Some(before) = self.owners.last_mut() {
-            before.allowed_until = before.allowed_until.min(now + LEASE_MS + OVERTIME_MS);
+            before.active_until = before.active_until.min(now + LEASE_MS + OVERTIME_MS);
         }
         self.revision += 1;
         self.token = self.revision;
         let earlier = self.owners.len() as u32;
         let mut owner = Owner::new(self.token, earlier, Steady::from_millis(now));
         let (mut out, at) = (Vec::new(), self.at());
-        let (workers, away, roster_at) = self.roster.clone();
+        let (workers, away, roster_revision) = self.roster.clone();
         owner.inherit(workers.into_values().collect(), &away, at, &mut out);
-        owner.set_emptying(self.marks());
-        for worker in self.workers.iter().filter(|worker| know && worker.alive) {
+        owner.set_emptying(self.drain_marks());
+        for worker in self.workers.iter().filter(|worker| listed && worker.alive) {
             owner.handle(Event::Worker(worker.report.clone()), at, &mut out);
         }
         for job in self.jobs.values() {
-            owner.handle(Event::Job(self.stored(job)), at, &mut out);
+            owner.handle(Event::Job(self.stored_view(job)), at, &mut out);
         }
         let orders = out.into_iter().map(|effect| (effect, now)).collect();
-        self.owners.push(Held { owner, allowed_until: u64::MAX, orders, roster_at });
+        self.owners.push(SimOwner { owner, active_until: u64::MAX, orders, roster_revision });
     }
 
-    fn stored(&self, job: &StoredJob) -> StoredJob {
+    fn stored_view(&self, job: &StoredJob) -> StoredJob {
         let mut job = job.clone();
         if let Some((progress, revision)) = self.progress.get(&job.id) {
             job.progress = Some(progress.clone().into());
@@ -314,75 +326,75 @@
         job
     }
 
-    fn current(&self) -> usize {
+    fn current_owner(&self) -> usize {
         self.owners.len() - 1
     }
 
-    fn tell(&mut self, owner: usize, event: Event) {
+    fn deliver(&mut self, owner: usize, event: Event) {
         let (at, now) = (self.at(), self.now);
-        let held = &mut self.owners[owner];
+        let sim_owner = &mut self.owners[owner];
         let mut out = Vec::new();
-        held.owner.handle(event, at, &mut out);
-        held.orders.extend(out.into_iter().map(|effect| (effect, now)));
+        sim_owner.owner.handle(event, at, &mut out);
+        sim_owner.orders.extend(out.into_iter().map(|effect| (effect, now)));
     }
 
     fn work(&mut self, owner: usize) {
-        let (at, now, last) = (self.at(), self.now, owner == self.current());
-        let held = &mut self.owners[owner];
-        if held.allowed_until <= now || held.owner.is_deposed() {
+        let (at, now, last) = (self.at(), self.now, owner == self.current_owner());
+        let sim_owner = &mut self.owners[owner];
+        if sim_owner.active_until <= now || sim_owner.owner.is_deposed() {
             return;
         }
         let mut out = Vec::new();
         if last {
-            held.owner.set_confirmed(at.steady);
+            sim_owner.owner.set_confirmed(at.steady);
         }
-        held.owner.work(at, &mut out);
-        held.orders.extend(out.into_iter().map(|effect| (effect, now)));
+        sim_owner.owner.work(at, &mut out);
+        sim_owner.orders.extend(out.into_iter().map(|effect| (effect, now)));
     }
 
-    fn marks(&self) -> BTreeMap<HostId, Revision> {
+    fn drain_marks(&self) -> BTreeMap<HostId, Revision> {
         let host = |host: &usize| format!("h{host}").parse().unwrap();
-        self.marked.iter().map(|marked| (host(marked), Revision(1))).collect()
+        self.draining.iter().map(|draining| (host(draining), Revision(1))).collect()
     }
 
-    /// Marks a host to be emptied, or takes the mark away; only the present owner is told.
-    fn mark(&mut self, host: usize) {
-        if !self.marked.remove(&host) {
-            self.marked.insert(host);
+    /// Adds or removes the drain mark of a host; only the current owner is notified.
+    fn toggle_drain(&mut self, host: usize) {
+        if !self.draining.remove(&host) {
+            self.draining.insert(host);
         }
-        let (marks, owner) = (self.marks(), self.current());
-        self.owners[owner].owner.set_emptying(marks);
+        let (drain_marks, owner) = (self.drain_marks(), self.current_owner());
+        self.owners[owner].owner.set_emptying(drain_marks);
     }
 
-    /// A write of what an owner's workers may hold meets its fate.
-    fn keep_roster(&mut self, owner: usize, fate: Fate) {
-        let held = &mut self.owners[owner];
-        let (token, expects) = (held.owner.token, held.roster_at);
-        let Some(note) = held.owner.roster_note(ROSTER_BATCH) else {
+    /// An owner writes its roster; the write is made or lost.
+    fn persist_roster(&mut self, owner: usize, delivery: Delivery) {
+        let sim_owner = &mut self.owners[owner];
+        let (token, expects) = (sim_owner.owner.token, sim_owner.roster_revision);
+        let Some(note) = sim_owner.owner.roster_note(ROSTER_BATCH) else {
             return;
         };
-        match fate {
-            Fate::Lost | Fate::Unsent => {}
-            Fate::Late => self.late_rosters.push((token, expects, note)),
-            Fate::AnswerLost => {
+        match delivery {
+            Delivery::Lost | Delivery::Unsent => {}
+            Delivery::Late => self.late_rosters.push((token, expects, note)),
+            Delivery::AnswerLost => {
                 self.write_roster(token, expects, &note);
             }
-            Fate::Done => {
+            Delivery::Delivered => {
                 let written = self.write_roster(token, expects, &note);
                 let found = self.roster.2;
-                let held = &mut self.owners[owner];
+                let sim_owner = &mut self.owners[owner];
                 match written {
-                    true => held.owner.rostered(&note, Revision(found)),
-                    // An earlier write without an answer was made.
+                    true => sim_owner.owner.rostered(&note, Revision(found)),
+                    // An earlier unanswered write was made.
                     false if token == self.token => {}
                     false => return,
                 }
-                held.roster_at = found;
+                sim_owner.roster_revision = found;
             }
         }
     }
 
-    /// Writes what workers may hold as the store does, under its conditions; whether they held.
+    /// Writes a roster under its conditions, as the store does. Returns whether they were met.
     fn write_roster(&mut self, token: u64, expects: u64, note: &RosterNote) -> bool {
         if token != self.token || self.roster.2 != expects {
             return false;
@@ -411,151 +423,151 @@
         self.revision += 1;
         let job = stored(number, steps, self.revision);
         self.jobs.insert(job.id, job.clone());
-        self.tell(self.current(), Event::Job(job));
+        self.deliver(self.current_owner(), Event::Job(job));
     }
 
     fn cancel(&mut self, job: u8) {
         let number = u64::from(job) % 6 + 1;
         if self.jobs.contains_key(&id(number)) {
             self.cancelled.entry(id(number)).or_insert(self.now);
-            self.tell(self.current(), Event::Cancelled(id(number)));
+            self.deliver(self.current_owner(), Event::Cancelled(id(number)));
         }
     }
 
-    /// Whether tasks of a job fail whatever runs them.
+    /// Whether the tasks of a job always fail.
     fn is_poison(&self, job: JobId) -> bool {
         job == id(4)
     }
 
-    /// Whether the first task of a job crashes whatever starts it.
-    fn crashes(&self, task: TaskId) -> bool {
+    /// Whether a task always crashes its worker: the first one of one job does.
+    fn crashes_worker(&self, task: TaskId) -> bool {
         task.of.job == id(5) && task.of.step == 0 && task.index == 0
     }
 
-    /// Whether a job may be shown as failed.
+    /// Whether a job may be reported as failed.
     fn may_fail(&self, job: JobId) -> bool {
         let crashed = self.crashed.iter().filter(|(task, _)| task.of.job == job);
-        self.is_poison(job) || crashed.into_iter().any(|(_, by)| MAY_GIVE_UP <= by.len())
+        self.is_poison(job) || crashed.into_iter().any(|(_, by)| MIN_CRASHES_TO_GIVE_UP <= by.len())
     }
 
-    fn pass(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         for _ in 0..millis / 20 {
             self.now += 20;
             for worker in 0..self.workers.len() {
-                self.crash_or_return(worker);
-                self.run_worker(worker);
+                self.run_timed_crash(worker);
+                self.advance_worker(worker);
             }
-            self.tell_overdue();
+            self.handle_overdue_answers();
         }
     }
 
-    fn crash_or_return(&mut self, place: usize) {
-        let (now, worker) = (self.now, &self.workers[place]);
-        if worker.alive && worker.crashes.is_some_and(|at| at <= now) {
-            self.crash(place);
-            self.workers[place].back = Some(now + DOWN_MS);
-        } else if !worker.alive && worker.back.is_some_and(|at| at <= now) {
-            self.crash(place);
+    fn run_timed_crash(&mut self, host: usize) {
+        let (now, worker) = (self.now, &self.workers[host]);
+        if worker.alive && worker.crash_at.is_some_and(|at| at <= now) {
+            self.crash_or_restart(host);
+            self.workers[host].restart_at = Some(now + DOWNTIME_MS);
+        } else if !worker.alive && worker.restart_at.is_some_and(|at| at <= now) {
+            self.crash_or_restart(host);
         }
     }
 
-    fn run_worker(&mut self, place: usize) {
-        if !self.workers[place].alive {
+    fn advance_worker(&mut self, host: usize) {
+        if !self.workers[host].alive {
             return;
         }
-        let clock = self.clock(place);
-        let worker = &self.workers[place];
-        if worker.until + worker.lag * worker.rate / 100 <= clock {
+        let clock = self.worker_clock(host);
+        let worker = &self.workers[host];
+        if worker.lease_until + worker.expiry_lag * worker.clock_percent / 100 <= clock {
             let listed = worker.ends.last().map_or(0, |end| end.number);
-            let worker = &mut self.workers[place];
+            let worker = &mut self.workers[host];
             worker.lapsed_end = worker.lapsed_end.max(listed);
-            let runs = std::mem::take(&mut self.workers[place].runs);
+            let runs = std::mem::take(&mut self.workers[host].runs);
             for (task, run) in runs {
-                self.end(place, task, run.run, HowEnded::Lapsed);
+                self.end_run(host, task, run.run, HowEnded::Lapsed);
             }
             return;
         }
         let now = self.now;
-        let mut over = Vec::new();
-        for (task, run) in &mut self.workers[place].runs {
-            run.left = run.left.saturating_sub(20);
-            if run.stopping.is_some_and(|at| at <= now) {
-                over.push((*task, run.run, HowEnded::Stopped));
-            } else if run.left == 0 {
-                over.push((*task, run.run, HowEnded::Done));
+        let mut finished = Vec::new();
+        for (task, run) in &mut self.workers[host].runs {
+            run.remaining_ms = run.remaining_ms.saturating_sub(20);
+            if run.stops_at.is_some_and(|at| at <= now) {
+                finished.push((*task, run.run, HowEnded::Stopped));
+            } else if run.remaining_ms == 0 {
+                finished.push((*task, run.run, HowEnded::Done));
             }
         }
-        for (task, run, how) in over {
+        for (task, run, how) in finished {
             let poison = how == HowEnded::Done && self.is_poison(task.of.job);
-            self.workers[place].runs.remove(&task);
-            self.end(place, task, run, if poison { HowEnded::Failed } else { how });
+            self.workers[host].runs.remove(&task);
+            self.end_run(host, task, run, if poison { HowEnded::Failed } else { how });
         }
     }
 
-    fn end(&mut self, place: usize, task: TaskId, run: u32, how: HowEnded) {
+    fn end_run(&mut self, host: usize, task: TaskId, run: u32, how: HowEnded) {
         if how == HowEnded::Done {
-            self.done.insert(task);
+            self.done_tasks.insert(task);
         }
-        let worker = &mut self.workers[place];
-        let highest = worker.over.entry(task).or_default();
+        let worker = &mut self.workers[host];
+        let highest = worker.highest_over.entry(task).or_default();
         *highest = (*highest).max(run);
         let number = worker.next_end;
         worker.next_end += 1;
         worker.ends.push(Ended { number, task, run, how, saved: String::new() });
     }
 
-    fn clock(&self, place: usize) -> u64 {
-        500 + (self.now - self.workers[place].since) * self.workers[place].rate / 100
+    fn worker_clock(&self, host: usize) -> u64 {
+        500 + (self.now - self.workers[host].clock_start) * self.workers[host].clock_percent / 100
     }
 
-    /// An order names the worker, whichever of its incarnations lives.
-    fn place_of(&self, id: &Incarnation) -> Option<usize> {
+    /// The host of a worker, whichever incarnation is alive: orders are addressed by worker name.
+    fn host_of(&self, id: &Incarnation) -> Option<usize> {
         self.workers.iter().position(|sim| sim.report.id.worker == id.worker)
     }
 
-    /// One order of an owner meets its fate.
-    fn order(&mut self, owner: usize, which: usize, fate: Fate) {
-        let held = &mut self.owners[owner];
-        if held.orders.is_empty() {
+    /// One order of an owner is delivered or lost.
+    fn deliver_order(&mut self, owner: usize, index: usize, delivery: Delivery) {
+        let sim_owner = &mut self.owners[owner];
+        if sim_owner.orders.is_empty() {
             return;
         }
-        let which = which % held.orders.len();
-        let (effect, sent) = held.orders.remove(which);
-        let allowed = self.now < held.allowed_until;
-        let reached = self.reaches(owner, &effect);
-        match fate {
-            _ if !allowed => self.unanswered(owner, effect, sent),
-            Fate::Done if reached => self.carry_out(owner, effect, sent, true),
-            Fate::AnswerLost if reached => self.carry_out(owner, effect, sent, false),
-            Fate::Unsent => self.unsent(owner, effect, sent, reached),
-            Fate::Late if reached => {
-                self.late.push(clone_order(&effect));
-                self.unanswered(owner, effect, sent);
+        let index = index % sim_owner.orders.len();
+        let (effect, sent) = sim_owner.orders.remove(index);
+        let allowed = self.now < sim_owner.active_until;
+        let reached = self.is_reachable(owner, &effect);
+        match delivery {
+            _ if !allowed => self.report_unanswered(owner, effect, sent),
+            Delivery::Delivered if reached => self.execute(owner, effect, sent, true),
+            Delivery::AnswerLost if reached => self.execute(owner, effect, sent, false),
+            Delivery::Unsent => self.report_unsent(owner, effect, sent, reached),
+            Delivery::Late if reached => {
+                self.late_orders.push(clone_order(&effect));
+                self.report_unanswered(owner, effect, sent);
             }
-            _ => self.unanswered(owner, effect, sent),
+            _ => self.report_unanswered(owner, effect, sent),
         }
     }
 
-    fn reaches(&self, owner: usize, effect: &Effect) -> bool {
-        let Some(place) = worker_of(effect).and_then(|worker| self.place_of(worker)) else {
+    fn is_reachable(&self, owner: usize, effect: &Effect) -> bool {
+        let Some(host) = worker_of(effect).and_then(|worker| self.host_of(worker)) else {
             return true;
         };
-        self.workers[place].alive && !self.workers[place].cut.contains(&owner)
+        self.workers[host].alive && !self.workers[host].disconnected.contains(&owner)
     }
 
-    /// An order is lost between two nodes. A look may have been carried out all the same.
-    fn unsent(&mut self, owner: usize, effect: Effect, sent: u64, reached: bool) {
+    /// An order is lost between two nodes. A poll may have been executed nevertheless.
+    fn report_unsent(&mut self, owner: usize, effect: Effect, sent: u64, reached: bool) {
         if reached && matches!(effect, Effect::Look { .. }) {
-            let _ = self.apply(clone_order(&effect), Steady::from_millis(sent));
+            let _ = self.apply_order(clone_order(&effect), Steady::from_millis(sent));
         }
-        self.ended_as(owner, effect, sent, true);
+        self.report_undelivered(owner, effect, sent, true);
     }
 
-    fn unanswered(&mut self, owner: usize, effect: Effect, sent: u64) {
-        self.ended_as(owner, effect, sent, false);
+    fn report_unanswered(&mut self, owner: usize, effect: Effect, sent: u64) {
+        self.report_undelivered(owner, effect, sent, false);
     }
 
-    fn ended_as(&mut self, owner: usize, effect: Effect, sent: u64, unsent: bool) {
+    fn report_undelivered(&mut self, owner: usize, effect: Effect, sent: u64, unsent: bool) {
         fn end<T>(unsent: bool) -> OrderEnd<T> {
             if unsent { OrderEnd::Unsent } else { OrderEnd::Unknown }
         }
@@ -571,24 +583,24 @@
             Effect::Look { to, .. } => Event::Looked { worker: to.worker, sent, end: end(unsent) },
             Effect::Pace { .. } | Effect::Advise { .. } => return,
         };
-        self.tell(owner, event);
+        self.deliver(owner, event);
     }
 
-    fn carry_out(&mut self, owner: usize, effect: Effect, sent: u64, answered: bool) {
+    fn execute(&mut self, owner: usize, effect: Effect, sent: u64, answered: bool) {
         let again = clone_order(&effect);
-        let event = self.apply(effect, Steady::from_millis(sent));
+        let event = self.apply_order(effect, Steady::from_millis(sent));
         match event {
-            Some(event) if answered => self.tell(owner, event),
-            _ => self.unanswered(owner, again, sent),
+            Some(event) if answered => self.deliver(owner, event),
+            _ => self.report_unanswered(owner, again, sent),
         }
     }
 
-    /// What a worker does with an order, and what it answers.
-    fn apply(&mut self, effect: Effect, sent: Steady) -> Option<Event> {
+    /// Executes an order on its worker and returns the worker's answer.
+    fn apply_order(&mut self, effect: Effect, sent: Steady) -> Option<Event> {
         match effect {
             Effect::Start { to, start } => {
                 let (task, run) = (start.task, start.run);
-                self.is_late = sent.after(HELD_MS) <= Steady::from_millis(self.now);
+                self.is_order_late = sent.after(START_EXPIRY_MS) <= Steady::from_millis(self.now);
                 let end = self.apply_start(&to.worker, to.token, task, run, start.until_ms);
                 Some(Event::Started { worker: to.worker, task, run, end })
             }
@@ -597,22 +609,22 @@
                 Some(Event::Stopped { worker: to.worker, task, run, end })
             }
             Effect::Look { to, acknowledged, until_ms, .. } => {
-                let end = self.apply_look(&to.worker, to.token, acknowledged, until_ms);
+                let end = self.apply_poll(&to.worker, to.token, acknowledged, until_ms);
                 Some(Event::Looked { worker: to.worker, sent, end })
             }
             Effect::Pace { .. } | Effect::Advise { .. } => None,
         }
     }
 
-    /// The worker that lives where an order went, if the order was meant for it.
-    fn meet(&mut self, worker: &Incarnation, token: u64) -> Result<usize, Refusal> {
-        let place = self.place_of(worker).ok_or(Refusal::OtherLife)?;
-        let sim = &mut self.workers[place];
-        if token < sim.fence {
+    /// The host of the worker that an order is for, unless the worker refuses the order.
+    fn admit_order(&mut self, worker: &Incarnation, token: u64) -> Result<usize, Refusal> {
+        let host = self.host_of(worker).ok_or(Refusal::OtherLife)?;
+        let sim = &mut self.workers[host];
+        if token < sim.fencing_token {
             return Err(Refusal::Fenced);
         }
-        sim.fence = token;
-        Ok(place)
+        sim.fencing_token = token;
+        Ok(host)
     }
 
     fn apply_start(
@@ -624,65 +636,76 @@
         until: u64,
     ) -> OrderEnd<u64> {
         let refused = |why| OrderEnd::Refused { why, clock_ms: None };
-        let place = match self.meet(worker, token) {
-            Ok(place) => place,
+        let host = match self.admit_order(worker, token) {
+            Ok(host) => host,
             Err(why) => return refused(why),
         };
-        let clock = self.clock(place);
+        let clock = self.worker_clock(host);
         if until <= clock {
             return refused(Refusal::Late);
         }
-        let sim = &mut self.workers[place];
-        sim.until = sim.until.max(until);
+        let sim = &mut self.workers[host];
+        sim.lease_until = sim.lease_until.max(until);
         if sim.runs.get(&task).is_some_and(|there| there.run == run) {
             return OrderEnd::Done(clock);
         }
-        if sim.over.get(&task).is_some_and(|over| run <= *over) || sim.runs.contains_key(&task) {
+        if sim.highest_over.get(&task).is_some_and(|over| run <= *over)
+            || sim.runs.contains_key(&task)
+        {
             return refused(Refusal::Old);
         }
         if 4 <= sim.runs.len() {
             return refused(Refusal::Room);
         }
-        self.check_start(place, task);
-        self.begun.insert(task.of.job);
-        self.workers[place].runs.insert(task, Run { run, left: WORK_MS, stopping: None });
-        if self.crashes(task) {
-            self.note_crashing_start(task);
-            self.workers[place].crashes.get_or_insert(self.now + CRASH_MS);
+        self.check_start(host, task);
+        self.started_jobs.insert(task.of.job);
+        self.workers[host].runs.insert(task, Run { run, remaining_ms: WORK_MS, stops_at: None });
+        if self.crashes_worker(task) {
+            self.count_crashing_start(task);
+            self.workers[host].crash_at.get_or_insert(self.now + CRASH_DELAY_MS);
         }
         OrderEnd::Done(clock)
     }
 
-    /// What must hold when a run begins.
-    fn check_start(&self, place: usize, task: TaskId) {
+    /// Checks the invariants that must hold when a run starts.
+    fn check_start(&self, host: usize, task: TaskId) {
         for (other, worker) in self.workers.iter().enumerate() {
             let runs = worker.alive && worker.runs.contains_key(&task);
-            assert!(other == place || !runs, "{task} runs twice at {} ms", self.now);
-        }
-        assert!(!self.noted_done.contains(&task), "{task} is started after its end was noted");
-        let failed = self.noted_failed.get(&task).map_or(0, BTreeSet::len);
-        assert!(failed < ATTEMPTS, "{task} is started after {failed} failures were noted");
+            assert!(other == host || !runs, "{task} runs twice at {} ms", self.now);
+        }
+        assert!(
+            !self.acknowledged_done.contains(&task),
+            "{task} starts after its acknowledged end"
+        );
+        let failed = self.acknowledged_failures.get(&task).map_or(0, BTreeSet::len);
+        assert!(failed < MAX_FAILURES, "{task} starts after {failed} acknowledged failures");
         let job = &self.jobs[&task.of.job];
         for earlier in &job.record.steps[task.of.step as usize].after {
             for index in 0..job.record.steps[*earlier as usize].count {
                 let of = StepId { step: *earlier, ..task.of };
-                assert!(self.done.contains(&TaskId { of, index }), "{task} begins too early");
+                assert!(self.done_tasks.contains(&TaskId { of, index }), "{task} starts too early");
             }
         }
-        // By the contract, no rule that bears a time binds an order that is carried out late. Without
-        // a restart the worker refuses it.
-        if let Some(at) = self.cancelled.get(&task.of.job).filter(|_| !self.is_late) {
-            assert!(self.now <= at + CANCEL_MS + LEASE_MS + OVERTIME_MS, "{task} was cancelled");
+        // By the platform's contract, time limits do not apply to an order that is executed late. A
+        // worker that has not restarted refuses such an order.
+        if let Some(at) = self.cancelled.get(&task.of.job).filter(|_| !self.is_order_late) {
+            assert!(
+                self.now <= at + CANCEL_GRACE_MS + LEASE_MS + OVERTIME_MS,
+                "{task} starts after its cancellation"
+            );
         }
     }
 
-    fn note_crashing_start(&mut self, task: TaskId) {
+    fn count_crashing_start(&mut self, task: TaskId) {
         if self.crashed.get(&task).map_or(0, BTreeSet::len) < 3 {
             return;
         }
         let starts = self.starts_after_three.entry(task).or_default();
         *starts += 1;
-        assert!(*starts < STARTS_AFTER_THREE, "{task} has crashed three, and starts on and on");
+        assert!(
+            *starts < STARTS_AFTER_THREE_LIMIT,
+            "{task} has crashed three workers and starts again"
+        );
     }
 
     fn apply_stop(
@@ -692,105 +715,116 @@
         task: TaskId,
         run: u32,
     ) -> OrderEnd<u64> {
-        let place = match self.meet(worker, token) {
-            Ok(place) => place,
+        let host = match self.admit_order(worker, token) {
+            Ok(host) => host,
             Err(why) => return OrderEnd::Refused { why, clock_ms: None },
         };
-        let (clock, now) = (self.clock(place), self.now);
-        let sim = &mut self.workers[place];
+        let (clock, now) = (self.worker_clock(host), self.now);
+        let sim = &mut self.workers[host];
         match sim.runs.get_mut(&task).filter(|there| there.run <= run) {
             Some(there) => {
-                there.stopping.get_or_insert(now + STOP_MS);
+                there.stops_at.get_or_insert(now + STOP_DELAY_MS);
             }
             None => {
-                let highest = sim.over.entry(task).or_default();
+                let highest = sim.highest_over.entry(task).or_default();
                 *highest = (*highest).max(run);
             }
         }
         OrderEnd::Done(clock)
     }
 
-    fn apply_look(
+    fn apply_poll(
         &mut self,
         worker: &Incarnation,
         token: u64,
         acknowledged: u64,
         until: Option<u64>,
     ) -> OrderEnd<Look> {
-        let place = match self.meet(worker, token) {
-            Ok(place) => place,
+        let host = match self.admit_order(worker, token) {
+            Ok(host) => host,
             Err(why) => return OrderEnd::Refused { why, clock_ms: None },
         };
-        let clock_ms = self.clock(place);
-        let noted: Vec<Ended> = {
-            let sim = &mut self.workers[place];
-            sim.until = sim.until.max(until.unwrap_or(0));
-            let (noted, left) = sim.ends.drain(..).partition(|end| end.number <= acknowledged);
+        let clock_ms = self.worker_clock(host);
+        let acknowledged_ends: Vec<Ended> = {
+            let sim = &mut self.workers[host];
+            sim.lease_until = sim.lease_until.max(until.unwrap_or(0));
+            let (acknowledged_ends, left) =
+                sim.ends.drain(..).partition(|end| end.number <= acknowledged);
             sim.ends = left;
-            noted
+            acknowledged_ends
         };
-        let lapsed_end = self.workers[place].lapsed_end;
-        noted.iter().for_each(|end| self.note(end, lapsed_end < end.number));
-        let sim = &self.workers[place];
+        let lapsed_end = self.workers[host].lapsed_end;
+        acknowledged_ends
+            .iter()
+            .for_each(|end| self.note_acknowledged(end, lapsed_end < end.number));
+        let sim = &self.workers[host];
         let present = sim.runs.iter().map(|(task, run)| Present {
             task: *task,
             run: run.run,
             saved: String::new(),
-            percent: (100 - run.left.min(WORK_MS) * 100 / WORK_MS) as u32,
+            percent: (100 - run.remaining_ms.min(WORK_MS) * 100 / WORK_MS) as u32,
             gauge: 0,
         });
         let (present, ended) = (present.collect(), sim.ends.clone());
         OrderEnd::Done(Look { born: sim.report.id.born, clock_ms, present, ended })
     }
 
-    /// An end is acknowledged: it must be durable by now. Whether it counts from now on, its worker's
-    /// time was never over since.
-    fn note(&mut self, end: &Ended, counts: bool) {
+    /// An end is acknowledged: it must be persisted by now. Later starts are checked against it if
+    /// `counts` is set, i.e. if the worker's lease has not expired since the end was listed.
+    fn note_acknowledged(&mut self, end: &Ended, counts: bool) {
         let job = end.task.of.job;
-        let over = self.cancelled.contains_key(&job)
+        let is_over = self.cancelled.contains_key(&job)
             || self.progress.get(&job).is_some_and(|(progress, _)| progress.state.is_final());
         let name = format!("{}.{}", end.task.of.time, end.task.of.step);
-        let kept = self.progress.get(&job).and_then(|(progress, _)| progress.steps.get(&name));
-        let kept_done = kept.is_some_and(|note| note.done.contains(&end.task.index));
+        let persisted = self.progress.get(&job).and_then(|(progress, _)| progress.steps.get(&name));
+        let persisted_done = persisted.is_some_and(|note| note.done.contains(&end.task.index));
         match end.how {
             HowEnded::Done => {
-                assert!(over || kept_done, "{} is acknowledged before it is durable", end.task);
+                assert!(
+                    is_over || persisted_done,
+                    "{} is acknowledged before it is persisted",
+                    end.task
+                );
                 if counts {
-                    self.noted_done.insert(end.task);
+                    self.acknowledged_done.insert(end.task);
                 }
             }
             HowEnded::Failed => {
-                let runs = kept.and_then(|note| note.tasks.get(&end.task.index));
-                let kept_failed = runs.is_some_and(|note| note.failed.contains(&end.run));
-                assert!(over || kept_done || kept_failed, "{}: failure not durable", end.task);
+                let runs = persisted.and_then(|note| note.tasks.get(&end.task.index));
+                let persisted_failed = runs.is_some_and(|note| note.failed.contains(&end.run));
+                assert!(
+                    is_over || persisted_done || persisted_failed,
+                    "{}: failure is not persisted",
+                    end.task
+                );
                 if counts {
-                    self.noted_failed.entry(end.task).or_default().insert(end.run);
+                    self.acknowledged_failures.entry(end.task).or_default().insert(end.run);
                 }
             }
             _ => {}
         }
     }
 
-    fn save(&mut self, owner: usize, fate: Fate) {
+    fn persist_progress(&mut self, owner: usize, delivery: Delivery) {
         let token = self.owners[owner].owner.token;
         let saves = self.owners[owner].owner.saves(15);
         if saves.is_empty() {
             return;
         }
-        match fate {
-            Fate::Lost | Fate::Unsent => self.owners[owner].owner.not_saved(&saves),
-            Fate::Late => {
+        match delivery {
+            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.not_saved(&saves),
+            Delivery::Late => {
                 self.owners[owner].owner.not_saved(&saves);
                 self.late_saves.push((token, saves));
             }
-            Fate::Done | Fate::AnswerLost => {
-                let written = self.write(token, &saves);
+            Delivery::Delivered | Delivery::AnswerLost => {
+                let written = self.write_progress(token, &saves);
                 match written {
-                    Ok(revision) if fate == Fate::Done => {
+                    Ok(revision) if delivery == Delivery::Delivered => {
                         self.owners[owner].owner.saved(&saves, revision);
                     }
-                    Err(moved) if fate == Fate::Done => {
-                        for (job, revision) in moved {
+                    Err(conflicts) if delivery == Delivery::Delivered => {
+                        for (job, revision) in conflicts {
                             self.owners[owner].owner.rebase(job, revision);
                         }
                         self.owners[owner].owner.not_saved(&saves);
@@ -801,14 +835,18 @@
         }
     }
 
-    /// Writes progress as the store does: all or nothing, under its conditions.
-    fn write(&mut self, token: u64, saves: &[Save]) -> Result<Revision, Vec<(JobId, Revision)>> {
+    /// Writes progress under its conditions, all or nothing, as the store does.
+    fn write_progress(
+        &mut self,
+        token: u64,
+        saves: &[Save],
+    ) -> Result<Revision, Vec<(JobId, Revision)>> {
         let at = |job: &JobId| self.progress.get(job).map_or(0, |(_, revision)| *revision);
-        let moved = saves.iter().filter(|save| at(&save.job) != save.expects.0);
-        let moved: Vec<(JobId, Revision)> =
-            moved.map(|save| (save.job, Revision(at(&save.job)))).collect();
-        if token != self.token || !moved.is_empty() {
-            return Err(if token == self.token { moved } else { Vec::new() });
+        let conflicts = saves.iter().filter(|save| at(&save.job) != save.expects.0);
+        let conflicts: Vec<(JobId, Revision)> =
+            conflicts.map(|save| (save.job, Revision(at(&save.job)))).collect();
+        if token != self.token || !conflicts.is_empty() {
+            return Err(if token == self.token { conflicts } else { Vec::new() });
         }
         self.revision += 1;
         for save in saves {
@@ -819,10 +857,13 @@
         Ok(Revision(self.revision))
     }
 
-    /// What must hold of what callers are shown.
+    /// Checks the invariants of the state that is reported to callers.
     fn check_progress(&self, job: JobId, progress: &Progress) {
         if let Some((before, _)) = self.progress.get(&job) {
-            assert!(!before.state.is_final() || before.state == progress.state, "{job} came back");
+            assert!(
+                !before.state.is_final() || before.state == progress.state,
+                "{job} left its final state"
+            );
         }
         match progress.state {
             JobState::Succeeded => {
@@ -831,73 +872,74 @@
                     for index in 0..step.count {
                         let of = StepId { job, time: 0, step: number as u32 };
                         let task = TaskId { of, index };
-                        assert!(self.done.contains(&task), "{job} succeeded without {task}");
+                        assert!(self.done_tasks.contains(&task), "{job} succeeded without {task}");
                     }
                 }
             }
             JobState::Failed => assert!(self.may_fail(job), "{job} failed without cause"),
-            JobState::Running => assert!(self.begun.contains(&job), "{job} is kept as begun"),
+            JobState::Running => assert!(self.started_jobs.contains(&job), "{job} has no run yet"),
             JobState::Queued | JobState::Cancelled => {}
         }
     }
 
-    /// The present owner knows all jobs, and counts none as begun of which no run has begun.
-    fn check_waiting(&self) {
-        let counted: usize = self.owners[self.current()].owner.queued().values().sum();
-        let waits = |job: &&JobId| !self.begun.contains(job) && !self.cancelled.contains_key(job);
+    /// The current owner knows all jobs and must not count a job as started before it has a run.
+    fn check_waiting_count(&self) {
+        let counted: usize = self.owners[self.current_owner()].owner.queued().values().sum();
+        let waits =
+            |job: &&JobId| !self.started_jobs.contains(job) && !self.cancelled.contains_key(job);
         let waiting = self.jobs.keys().filter(waits).count();
-        assert!(waiting <= counted, "{counted} jobs are said to wait, and {waiting} do");
+        assert!(waiting <= counted, "{counted} jobs are reported as waiting, but {waiting} wait");
     }
 
-    fn crash(&mut self, host: usize) {
+    fn crash_or_restart(&mut self, host: usize) {
         let host = host % HOSTS;
         if self.workers[host].alive {
             self.workers[host].alive = false;
             let id = self.workers[host].report.id.clone();
             let worker = &self.workers[host];
-            let untold = worker.ends.iter().map(|end| &end.task);
-            for task in worker.runs.keys().chain(untold) {
+            let unacknowledged = worker.ends.iter().map(|end| &end.task);
+            for task in worker.runs.keys().chain(unacknowledged) {
                 self.crashed.entry(*task).or_default().insert(id.clone());
             }
             return;
         }
-        self.workers[host] = self.live(host);
-        // Of some, looks tell before their entries do.
-        if self.names == Names::Fresh || self.lives.is_multiple_of(2) {
+        self.workers[host] = self.spawn_worker(host);
+        // Some new incarnations are polled before their entries are listed.
+        if self.naming == Naming::Unique || self.incarnations.is_multiple_of(2) {
             let report = self.workers[host].report.clone();
-            self.tell(self.current(), Event::Worker(report));
+            self.deliver(self.current_owner(), Event::Worker(report));
         }
     }
 
-    /// The present owner works undisturbed for some rounds.
-    fn run(&mut self, rounds: u8) {
+    /// The current owner works undisturbed for some rounds.
+    fn run_rounds(&mut self, rounds: u8) {
         for _ in 0..rounds {
-            self.round(self.current());
-            self.pass(60);
+            self.round(self.current_owner());
+            self.advance(60);
         }
     }
 
-    /// Another owner takes over, and the one before it, which was not told, works on beside it.
+    /// Another owner takes over, and the earlier one, which is not notified, keeps working.
     fn overlap(&mut self, rounds: u8) {
-        self.replace(true);
-        let (before, present) = (self.current() - 1, self.current());
+        self.replace_owner(true);
+        let (before, present) = (self.current_owner() - 1, self.current_owner());
         for _ in 0..rounds {
             self.round(before);
-            self.pass(20);
+            self.advance(20);
             self.round(present);
-            self.pass(40);
+            self.advance(40);
         }
     }
 
-    /// An owner works, all its orders are carried out, and what it wants kept is kept.
+    /// An owner works, all its orders are executed, and its progress and roster are persisted.
     fn round(&mut self, owner: usize) {
         self.work(owner);
         let orders = self.owners[owner].orders.len();
         for _ in 0..orders {
-            self.order(owner, 0, Fate::Done);
+            self.deliver_order(owner, 0, Delivery::Delivered);
         }
-        self.save(owner, Fate::Done);
-        self.keep_roster(owner, Fate::Done);
+        self.persist_progress(owner, Delivery::Delivered);
+        self.persist_roster(owner, Delivery::Delivered);
     }
 
     fn apply_op(&mut self, op: Op) {
@@ -905,80 +947,86 @@
         match op {
             Op::Submit { kind } => self.submit(kind),
             Op::Cancel { job } => self.cancel(job),
-            Op::Pass(steps) => self.pass(u64::from(steps) * 20),
-            Op::Run { rounds } => self.run(rounds % 24),
-            Op::Order { owner, which, fate } => {
-                self.order(owner as usize % owners, which as usize, fate);
+            Op::Advance(steps) => self.advance(u64::from(steps) * 20),
+            Op::Run { rounds } => self.run_rounds(rounds % 24),
+            Op::Deliver { owner, index, delivery } => {
+                self.deliver_order(owner as usize % owners, index as usize, delivery);
             }
             Op::Work { owner } => self.work(owner as usize % owners),
-            Op::Save { owner, fate } => self.save(owner as usize % owners, fate),
-            Op::Roster { owner, fate } => self.keep_roster(owner as usize % owners, fate),
-            Op::Mark { host } => self.mark(host as usize % HOSTS),
-            Op::LateOrder { which } => self.late_order(which as usize),
+            Op::PersistProgress { owner, delivery } => {
+                self.persist_progress(owner as usize % owners, delivery)
+            }
+            Op::PersistRoster { owner, delivery } => {
+                self.persist_roster(owner as usize % owners, delivery)
+            }
+            Op::ToggleDrain { host } => self.toggle_drain(host as usize % HOSTS),
+            Op::DeliverLate { index } => self.deliver_late(index as usize),
             Op::Overlap { rounds } if owners < 5 => self.overlap(rounds % 8),
             Op::Overlap { .. } => {}
-            Op::Replace { know } if owners < 5 => self.replace(know % 3 != 0),
-            Op::Replace { .. } => {}
-            Op::Crash { host } => self.crash(host as usize),
-            Op::Cut { host, owner } => {
-                self.workers[host as usize % HOSTS].cut.insert(owner as usize % owners);
+            Op::ReplaceOwner { listed } if owners < 5 => self.replace_owner(listed % 3 != 0),
+            Op::ReplaceOwner { .. } => {}
+            Op::CrashOrRestart { host } => self.crash_or_restart(host as usize),
+            Op::Disconnect { host, owner } => {
+                self.workers[host as usize % HOSTS].disconnected.insert(owner as usize % owners);
+            }
+            Op::ReconnectAll => {
+                self.workers.iter_mut().for_each(|worker| worker.disconnected.clear())
             }
-            Op::Heal => self.workers.iter_mut().for_each(|worker| worker.cut.clear()),
         }
     }
 
-    fn late_order(&mut self, which: usize) {
+    fn deliver_late(&mut self, index: usize) {
         if !self.late_rosters.is_empty() {
             let (token, expects, note) = self.late_rosters.remove(0);
             self.write_roster(token, expects, &note);
         }
         if !self.late_saves.is_empty() {
             let (token, saves) = self.late_saves.remove(0);
-            // Nobody hears of it.
-            let _ = self.write(token, &saves);
+            // No owner receives the result.
+            let _ = self.write_progress(token, &saves);
         }
-        if self.late.is_empty() {
+        if self.late_orders.is_empty() {
             return;
         }
-        let effect = self.late.remove(which % self.late.len());
+        let effect = self.late_orders.remove(index % self.late_orders.len());
         let alive = worker_of(&effect)
-            .and_then(|worker| self.place_of(worker))
-            .is_some_and(|place| self.workers[place].alive);
+            .and_then(|worker| self.host_of(worker))
+            .is_some_and(|host| self.workers[host].alive);
         if alive {
-            // Nobody hears of it.
-            let _ = self.apply(effect, Steady::default());
+            // No owner receives the answer.
+            let _ = self.apply_order(effect, Steady::default());
         }
     }
 
-    /// With all troubles over, every job ends as it should.
-    fn settle(&mut self) {
+    /// Removes all faults and checks that every job ends in the expected state.
+    fn heal_and_check(&mut self) {
         while !self.answers.is_empty() {
-            self.tell_answer(0);
+            self.handle_answer(0);
         }
-        for host in std::mem::take(&mut self.marked) {
-            self.marked.insert(host);
-            self.mark(host);
+        for host in std::mem::take(&mut self.draining) {
+            self.draining.insert(host);
+            self.toggle_drain(host);
         }
         for worker in 0..HOSTS {
-            self.workers[worker].cut.clear();
-            // One that is down may stay so: its work goes on elsewhere.
+            self.workers[worker].disconnected.clear();
+            // The first worker may stay down: its work continues elsewhere.
             if !self.workers[worker].alive && worker != 0 {
-                self.crash(worker);
+                self.crash_or_restart(worker);
             }
         }
-        // Workers whose reports were dropped with the store's leases list themselves again.
-        self.list_all();
-        // The entries of workers that stay down go, but for some.
+        // Workers whose reports were dropped with the store's leases register again.
+        self.list_workers();
+        // The entries of workers that stay down are removed, unless names are reused.
         for worker in 0..HOSTS {
-            if !self.workers[worker].alive && self.names == Names::Fresh {
+            if !self.workers[worker].alive && self.naming == Naming::Unique {
                 let id = self.workers[worker].report.id.worker.clone();
-                self.tell(self.current(), Event::Unlisted(id));
+                self.deliver(self.current_owner(), Event::Unlisted(id));
             }
         }
-        self.run_until_quiet();
+        self.run_to_completion();
         for (job, stored) in &self.jobs {
             let state = self.progress.get(job).map(|(progress, _)| progress.state);
-            let never = self.is_poison(*job) || self.crashes(first_task(*job));
+            let never = self.is_poison(*job) || self.crashes_worker(first_task(*job));
             let as_wanted = match state {
                 Some(JobState::Failed) => self.may_fail(*job),
                 Some(JobState::Succeeded) => !never,
@@ -986,26 +1034,26 @@
             };
             let steps = stored.record.steps.len();
             let ended = self.cancelled.contains_key(job) || as_wanted;
-            assert!(ended, "{job} of {steps} steps is {state:?} in the end");
+            assert!(ended, "{job} of {steps} steps ends as {state:?}");
         }
     }
 
-    fn run_until_quiet(&mut self) {
-        // Longer than everything that was held, waited for and tried again.
+    fn run_to_completion(&mut self) {
+        // Longer than all leases, waits and retries.
         for round in 0..600 {
-            self.run(1);
-            // Entries that came late, or whose workers have started again since.
-            if self.names == Names::Kept && round % 20 == 0 {
-                self.list_all();
+            self.run_rounds(1);
+            // Entries that are listed late, or whose workers have restarted since.
+            if self.naming == Naming::Reused && round % 20 == 0 {
+                self.list_workers();
             }
         }
     }
 
-    fn list_all(&mut self) {
+    fn list_workers(&mut self) {
         for worker in 0..HOSTS {
             if self.workers[worker].alive {
                 let report = self.workers[worker].report.clone();
-                self.tell(self.current(), Event::Worker(report));
+                self.deliver(self.current_owner(), Event::Worker(report));
             }
         }
     }
@@ -1043,23 +1091,23 @@
     }
 }
 
-fn play(names: Names, ops: &[Op]) {
-    let mut world = World::with(0, names);
-    world.submit(1);
-    world.run(4);
+fn simulate(naming: Naming, ops: &[Op]) {
+    let mut simulation = Simulation::with(0, naming);
+    simulation.submit(1);
+    simulation.run_rounds(4);
     for op in ops {
-        world.apply_op(*op);
-        world.check_waiting();
+        simulation.apply_op(*op);
+        simulation.check_waiting_count();
     }
-    world.settle();
+    simulation.heal_and_check();
 }
 
 #[test]
 fn no_task_runs_twice_and_every_job_ends_whatever_happens() {
-    fuzz(150, 60, |ops: &[Op]| play(Names::Fresh, ops));
+    fuzz(150, 60, |ops: &[Op]| simulate(Naming::Unique, ops));
 }
 
 #[test]
 fn no_task_runs_twice_though_workers_start_again_under_their_names() {
-    fuzz(150, 60, |ops: &[Op]| play(Names::Kept, ops));
+    fuzz(150, 60, |ops: &[Op]| simulate(Naming::Reused, ops));
 }
--- a/src/jobs/tests/fuzz/wire.rs
+++ b/src/jobs/tests/fuzz/wire.rs
@@ -1,10 +1,10 @@
-//! The same world, with all that several connections and helpers add: answers come late and in
-//! another order than the calls were carried out in, two looks are on their way at once, and workers
-//! end what has lapsed late.
+//! Fuzzing of the effects of several connections and delegates: answers arrive late and in another
+//! order than the calls were executed, two polls are in flight at once, and workers end their runs
+//! late after their lease has expired.
 
 use bolero::TypeGenerator;
 
-use super::{Names, Op, World, clone_order};
+use super::{Naming, Op, Simulation, clone_order};
 use crate::{
     jobs::{
         event::{Effect, Event},
@@ -17,113 +17,113 @@
     tests::fuzz,
 };
 
-/// How long an answer may wait to be handled, in milliseconds: the longest call by way of another
-/// node takes 1.6 s, and an owner that is paused handles it later than that.
-const HANDLED_MS: u64 = 3_000;
+/// How long an answer may wait to be handled, in milliseconds: the longest call through another
+/// node takes 1.6 s, and a paused owner handles it later than that.
+const MAX_ANSWER_DELAY_MS: u64 = 3_000;
 
-/// How late workers end what has lapsed, in milliseconds: as late as an owner reckons with, less
-/// the step in which time passes here, at the end of which they do it.
-const LAG_MS: u64 = LATE_MS - 25;
+/// How late workers end their runs after their lease has expired, in milliseconds: the maximum that
+/// an owner allows for, less one step of simulated time, at the end of which they do it.
+const EXPIRY_LAG_MS: u64 = LATE_MS - 25;
 
-/// Longer than any of these tests goes on, in milliseconds.
-const LONG_MS: u64 = 60_000;
+/// Longer than any of these tests runs, in milliseconds.
+const LONG_RUN_MS: u64 = 60_000;
 
-/// What happens on the wire.
+/// A network event.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
-enum Wire {
+enum NetworkEvent {
     Nothing,
-    /// An order is carried out, and its answer waits to be handled.
-    CarryOut {
+    /// An order is executed, and its answer is queued.
+    Execute {
         owner: u8,
-        which: u8,
+        index: u8,
     },
-    /// An order is carried out, and that its answer is lost waits to be handled.
-    Lose {
+    /// An order is executed, and the loss of its answer is queued.
+    ExecuteUnanswered {
         owner: u8,
-        which: u8,
+        index: u8,
     },
-    /// One of the answers that wait is handled.
-    Handle {
-        which: u8,
+    /// One of the queued answers is handled.
+    HandleAnswer {
+        index: u8,
     },
-    /// A worker does nothing for an order, and says so.
+    /// A worker refuses an order.
     Refuse {
         owner: u8,
-        which: u8,
+        index: u8,
     },
-    /// An owner decides while orders and answers are on their way.
+    /// An owner decides after a delay, while orders and answers are in flight.
     Decide {
         owner: u8,
-        pass: u8,
+        delay: u8,
     },
 }
 
-/// An operation, and what happens on the wire after it.
+/// An operation, followed by two network events.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
-struct Step {
+struct FuzzStep {
     op: Op,
-    first: Wire,
-    second: Wire,
+    first: NetworkEvent,
+    second: NetworkEvent,
 }
 
-/// An answer that waits to be handled.
-pub(super) struct Answer {
+/// An answer that is queued until its owner handles it.
+pub(super) struct PendingAnswer {
     owner: usize,
     due: u64,
-    /// None if the order's answer is lost.
+    /// `None` if the order's answer is lost.
     event: Option<Event>,
     effect: Effect,
     sent: u64,
 }
 
-impl World {
-    /// Has one of the answers that wait handled.
-    pub(super) fn tell_answer(&mut self, which: usize) {
+impl Simulation {
+    /// Handles one of the queued answers.
+    pub(super) fn handle_answer(&mut self, index: usize) {
         if self.answers.is_empty() {
             return;
         }
-        let answer = self.answers.remove(which % self.answers.len());
+        let answer = self.answers.remove(index % self.answers.len());
         match answer.event {
-            Some(event) => self.tell(answer.owner, event),
-            None => self.unanswered(answer.owner, answer.effect, answer.sent),
+            Some(event) => self.deliver(answer.owner, event),
+            None => self.report_unanswered(answer.owner, answer.effect, answer.sent),
         }
     }
 
-    /// Has those answers handled that have waited for as long as any does.
-    pub(super) fn tell_overdue(&mut self) {
+    /// Handles all answers that have waited for the maximum time.
+    pub(super) fn handle_overdue_answers(&mut self) {
         let now = self.now;
-        while let Some(place) = self.answers.iter().position(|answer| answer.due <= now) {
-            self.tell_answer(place);
+        while let Some(index) = self.answers.iter().position(|answer| answer.due <= now) {
+            self.handle_answer(index);
         }
     }
 
-    /// Takes an order of an owner, if it may still give any and the worker can be reached.
-    fn take_order(&mut self, owner: usize, which: u8) -> Option<(Effect, u64)> {
-        let held = &mut self.owners[owner];
-        if held.orders.is_empty() || held.allowed_until <= self.now {
+    /// Takes an order of an owner, if the owner may still act and reaches the worker.
+    fn take_order(&mut self, owner: usize, index: u8) -> Option<(Effect, u64)> {
+        let sim_owner = &mut self.owners[owner];
+        if sim_owner.orders.is_empty() || sim_owner.active_until <= self.now {
             return None;
         }
-        let which = which as usize % held.orders.len();
-        let order = held.orders.remove(which);
-        if self.reaches(owner, &order.0) {
+        let index = index as usize % sim_owner.orders.len();
+        let order = sim_owner.orders.remove(index);
+        if self.is_reachable(owner, &order.0) {
             return Some(order);
         }
-        self.unanswered(owner, order.0, order.1);
+        self.report_unanswered(owner, order.0, order.1);
         None
     }
 
-    fn carry_out_later_told(&mut self, owner: usize, which: u8, lost: bool) {
-        let Some((effect, sent)) = self.take_order(owner, which) else {
+    fn execute_with_queued_answer(&mut self, owner: usize, index: u8, lost: bool) {
+        let Some((effect, sent)) = self.take_order(owner, index) else {
             return;
         };
-        let event = self.apply(clone_order(&effect), Steady::from_millis(sent));
+        let event = self.apply_order(clone_order(&effect), Steady::from_millis(sent));
         let event = event.filter(|_| !lost);
-        let due = self.now + HANDLED_MS;
-        self.answers.push(Answer { owner, due, event, effect, sent });
+        let due = self.now + MAX_ANSWER_DELAY_MS;
+        self.answers.push(PendingAnswer { owner, due, event, effect, sent });
     }
 
-    fn refuse(&mut self, owner: usize, which: u8) {
-        let Some((effect, sent)) = self.take_order(owner, which) else {
+    fn refuse_order(&mut self, owner: usize, index: u8) {
+        let Some((effect, sent)) = self.take_order(owner, index) else {
             return;
         };
         fn refused<T>() -> OrderEnd<T> {
@@ -141,101 +141,102 @@
             Effect::Look { to, .. } => Event::Looked { worker: to.worker, sent, end: refused() },
             Effect::Pace { .. } | Effect::Advise { .. } => return,
         };
-        self.tell(owner, event);
+        self.deliver(owner, event);
     }
 
-    fn on_the_wire(&mut self, wire: Wire) {
+    fn apply_network_event(&mut self, event: NetworkEvent) {
         let owners = self.owners.len();
-        match wire {
-            Wire::Nothing => {}
-            Wire::CarryOut { owner, which } => {
-                self.carry_out_later_told(owner as usize % owners, which, false);
+        match event {
+            NetworkEvent::Nothing => {}
+            NetworkEvent::Execute { owner, index } => {
+                self.execute_with_queued_answer(owner as usize % owners, index, false);
             }
-            Wire::Lose { owner, which } => {
-                self.carry_out_later_told(owner as usize % owners, which, true);
+            NetworkEvent::ExecuteUnanswered { owner, index } => {
+                self.execute_with_queued_answer(owner as usize % owners, index, true);
             }
-            Wire::Handle { which } => self.tell_answer(which as usize),
-            Wire::Refuse { owner, which } => self.refuse(owner as usize % owners, which),
-            Wire::Decide { owner, pass } => {
-                self.pass(u64::from(pass % 32) * 20);
+            NetworkEvent::HandleAnswer { index } => self.handle_answer(index as usize),
+            NetworkEvent::Refuse { owner, index } => {
+                self.refuse_order(owner as usize % owners, index)
+            }
+            NetworkEvent::Decide { owner, delay } => {
+                self.advance(u64::from(delay % 32) * 20);
                 self.work(owner as usize % owners);
             }
         }
     }
 }
 
-/// Workers end what has lapsed as late as an owner reckons with, whatever the order in which calls
-/// are carried out and their answers are handled.
+/// Workers end their runs as late after their lease as an owner allows for, and calls are executed
+/// and their answers handled in any order.
 #[test]
 fn no_task_runs_twice_whatever_the_order_of_calls_and_answers() {
-    fuzz(150, 60, |steps: &[Step]| play(Names::Fresh, steps));
+    fuzz(150, 60, |steps: &[FuzzStep]| simulate(Naming::Unique, steps));
 }
 
 #[test]
 fn no_task_runs_twice_whatever_the_order_of_calls_to_workers_that_start_again() {
-    fuzz(150, 60, |steps: &[Step]| play(Names::Kept, steps));
+    fuzz(150, 60, |steps: &[FuzzStep]| simulate(Naming::Reused, steps));
 }
 
-fn play(names: Names, steps: &[Step]) {
-    let mut world = World::with(LAG_MS, names);
-    world.submit(1);
-    world.run(4);
+fn simulate(naming: Naming, steps: &[FuzzStep]) {
+    let mut simulation = Simulation::with(EXPIRY_LAG_MS, naming);
+    simulation.submit(1);
+    simulation.run_rounds(4);
     for step in steps {
-        world.apply_op(step.op);
-        world.check_waiting();
-        world.on_the_wire(step.first);
-        world.on_the_wire(step.second);
-        world.check_waiting();
+        simulation.apply_op(step.op);
+        simulation.check_waiting_count();
+        simulation.apply_network_event(step.first);
+        simulation.apply_network_event(step.second);
+        simulation.check_waiting_count();
     }
-    world.settle();
+    simulation.heal_and_check();
 }
 
-/// What users would see: a task that must run once ran twice, after a zone had been cut off. The owner's
-/// node was cut off from the store and from the worker of the task, and reached another worker. A
-/// node on the other side won the pool, found the run and let it go on. The owner before went on in
-/// its overtime: 3.9 s after its last word of the silent worker it took all that ran there for
-/// lapsed, though another had given it more time, and started the task on the worker that the later
-/// owner did not reach. Evidence: fuzzing of calls and answers, seed 20011, shortened by hand.
+/// A task must not run twice after a zone is cut off. The earlier owner no longer reaches the store
+/// and the task's worker; a later owner adopts the run and renews the worker's lease. In its grace
+/// period, 3.9 s after the last answer of the silent worker, the earlier owner must not assume that
+/// the lease has expired and start the task on a worker that the later owner does not reach. Seed
+/// 20011, shortened by hand.
 #[test]
-fn what_runs_at_a_silent_worker_does_not_lapse_for_an_owner_that_may_have_been_followed() {
-    let mut world = World::new(0);
-    world.submit(0);
-    world.run(4);
-    let place = world.workers.iter().position(|worker| !worker.runs.is_empty());
-    let place = place.expect("the task runs");
-    for run in world.workers[place].runs.values_mut() {
-        run.left = LONG_MS;
+fn an_earlier_owner_does_not_assume_that_the_lease_of_a_silent_worker_has_expired() {
+    let mut simulation = Simulation::new(0);
+    simulation.submit(0);
+    simulation.run_rounds(4);
+    let host = simulation.workers.iter().position(|worker| !worker.runs.is_empty());
+    let host = host.expect("the task runs");
+    for run in simulation.workers[host].runs.values_mut() {
+        run.remaining_ms = LONG_RUN_MS;
     }
-    world.workers[place].cut.insert(0);
-    world.replace(true);
-    for other in (0..super::HOSTS).filter(|other| *other != place) {
-        world.workers[other].cut.insert(1);
+    simulation.workers[host].disconnected.insert(0);
+    simulation.replace_owner(true);
+    for other in (0..super::HOSTS).filter(|other| *other != host) {
+        simulation.workers[other].disconnected.insert(1);
     }
-    while world.now < world.owners[0].allowed_until {
-        world.round(0);
-        world.round(1);
-        world.pass(60);
+    while simulation.now < simulation.owners[0].active_until {
+        simulation.round(0);
+        simulation.round(1);
+        simulation.advance(60);
     }
-    assert!(!world.workers[place].runs.is_empty(), "the later owner lets it run on");
+    assert!(!simulation.workers[host].runs.is_empty(), "the later owner lets the run continue");
 }
 
-/// As above, but the run has ended, and the later owner has shown that its job succeeded.
+/// As above, but the run has ended, and the later owner has reported its job as succeeded.
 #[test]
-fn what_a_later_owner_has_shown_as_done_is_not_started_by_the_one_before() {
-    let mut world = World::new(0);
-    world.submit(0);
-    world.run(4);
-    let place = world.workers.iter().position(|worker| !worker.runs.is_empty());
-    let place = place.expect("the task runs");
-    world.workers[place].cut.insert(0);
-    world.replace(true);
-    for other in (0..super::HOSTS).filter(|other| *other != place) {
-        world.workers[other].cut.insert(1);
+fn a_task_done_under_a_later_owner_is_not_started_by_the_earlier_one() {
+    let mut simulation = Simulation::new(0);
+    simulation.submit(0);
+    simulation.run_rounds(4);
+    let host = simulation.workers.iter().position(|worker| !worker.runs.is_empty());
+    let host = host.expect("the task runs");
+    simulation.workers[host].disconnected.insert(0);
+    simulation.replace_owner(true);
+    for other in (0..super::HOSTS).filter(|other| *other != host) {
+        simulation.workers[other].disconnected.insert(1);
     }
-    while world.now < world.owners[0].allowed_until {
-        world.round(0);
-        world.round(1);
-        world.pass(60);
+    while simulation.now < simulation.owners[0].active_until {
+        simulation.round(0);
+        simulation.round(1);
+        simulation.advance(60);
     }
-    assert!(!world.noted_done.is_empty(), "the later owner has noted it");
+    assert!(!simulation.acknowledged_done.is_empty(), "the later owner has acknowledged the end");
 }
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: pools, services and teams, and the changes that make it up.
+//! Operator configuration: pools, services and teams, and the changes that produce it.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
     unit::{Megabytes, Millicores, PerSecond, Time},
 };
 
-/// What a task needs of its host, or what a host has.
+/// Resources that a task requires or that a host offers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Resources {
     pub(crate) cores: Millicores,
@@ -26,7 +26,7 @@
             && need.accelerators <= self.accelerators
     }
 
-    /// These resources without `used`; never below zero.
+    /// These resources minus `used`, saturating at zero.
     pub(crate) fn less(self, used: Resources) -> Resources {
         Resources {
             cores: Millicores(self.cores.0.saturating_sub(used.cores.0)),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// These resources and `more`.
+    /// The sum of these resources and `more`.
     pub(crate) fn plus(self, more: Resources) -> Resources {
         Resources {
             cores: Millicores(self.cores.0.saturating_add(more.cores.0)),
@@ -45,7 +45,7 @@
     }
 }
 
-/// The failure domain whose loss a service's budget must always leave room for.
+/// The failure domain whose outage a service's availability budget must be able to absorb.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Domain {
@@ -55,49 +55,49 @@
     Zone,
 }
 
-/// What an operator asks of a service.
+/// Configuration of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Service {
     /// The pool whose hosts run the tasks.
     pub(crate) pool: PoolId,
     /// The team that owns the service.
     pub(crate) team: TeamId,
-    /// The class of a request that names none.
+    /// The class of requests that name none.
     pub(crate) class: Class,
-    /// How many tasks run.
+    /// Number of tasks.
     pub(crate) tasks: u32,
-    /// What each task needs.
+    /// Resources that each task requires.
     pub(crate) need: Resources,
     /// The availability budget: how many tasks may be unavailable at one time, for any reason.
     pub(crate) max_down: u32,
-    /// The failure domain that the budget must survive on top of what is already down.
+    /// The failure domain that may fail on top of the tasks already down within the budget.
     pub(crate) survive: Domain,
-    /// Requests that one task runs at one time.
+    /// Maximum concurrent requests of one task.
     pub(crate) slots: u32,
-    /// Connections that one task accepts from all nodes together.
+    /// Maximum connections that one task accepts from all nodes together.
     pub(crate) connections: u32,
     /// Whether a request runs at most once (true: not repeatable).
     pub(crate) once: bool,
-    /// Whether a task's successor may start before the task ends. Without it, a task that moves
-    /// is unavailable meanwhile, and its host needs a permit.
+    /// Whether a task's successor may start before the task ends. Otherwise a task is unavailable
+    /// while it moves, and its host needs a permit.
     pub(crate) surge: bool,
 }
 
-/// What an operator asks of a pool.
+/// Configuration of a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Pool {
-    /// How many hosts the pool should have.
+    /// Target number of hosts.
     pub(crate) hosts: u32,
 }
 
-/// What an operator allows a team.
+/// Limits of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Team {
-    /// Requests a second over all nodes.
+    /// Requests per second over all nodes.
     pub(crate) rate: PerSecond,
 }
 
-/// The configuration in force.
+/// The effective configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Config {
     pub(crate) pools: BTreeMap<PoolId, Pool>,
@@ -113,7 +113,7 @@
     pub(crate) teams: BTreeMap<TeamId, Option<Team>>,
 }
 
-/// A change as it stands in the store, under its number.
+/// A change as stored under its number.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChangeRecord {
     pub(crate) op: OpId,
@@ -122,16 +122,16 @@
     pub(crate) change: Change,
 }
 
-/// All changes up to a number, folded into one value.
+/// A snapshot of all changes up to a number.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct ConfigBase {
-    /// The last change that the value holds; zero if none.
+    /// Number of the last change that the snapshot includes; zero if none.
     pub(crate) through: u64,
     pub(crate) config: Config,
 }
 
 impl Change {
-    /// Whether the change changes nothing.
+    /// Whether the change has no entries.
     pub(crate) fn is_empty(&self) -> bool {
         self.pools.is_empty() && self.services.is_empty() && self.teams.is_empty()
     }
@@ -145,13 +145,13 @@
         merge(&mut self.teams, &change.teams);
     }
 
-    /// The change that leads from this configuration to one that also holds `wanted`. Entries that
-    /// `wanted` does not name stay as they are.
+    /// The change that adds or updates all entries of `wanted`. Entries that `wanted` does not
+    /// contain stay as they are.
     pub(crate) fn change_to(&self, wanted: &Config) -> Change {
         Change {
-            pools: differing(&self.pools, &wanted.pools),
-            services: differing(&self.services, &wanted.services),
-            teams: differing(&self.teams, &wanted.teams),
+            pools: changed_entries(&self.pools, &wanted.pools),
+            services: changed_entries(&self.services, &wanted.services),
+            teams: changed_entries(&self.teams, &wanted.teams),
         }
     }
 }
@@ -165,11 +165,11 @@
     }
 }
 
-fn differing<K: Ord + Clone, V: Clone + PartialEq>(
-    now: &BTreeMap<K, V>,
+fn changed_entries<K: Ord + Clone, V: Clone + PartialEq>(
+    current: &BTreeMap<K, V>,
     wanted: &BTreeMap<K, V>,
 ) -> BTreeMap<K, Option<V>> {
-    let changed = wanted.iter().filter(|(key, value)| now.get(*key) != Some(*value));
+    let changed = wanted.iter().filter(|(key, value)| current.get(*key) != Some(*value));
     changed.map(|(key, value)| (key.clone(), Some(value.clone()))).collect()
 }
 
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -1,4 +1,4 @@
-//! Hosts: the record that assigns one, and what the platform reports of it.
+//! Hosts: the record that assigns one, and the platform's report on it.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,19 +8,20 @@
     unit::{Epoch, Time},
 };
 
-/// What a host is doing, by decision of this program.
+/// The state of a host as decided by this program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum HostState {
-    /// It may run tasks, and their endpoints get requests.
+    /// The host may run tasks, and their endpoints get requests.
     Serving,
-    /// Its endpoints serve, but it gets no new tasks: the successors of its tasks are starting.
+    /// Its endpoints get requests, but it gets no new tasks: the successors of its tasks are
+    /// starting elsewhere.
     Closing,
-    /// Its endpoints get no new requests; its tasks move away.
+    /// Its endpoints get no new requests, and its tasks are moved off.
     Leaving,
-    /// It runs nothing and is being rebooted.
+    /// The host runs nothing and is being rebooted.
     Away,
-    /// It runs nothing until an operator releases it.
+    /// The host runs nothing until an operator releases it.
     Quarantined,
 }
 
@@ -31,17 +32,17 @@
     }
 }
 
-/// The last thing a plan did with a host.
+/// How a plan ended with a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum HostOutcome {
-    /// The plan did to the host what it was to do.
+    /// The plan's action on the host is complete.
     Done,
-    /// The plan gave the host back, with the reason.
+    /// The plan released the host without completing its action, for this reason.
     Skipped(String),
 }
 
-/// The assignment of a host: one key of the store, so that it names exactly one pool.
+/// The assignment of a host. It is stored under a single key, so a host is in exactly one pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HostRecord {
     pub(crate) pool: PoolId,
@@ -51,69 +52,69 @@
     pub(crate) since: Time,
     /// The write that set this record.
     pub(crate) op: OpId,
-    /// The plan that holds the host now.
+    /// The plan that currently holds the host.
     pub(crate) plan: Option<PlanId>,
-    /// The latest plans that ended with this host, and how; the newest is last. Plans that name the
-    /// same host, because two operators confirmed at one time, must each find its own end here.
+    /// The outcomes of the latest plans for this host, newest last. If two operators confirm plans
+    /// that name the same host at the same time, each plan must find its own outcome here.
     pub(crate) ended: Vec<(PlanId, HostOutcome)>,
 }
 
-/// Plans whose end with a host is remembered.
-const ENDED_KEPT: usize = 8;
+/// Number of plan outcomes kept per host.
+const MAX_OUTCOMES: usize = 8;
 
 impl HostRecord {
-    /// How a plan ended with this host, if it has.
+    /// How a plan ended with this host, if it has ended.
     pub(crate) fn outcome(&self, plan: &PlanId) -> Option<&HostOutcome> {
         self.ended.iter().rev().find(|(id, _)| id == plan).map(|(_, outcome)| outcome)
     }
 
-    /// Notes that a plan has ended with this host.
+    /// Records that a plan has ended with this host.
     pub(crate) fn end(&mut self, plan: &PlanId, outcome: HostOutcome) {
         self.plan = None;
         self.ended.push((plan.clone(), outcome));
-        let surplus = self.ended.len().saturating_sub(ENDED_KEPT);
+        let surplus = self.ended.len().saturating_sub(MAX_OUTCOMES);
         self.ended.drain(..surplus);
     }
 }
 
-/// One task as its worker reports it.
+/// A worker's report on one task.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct TaskReport {
     pub(crate) service: ServiceId,
     pub(crate) index: u32,
-    /// Which start of the task this is.
+    /// Number of this start of the task.
     pub(crate) generation: u64,
     /// Whether its endpoint answers.
     pub(crate) ready: bool,
     /// IP address and port of its endpoint.
     pub(crate) address: String,
-    /// Requests running at its endpoint.
+    /// Requests in progress at its endpoint.
     pub(crate) in_flight: u32,
 }
 
-/// A host as the platform's list shows it, with a lag.
+/// A host as the platform lists it; the list lags behind the host's actual state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HostReport {
     pub(crate) host: HostId,
     pub(crate) rack: RackId,
     pub(crate) zone: ZoneId,
-    /// IP address and port at which the worker takes commands.
+    /// IP address and port at which the worker accepts commands.
     pub(crate) address: String,
     pub(crate) capacity: Resources,
-    /// Whether the platform hears from the worker. Only the platform's own word makes a host dead:
-    /// a list that cannot be fetched makes every host unknown, not dead.
+    /// Whether the platform receives heartbeats from the worker. Only this flag makes a host dead:
+    /// when the list cannot be fetched, the state of every host is unknown, not dead.
     pub(crate) live: bool,
-    /// The epoch of the last reboot that the worker did on command.
+    /// The epoch of the last reboot that the worker performed on command.
     pub(crate) booted: Epoch,
-    /// The newest host epoch that the worker has been told.
+    /// The newest host epoch that the worker has received.
     pub(crate) epoch: Epoch,
     pub(crate) tasks: Vec<TaskReport>,
-    /// Requests that still run at endpoints of tasks that have ended.
+    /// Requests still in progress at endpoints of tasks that have ended.
     pub(crate) ending: u32,
 }
 
 impl HostReport {
-    /// Requests that run on the host.
+    /// Requests in progress on the host.
     pub(crate) fn in_flight(&self) -> u32 {
         self.tasks.iter().map(|task| task.in_flight).sum::<u32>() + self.ending
     }
--- a/src/model/id.rs
+++ b/src/model/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers: each kind has a type of its own, so that one cannot stand in for another.
+//! Identifiers: each kind has its own type, so that one cannot be passed in place of another.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -7,7 +7,7 @@
 /// Longest identifier that is accepted, in bytes.
 pub const MAX_ID_LEN: usize = 64;
 
-/// Why a text is not an identifier.
+/// The error for a text that is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error(
     "`{text}` is not a {kind}: 1 to {MAX_ID_LEN} ASCII letters, digits, `-`, `_` or `.` are allowed"
@@ -99,11 +99,11 @@
     PoolId, "pool name"
 );
 id!(
-    /// A service, made of equal tasks.
+    /// A service, which consists of identical tasks.
     ServiceId, "service name"
 );
 id!(
-    /// A team: the owner of services and of a share of the rate of requests.
+    /// A team: it owns services and a share of the request rate.
     TeamId, "team name"
 );
 id!(
@@ -111,34 +111,34 @@
     PlanId, "plan identifier"
 );
 id!(
-    /// A node: one process of this program that serves callers.
+    /// A node: one process of this program, which serves callers.
     NodeId, "node name"
 );
 id!(
-    /// A worker: the agent that runs tasks on a host. It may start again under its name; what is
-    /// true of one of its lives only belongs to an [`Incarnation`].
+    /// A worker: the agent that runs tasks on a host. It may restart under the same name; state
+    /// that does not outlive a restart belongs to an [`Incarnation`].
     WorkerId, "worker name"
 );
 id!(
-    /// One attempt to change the store, or one request. Unique.
+    /// One attempt to change the store, or one request; unique.
     OpId, "operation identifier"
 );
 
-/// When a worker started, in milliseconds since 1970 by the time of day of its own machine. That
-/// may jump back: it tells incarnations apart, and does not order them.
+/// When a worker started, in milliseconds since the Unix epoch by the wall clock of its machine.
+/// That clock may jump back, so the value distinguishes incarnations but does not order them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Born(pub u64);
 
-/// One life of a worker, from its start to its end. It holds nothing of the lives before it: runs,
-/// ends and their numbers, fencing tokens, tickets and its clock are its own.
+/// One lifetime of a worker process. It shares no state with earlier incarnations: runs, ends and
+/// their numbers, fencing tokens, tickets and the clock are its own.
 ///
 /// ```
-/// use caperhollow::model::id::{Born, Incarnation};
+/// use caperhollow::model::id::{Incarnation, StartTime};
 /// let first: Incarnation = "w-1@1700000000000".parse().unwrap();
-/// assert_eq!(first.born, Some(Born(1_700_000_000_000)));
+/// assert_eq!(first.started, Some(StartTime(1_700_000_000_000)));
 /// assert_eq!(first.to_string(), "w-1@1700000000000");
-/// let untold: Incarnation = "w-1".parse().unwrap();
-/// assert_eq!((&untold.worker, untold.born), (&first.worker, None));
+/// let unknown: Incarnation = "w-1".parse().unwrap();
+/// assert_eq!((&unknown.worker, unknown.started), (&first.worker, None));
 /// assert!("w-1@noon".parse::<Incarnation>().is_err());
 /// ```
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -146,12 +146,12 @@
 pub struct Incarnation {
     /// The worker.
     pub worker: WorkerId,
-    /// When it started; nothing where that is not told, and each start has a name of its own.
+    /// When it started; `None` if workers do not report it and each start has a new name.
     pub born: Option<Born>,
 }
 
 impl Incarnation {
-    /// An incarnation of a worker.
+    /// The incarnation of a worker that started at a given time.
     pub fn new(worker: WorkerId, born: Option<Born>) -> Incarnation {
         Incarnation { worker, born }
     }
@@ -164,7 +164,7 @@
         let Some((worker, born)) = text.split_once('@') else {
             return Ok(Incarnation::new(text.parse()?, None));
         };
-        let error = |_| IdError { kind: "worker name with its start", text: text.to_owned() };
+        let error = |_| IdError { kind: "worker name with its start time", text: text.to_owned() };
         let born = born.parse().map_err(error)?;
         Ok(Incarnation::new(worker.parse()?, Some(Born(born))))
     }
@@ -200,14 +200,14 @@
 }
 
 impl OpId {
-    /// Draws a fresh operation identifier.
+    /// Generates a random operation identifier.
     pub(crate) fn fresh() -> OpId {
         OpId(format!("{:032x}", rand::random::<u128>()).into())
     }
 }
 
 impl PlanId {
-    /// Draws a fresh plan identifier, short enough to type.
+    /// Generates a random plan identifier, short enough to type.
     pub(crate) fn fresh() -> PlanId {
         PlanId(format!("p-{:010x}", rand::random::<u64>() >> 24).into())
     }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers hand them in, their tasks, and the two records that are kept of each job.
+//! Jobs as submitted by callers, their tasks, and the two records stored for each job.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
     unit::{Megabytes, Millicores, Time},
 };
 
-/// Why a text does not name a job or a task.
+/// The error for a text that is not the identifier of a job or a task.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is not {kind}")]
 pub struct JobIdError {
@@ -22,7 +22,7 @@
     text: String,
 }
 
-/// A job's identifier, which its caller chose: 16 hexadecimal digits.
+/// A job's identifier, chosen by its caller: 16 hexadecimal digits.
 ///
 /// ```
 /// use caperhollow::model::job::JobId;
@@ -34,12 +34,12 @@
 pub struct JobId(u64);
 
 impl JobId {
-    /// The identifier as a number.
+    /// The numeric value of the identifier.
     pub(crate) fn number(self) -> u64 {
         self.0
     }
 
-    /// The identifier that is a number.
+    /// The identifier with a given numeric value.
     pub(crate) fn from_number(number: u64) -> JobId {
         JobId(number)
     }
@@ -55,7 +55,8 @@
     type Err = JobIdError;
 
     fn from_str(text: &str) -> Result<JobId, JobIdError> {
-        let error = || JobIdError { kind: "a job: 16 hex digits", text: text.to_owned() };
+        let error =
+            || JobIdError { kind: "a job identifier: 16 hex digits", text: text.to_owned() };
         let digits = text.bytes().all(|c| matches!(c, b'0'..=b'9' | b'a'..=b'f'));
         if text.len() != 16 || !digits {
             return Err(error());
@@ -64,14 +65,14 @@
     }
 }
 
-/// One step of one time that a job is due.
+/// One step of one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Which time the job is due, counted from 0.
+    /// The occurrence of a repeating job, counted from 0; 0 for a job that runs once.
     pub time: u32,
-    /// The step, counted from 0.
+    /// The number of the step within its job, counted from 0.
     pub step: u32,
 }
 
@@ -92,7 +93,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct TaskId {
-    /// The step that the task is part of.
+    /// The step that the task belongs to.
     pub of: StepId,
     /// The task's number within its step, counted from 0.
     pub index: u32,
@@ -122,7 +123,8 @@
     type Err = JobIdError;
 
     fn from_str(text: &str) -> Result<TaskId, JobIdError> {
-        let error = || JobIdError { kind: "a task: JOB.TIME.STEP.INDEX", text: text.to_owned() };
+        let error =
+            || JobIdError { kind: "a task identifier: JOB.TIME.STEP.INDEX", text: text.to_owned() };
         let mut parts = text.split('.');
         let job = parts.next().and_then(|part| part.parse().ok()).ok_or_else(error)?;
         let mut number = || parts.next().and_then(|part| part.parse().ok()).ok_or_else(error);
@@ -134,10 +136,10 @@
     }
 }
 
-/// What a worker offers, and what a task takes of it.
+/// Resources that a worker offers or a task requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Room {
-    /// Processor time.
+    /// CPU time.
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
     pub cpu: Millicores,
     /// Memory.
@@ -149,14 +151,14 @@
 }
 
 impl Room {
-    /// Whether this much is left where `used` of `self` is in use.
+    /// Whether `more` fits into `self` when `used` of it is already in use.
     pub(crate) fn fits(&self, used: &Room, more: &Room) -> bool {
         used.cpu.0 + more.cpu.0 <= self.cpu.0
             && used.memory.0 + more.memory.0 <= self.memory.0
             && used.gpus + more.gpus <= self.gpus
     }
 
-    /// Whether this is no more than `other` of anything.
+    /// Whether no resource exceeds that of `other`.
     pub(crate) fn is_within(&self, other: &Room) -> bool {
         self.cpu <= other.cpu && self.memory <= other.memory && self.gpus <= other.gpus
     }
@@ -178,37 +180,37 @@
     *value == T::default()
 }
 
-/// One step of a job: equal tasks.
+/// One step of a job: a number of identical tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub count: u32,
-    /// What each task takes of a worker.
+    /// Resources that each task requires of its worker.
     #[serde(rename = "r")]
     pub need: Room,
-    /// The caller's guess of how long a task takes, in milliseconds.
+    /// The caller's estimate of a task's duration, in milliseconds.
     #[serde(rename = "e", default, skip_serializing_if = "is_default")]
     pub estimate_ms: u64,
-    /// Earlier steps all of whose tasks must be done before.
+    /// Earlier steps whose tasks must all be done before this step starts.
     #[serde(rename = "a", default, skip_serializing_if = "is_default")]
     pub after: Vec<u32>,
-    /// The tasks work only together.
+    /// The tasks only make progress while all of them run.
     #[serde(rename = "gg", default, skip_serializing_if = "is_default")]
     pub gang: bool,
-    /// The tasks are slow when they are on more than one rack.
+    /// The tasks are slow when spread over more than one rack.
     #[serde(rename = "sr", default, skip_serializing_if = "is_default")]
     pub same_rack: bool,
-    /// A label that the worker must have; empty for none.
+    /// A label that the worker must have; empty if any worker will do.
     #[serde(rename = "l", default, skip_serializing_if = "is_default")]
     pub label: String,
-    /// The rack that holds the data; empty for none.
+    /// The rack that holds the tasks' data; empty for none.
     #[serde(rename = "nr", default, skip_serializing_if = "is_default")]
     pub near: String,
-    /// Most tasks of the step and time on one worker; 0 for no bound.
+    /// Maximum tasks of one step and occurrence on one worker; 0 for no limit.
     #[serde(rename = "ap", default, skip_serializing_if = "is_default")]
     pub apart: u32,
-    /// Copies of a task may run at the same time.
+    /// Several runs of a task may be active at the same time.
     #[serde(rename = "sp", default, skip_serializing_if = "is_default")]
     pub speculative: bool,
     /// The tasks save checkpoints.
@@ -217,40 +219,41 @@
     /// The tasks run until the job is cancelled.
     #[serde(rename = "la", default, skip_serializing_if = "is_default")]
     pub lasting: bool,
-    /// What the tasks run; tasks with the same image behave alike.
+    /// The image that the tasks run; tasks with the same image behave alike.
     #[serde(rename = "im", default, skip_serializing_if = "is_default")]
     pub image: String,
-    /// The tail of the answer times of a serving task must stay below this; 0 for none.
+    /// Upper limit for the tail latency of a serving task, in milliseconds; 0 for none.
     #[serde(rename = "tg", default, skip_serializing_if = "is_default")]
     pub target_ms: u64,
-    /// The tasks use what others leave: their processor time is not charged.
+    /// The tasks run in the background on CPU time that others leave: theirs is not charged.
     #[serde(rename = "fi", default, skip_serializing_if = "is_default")]
     pub fills: bool,
-    /// How many tasks of a lasting step may be away at once through our own doing; 0 for no bound.
+    /// A task of a long-running step is stopped only while fewer than this many are unavailable; 0
+    /// for no limit.
     #[serde(rename = "mm", default, skip_serializing_if = "is_default")]
     pub may_miss: u32,
 }
 
 impl Step {
-    /// What a task is charged on its worker.
+    /// The resources that a task is charged for on its worker.
     pub(crate) fn charge(&self) -> Room {
         let cpu = if self.fills { Millicores(0) } else { self.need.cpu };
         Room { cpu, ..self.need }
     }
 }
 
-/// The pace of the service that tells which workers may run a step.
+/// Timing of the advice service, which names the workers that may run a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Advice {
-    /// Milliseconds of each call.
+    /// Duration of each call, in milliseconds.
     pub decide_ms: u64,
-    /// Milliseconds more for each worker named.
+    /// Additional duration for each worker named in the call, in milliseconds.
     pub each_ms: u64,
-    /// How long a ticket holds, in milliseconds.
+    /// How long a ticket is valid, in milliseconds.
     pub valid_ms: u64,
 }
 
-/// What is kept of a job from its acceptance on; written once.
+/// The stored definition of a job; written once, when the job is accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     /// The queue's name.
@@ -259,34 +262,34 @@
     /// The pool whose workers run the tasks.
     #[serde(rename = "p")]
     pub pool: PoolId,
-    /// What is handed to each task.
+    /// The payload passed to each task.
     #[serde(rename = "s")]
     pub payload: Arc<str>,
     /// The steps.
     #[serde(rename = "t")]
     pub steps: Vec<Step>,
-    /// How many times the steps run at times of their own; 0: once, at once.
+    /// Number of scheduled occurrences; 0 for a job that runs once, immediately.
     #[serde(rename = "x", default, skip_serializing_if = "is_default")]
     pub repeats: u32,
-    /// When the first of these times is due.
+    /// When the first occurrence is due.
     #[serde(rename = "f", default, skip_serializing_if = "is_default")]
     pub first: Time,
-    /// Milliseconds between two times.
+    /// Interval between two occurrences, in milliseconds.
     #[serde(rename = "i", default, skip_serializing_if = "is_default")]
     pub every_ms: u64,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     #[serde(rename = "o", default, skip_serializing_if = "is_default")]
     pub priority: u32,
-    /// A task that has failed so often fails its job.
+    /// Number of failed runs of a task that fail its job.
     #[serde(rename = "m")]
     pub attempts: u32,
-    /// The objective, as a multiple of the job's longest chain of work, in percent.
+    /// The completion time objective, in percent of the job's critical path.
     #[serde(rename = "st", default, skip_serializing_if = "is_default")]
     pub stretch: u32,
-    /// What is added to the objective, in milliseconds.
+    /// Fixed allowance added to the objective, in milliseconds.
     #[serde(rename = "ta", default, skip_serializing_if = "is_default")]
     pub target_ms: u64,
-    /// Set if the queue's steps need tickets.
+    /// Set if the steps need tickets of the advice service.
     #[serde(rename = "ad", default, skip_serializing_if = "is_default")]
     pub advice: Option<Advice>,
     /// When the job was accepted.
@@ -295,39 +298,39 @@
 }
 
 impl JobRecord {
-    /// How many times the steps run.
+    /// Number of occurrences, at least 1.
     pub(crate) fn times(&self) -> u32 {
         self.repeats.max(1)
     }
 
-    /// When a time is due.
-    pub(crate) fn due(&self, time: u32) -> Time {
+    /// When an occurrence is due.
+    pub(crate) fn due(&self, occurrence: u32) -> Time {
         match self.repeats {
             0 => self.accepted,
-            _ => Time::from_millis(self.first.as_millis() + u64::from(time) * self.every_ms),
+            _ => Time::from_millis(self.first.as_millis() + u64::from(occurrence) * self.every_ms),
         }
     }
 
-    /// Whether a step lasts until the job is cancelled.
+    /// Whether any step runs until the job is cancelled.
     pub(crate) fn is_lasting(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
 }
 
-/// What callers are told of a job.
+/// The state of a job as reported to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     #[serde(rename = "q")]
     Queued,
-    /// A task has begun.
+    /// A task has started.
     #[serde(rename = "r")]
     Running,
     /// Every task has succeeded.
     #[serde(rename = "s")]
     Succeeded,
-    /// A task has failed as often as its queue allows.
+    /// A task has failed as often as its job allows.
     #[serde(rename = "f")]
     Failed,
     /// The caller has cancelled the job.
@@ -336,44 +339,44 @@
 }
 
 impl JobState {
-    /// Whether nothing more happens to the job.
+    /// Whether the state never changes again.
     pub(crate) fn is_final(self) -> bool {
         matches!(self, JobState::Succeeded | JobState::Failed | JobState::Cancelled)
     }
 }
 
-/// What is kept of a task that is not done.
+/// Persisted progress of a task that is not done.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct TaskNote {
-    /// The highest run that is known to have been given.
+    /// The highest run number known to have been issued.
     #[serde(rename = "r", default, skip_serializing_if = "is_default")]
     pub run: u32,
-    /// The runs that failed.
+    /// Numbers of the runs that failed.
     #[serde(rename = "f", default, skip_serializing_if = "is_default")]
     pub failed: Vec<u32>,
     /// The newest checkpoint; empty for none.
     #[serde(rename = "s", default, skip_serializing_if = "is_default")]
     pub saved: String,
-    /// The workers that crashed under a run of it.
+    /// Workers that crashed while running the task.
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
     pub crashed: BTreeSet<Incarnation>,
-    /// The workers that may have crashed under a run of it.
+    /// Workers that may have crashed while running the task; not confirmed.
     #[serde(rename = "d", default, skip_serializing_if = "is_default")]
     pub doubted: BTreeSet<Incarnation>,
 }
 
-/// What is kept of a step.
+/// Persisted progress of a step.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct StepNote {
-    /// The tasks that are done.
+    /// Indexes of the tasks that are done.
     #[serde(rename = "d", default, skip_serializing_if = "is_default")]
     pub done: Vec<u32>,
-    /// What is known of others.
+    /// Progress of other tasks, by index.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
     pub tasks: BTreeMap<u32, TaskNote>,
 }
 
-/// What is kept of a job that has begun; written by its pool's owner only.
+/// Persisted progress of a job that has started; written only by the owner of its pool.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
     /// The state.
@@ -382,7 +385,7 @@
     /// When the state became final.
     #[serde(rename = "e", default, skip_serializing_if = "is_default")]
     pub ended: Time,
-    /// Steps of which something is known, by `TIME.STEP`.
+    /// Steps with any progress, by `TIME.STEP`: the numbers of the occurrence and of the step.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
     pub steps: BTreeMap<String, StepNote>,
 }
--- a/src/model/order.rs
+++ b/src/model/order.rs
@@ -1,4 +1,4 @@
-//! Orders to workers, and what is asked of the service that gives tickets for them.
+//! Orders to workers, and the results of the advice service, which issues tickets for them.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
     job::TaskId,
 };
 
-/// Whom an order goes to, and in whose name.
+/// The worker that an order goes to, and the fencing token of the owner that sends it.
 #[derive(Debug, Clone)]
 pub(crate) struct Addressee {
     pub(crate) worker: Incarnation,
     pub(crate) address: String,
-    /// The fencing token: a worker that has seen a higher one does nothing.
+    /// The fencing token: a worker that has seen a higher one refuses the order.
     pub(crate) token: u64,
 }
 
@@ -22,24 +22,24 @@
     pub(crate) task: TaskId,
     pub(crate) run: u32,
     pub(crate) payload: Arc<str>,
-    /// Until when everything there may run, on the worker's clock.
+    /// End of the worker's lease, on the worker's clock: all its runs may continue until then.
     pub(crate) until_ms: u64,
-    /// Empty for none.
+    /// The checkpoint to resume from; empty for none.
     pub(crate) checkpoint: String,
-    /// Empty for none.
+    /// The ticket of the advice service; empty for none.
     pub(crate) ticket: String,
 }
 
-/// Most workers that one question may name.
+/// Maximum workers named in one call to the advice service.
 pub(crate) const MOST_NAMED: usize = 100;
 
-/// What the service that gives tickets said of a step.
+/// The result of asking the advice service about a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Advised {
     /// The workers that may run the step, each with its ticket.
     Good(Vec<(WorkerId, String)>),
-    /// Too many wait.
+    /// Too many calls are waiting.
     Busy,
-    /// It gave no answer.
+    /// The service did not answer.
     Failed,
 }
--- a/src/model/plan.rs
+++ b/src/model/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what an operator asked for, what it would do and cost, and how far it is.
+//! Plans: an operator's intent, its estimated cost and its progress.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -9,15 +9,15 @@
     unit::{Millicores, Revision, Time},
 };
 
-/// What the hosts of an intent are to do.
+/// What happens to the hosts of an intent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Action {
-    /// Leave, reboot and come back.
+    /// Stop serving, reboot and return to service.
     Drain,
-    /// Leave and join another pool.
+    /// Leave the pool and join another one.
     Move(PoolId),
-    /// Leave and stay out until released.
+    /// Stop serving until an operator releases the host.
     Quarantine,
 }
 
@@ -31,34 +31,34 @@
     }
 }
 
-/// What an operator asked for.
+/// An operator's request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Intent {
     pub(crate) action: Action,
-    /// The hosts it names, after racks, zones and pools were looked up.
+    /// The hosts concerned, with racks, zones and pools resolved to hosts.
     pub(crate) hosts: Vec<HostId>,
-    /// When it should be finished.
+    /// When the work should be finished.
     pub(crate) deadline: Option<Time>,
     pub(crate) reason: String,
     pub(crate) by: String,
 }
 
-/// How far a plan is.
+/// The state of a plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum PlanState {
-    /// Nothing happens until an operator confirms.
+    /// The plan waits for an operator's confirmation.
     Proposed,
     /// Hosts are being worked on.
     Running,
     /// Every host is done or was skipped.
     Done,
-    /// An operator ended it; what it held was given back.
+    /// An operator cancelled the plan, and everything it held was released.
     Cancelled,
 }
 
 impl PlanState {
-    /// The state as it is shown.
+    /// The state as displayed to operators.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             PlanState::Proposed => "proposed",
@@ -69,19 +69,19 @@
     }
 }
 
-/// How near a service comes to its budget under a plan.
+/// How much of a service's availability budget a plan uses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Tightness {
     pub(crate) service: ServiceId,
-    /// Most tasks that are out at one time by the plan's own steps.
+    /// Maximum tasks that the plan itself makes unavailable at one time.
     pub(crate) peak_out: u32,
-    /// Tasks in the worst failure domain, which are held in reserve.
+    /// Tasks in the largest failure domain, which the budget reserves for its outage.
     pub(crate) reserve: u32,
     /// The budget.
     pub(crate) max_down: u32,
 }
 
-/// What one choice of how many hosts are out at one time would cost.
+/// The cost of one candidate for the number of hosts that are out at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Trade {
     pub(crate) max_out: u32,
@@ -92,39 +92,39 @@
     pub(crate) chosen: bool,
 }
 
-/// The part of a plan that concerns one pool. Pools share no host and no service, so that each
-/// part goes on by itself.
+/// The part of a plan that concerns one pool. Pools share no hosts and no services, so the parts
+/// progress independently.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct PoolPlan {
-    /// Hosts in batches, in the order in which they are started.
+    /// Batches of hosts, in the order in which they start.
     pub(crate) batches: Vec<Vec<HostId>>,
-    /// Most hosts of the pool that the plan has out at one time.
+    /// Maximum hosts of the pool that the plan takes out at one time.
     pub(crate) max_out: u32,
     /// Whether a batch must be finished before the next one starts.
     pub(crate) barrier: bool,
-    /// Whether tasks move only to hosts that the plan is done with, but for a small first batch,
-    /// so that few move twice.
+    /// Whether tasks, except those of a small first batch, move only to hosts that the plan is
+    /// done with, so that few tasks move twice.
     pub(crate) frugal: bool,
-    /// The choices of `max_out` that were weighed.
+    /// The candidates for `max_out` that were compared.
     pub(crate) trades: Vec<Trade>,
 }
 
-/// What a plan costs.
+/// The estimated cost of a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Cost {
-    /// Spare capacity held back while it runs.
+    /// Spare capacity reserved while the plan runs.
     pub(crate) buffer: Millicores,
-    /// How long it takes, in seconds.
+    /// Duration, in seconds.
     pub(crate) seconds: u64,
-    /// Tasks that are moved.
+    /// Number of task moves.
     pub(crate) moves: u32,
-    /// Services by how near they come to their budgets, the nearest first.
+    /// Budget use by service, the tightest first.
     pub(crate) tightest: Vec<Tightness>,
-    /// Hosts that cannot be done, and why.
+    /// Hosts that the plan cannot process, with the reason.
     pub(crate) impossible: BTreeMap<HostId, String>,
 }
 
-/// A plan, as it stands in the store.
+/// A plan as stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Plan {
     pub(crate) id: PlanId,
@@ -132,32 +132,32 @@
     pub(crate) state: PlanState,
     pub(crate) pools: BTreeMap<PoolId, PoolPlan>,
     pub(crate) cost: Cost,
-    /// The revision of every record that the plan was computed from, by key.
+    /// Revisions of all records that the plan was computed from, by key.
     pub(crate) base: BTreeMap<String, Revision>,
-    /// Digest of what the operator is shown.
+    /// Digest of the plan as displayed to the operator.
     pub(crate) digest: String,
     pub(crate) created: Time,
-    /// When it entered its state.
+    /// When the plan entered its state.
     pub(crate) since: Time,
     pub(crate) op: OpId,
-    /// Who changed its state last.
+    /// Who last changed the state.
     pub(crate) by: String,
 }
 
 impl Plan {
-    /// Whether a plan that the store holds is this one, by the write that decided it.
+    /// Whether the stored plan was put into its state by the same write as this one.
     pub(crate) fn is_decided_as(&self, stored: &Plan) -> bool {
         self.id == stored.id && self.op == stored.op && self.state == stored.state
     }
 
-    /// The plan's hosts in their order.
+    /// The plan's hosts, pool by pool, in the order in which they start.
     pub(crate) fn hosts(&self) -> impl Iterator<Item = &HostId> {
         self.pools.values().flat_map(PoolPlan::hosts)
     }
 }
 
 impl PoolPlan {
-    /// The hosts in their order.
+    /// The hosts in the order in which they start.
     pub(crate) fn hosts(&self) -> impl Iterator<Item = &HostId> {
         self.batches.iter().flatten()
     }
--- a/src/model/queue.rs
+++ b/src/model/queue.rs
@@ -1,4 +1,4 @@
-//! Queues and pools, as operators configure them.
+//! Queues and pools as configured by operators.
 
 use std::collections::BTreeMap;
 
@@ -8,34 +8,34 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Queue {
     pub(crate) name: String,
-    /// The `Host` header that leads to the queue.
+    /// The `Host` header of requests to the queue.
     pub(crate) host: String,
-    /// What the path begins with.
+    /// Prefix of the request path.
     pub(crate) prefix: String,
-    /// The pool whose workers run its jobs.
+    /// The pool whose workers run the jobs.
     pub(crate) pool: PoolId,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub(crate) priority: u32,
-    /// A task that has failed so often fails its job.
+    /// Number of failed runs of a task that fail its job.
     pub(crate) attempts: u32,
-    /// The objective, as a multiple of a job's longest chain of work, in percent.
+    /// The completion time objective, in percent of a job's critical path.
     pub(crate) stretch: u32,
-    /// What is added to the objective, in milliseconds.
+    /// Fixed allowance added to the objective, in milliseconds.
     pub(crate) target_ms: u64,
-    /// Set if steps need tickets.
+    /// Set if steps need tickets of the advice service.
     pub(crate) advice: Option<Advice>,
 }
 
 /// A pool of hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PoolRules {
-    /// Its hosts are off and cost nothing: it holds what no other pool needs now.
+    /// The hosts are powered off and cost nothing: the pool holds those that no other pool needs.
     pub(crate) off: bool,
-    /// Its workers refuse what does not fit.
+    /// The workers refuse tasks that do not fit.
     pub(crate) guards: bool,
 }
 
-/// One configuration, in full.
+/// One complete version of the configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub(crate) struct QueueConfig {
     pub(crate) version: u64,
@@ -44,7 +44,7 @@
 }
 
 impl QueueConfig {
-    /// The queue of a request: the host must be the same, and the longest prefix wins.
+    /// The queue of a request: the `Host` header must be equal, and the longest path prefix wins.
     pub(crate) fn queue_of(&self, host: &str, path: &str) -> Option<&Queue> {
         let fits = |queue: &&Queue| queue.host == host && path.starts_with(&queue.prefix);
         self.queues.iter().filter(fits).max_by_key(|queue| queue.prefix.len())
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -1,4 +1,4 @@
-//! Records of the platform's store that nodes watch, their keys and their values.
+//! Records in the platform's store that nodes watch, with their keys and values.
 
 use std::collections::BTreeMap;
 
@@ -12,66 +12,66 @@
     unit::Time,
 };
 
-/// All watched records have keys below this one.
+/// Key prefix of all watched records.
 pub(crate) const WATCHED: &str = "caperhollow/view/";
-/// Claims of requests that are not repeatable; not watched.
+/// Key prefix of the claims of requests that are not repeatable; not watched.
 pub(crate) const CLAIMS: &str = "caperhollow/once/";
 
-/// Where a task runs.
+/// The assignment of a task to a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Assigned {
     pub(crate) host: HostId,
-    /// Which start of the task this is; each move has a higher one.
+    /// Number of this start of the task; each move has a higher one.
     pub(crate) generation: u64,
     pub(crate) since: Time,
 }
 
-/// A second start of a task, which takes the first one's place when it is ready.
+/// A second start of a task, which replaces the first one when it is ready.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Successor {
     pub(crate) to: Assigned,
-    /// The plan that empties the task's host; nothing if the task moves to spread its service.
+    /// The plan that drains the task's host; `None` if the task moves to spread its service.
     pub(crate) plan: Option<PlanId>,
 }
 
-/// The right to take a host's tasks of one service out for a while.
+/// Permission to make a host's tasks of one service temporarily unavailable.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Permit {
     pub(crate) plan: PlanId,
-    /// The tasks that it covers, by index.
+    /// Indexes of the tasks that it covers.
     pub(crate) tasks: Vec<u32>,
     pub(crate) since: Time,
 }
 
-/// Where the tasks of one service run, and which permits are out. Both stand under one key, so
-/// that a permit and a move of the same service can never pass each other unseen.
+/// The placement of one service's tasks, and its active permits. Both are stored under one key, so
+/// that concurrent writes of a permit and a move for the same service always conflict.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Placement {
-    /// By index of the task.
+    /// Assignments, by index of the task.
     pub(crate) tasks: Vec<Option<Assigned>>,
-    /// Successors that are starting, by index of the task.
+    /// Starting successors, by index of the task.
     pub(crate) successors: BTreeMap<u32, Successor>,
-    /// Permits that are out, by the host that they let go.
+    /// Active permits, by the host whose tasks they cover.
     pub(crate) permits: BTreeMap<HostId, Permit>,
-    /// Moves so far, for the operators' figures.
+    /// Number of moves so far, shown to operators.
     pub(crate) moves: u64,
     /// The write that set this record.
     pub(crate) op: Option<OpId>,
 }
 
-/// A registered node, under a lease.
+/// A registered node; the record is attached to the node's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct NodeRecord {
     pub(crate) zone: ZoneId,
-    /// IP address and port of its link for other nodes.
+    /// IP address and port at which it accepts connections of other nodes.
     pub(crate) peers: String,
-    /// IP address and port of its operators' API.
+    /// IP address and port of its operator API.
     pub(crate) operators: String,
-    /// When the process started: a restart is another registration.
+    /// When the process started: a restarted node registers anew.
     pub(crate) started: Time,
 }
 
-/// A value of any watched kind, with its identifier.
+/// A watched record of any kind, with its identifier.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Record {
     Base(ConfigBase),
@@ -94,11 +94,11 @@
 }
 
 impl Key {
-    /// The key as the store has it.
+    /// The key as used in the store.
     pub(crate) fn path(&self) -> String {
         match self {
             Key::Base => format!("{WATCHED}config-base"),
-            // Fixed width keeps the store's order of keys the order of numbers.
+            // The fixed width makes the store's key order equal to numeric order.
             Key::Change(number) => format!("{WATCHED}config/{number:020}"),
             Key::Host(id) => format!("{WATCHED}host/{id}"),
             Key::Placement(id) => format!("{WATCHED}placement/{id}"),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reads a key of the store; nothing if it is of no kind that this program knows.
+    /// Parses a key of the store; `None` if its kind is unknown.
     pub(crate) fn parse(path: &str) -> Option<Key> {
         let rest = path.strip_prefix(WATCHED)?;
         if rest == "config-base" {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Reads the value that stands under this key.
+    /// Deserializes the value stored under this key.
     pub(crate) fn read(&self, value: &[u8]) -> Result<Record, serde_json::Error> {
         fn json<T: DeserializeOwned>(value: &[u8]) -> Result<T, serde_json::Error> {
             serde_json::from_slice(value)
@@ -141,7 +141,7 @@
 }
 
 impl Record {
-    /// The key that the record stands under.
+    /// The key of the record.
     pub(crate) fn key(&self) -> Key {
         match self {
             Record::Base(_) => Key::Base,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The value as the store holds it.
+    /// The value as stored.
     pub(crate) fn to_json(&self) -> Vec<u8> {
         let json = match self {
             Record::Base(value) => serde_json::to_vec(value),
@@ -163,6 +163,6 @@
             Record::Plan(_, value) => serde_json::to_vec(value),
             Record::Node(_, value) => serde_json::to_vec(value),
         };
-        json.expect("records hold no value that JSON cannot write")
+        json.expect("records can always be serialized as JSON")
     }
 }
--- a/src/model/request.rs
+++ b/src/model/request.rs
@@ -1,10 +1,10 @@
-//! Requests of callers: class and outcome.
+//! Class and outcome of callers' requests.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// The class of a request; urgent ones go first.
+/// The priority class of a request.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -17,10 +17,10 @@
 }
 
 impl Class {
-    /// Every class, the most urgent first.
+    /// All classes, the most urgent first.
     pub(crate) const ALL: [Class; 3] = [Class::Urgent, Class::Normal, Class::Batch];
 
-    /// The class as it is written in headers and settings.
+    /// The name used in headers and settings.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Class::Urgent => "urgent",
@@ -45,20 +45,20 @@
     }
 }
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Outcome {
-    /// An endpoint ran it, and its whole answer is known.
+    /// An endpoint ran the request, and its complete response is known.
     Ran,
-    /// It did not run, and will not.
+    /// The request did not run and never will.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The outcome as it is written in a header.
+    /// The name used in headers.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Outcome::Ran => "ran",
--- a/src/model/unit.rs
+++ b/src/model/unit.rs
@@ -1,10 +1,10 @@
-//! Units: time, sizes and counters, each a type of its own.
+//! Units: time, sizes and counters, each with its own type.
 
 use std::{fmt, ops::Add, str::FromStr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a unit.
+/// The error for a text that is not a valid quantity.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is not {kind}: {allowed}")]
 pub struct UnitError {
@@ -13,7 +13,7 @@
     allowed: &'static str,
 }
 
-/// A moment, in milliseconds since the Unix epoch.
+/// A point in time, in milliseconds since the Unix epoch.
 ///
 /// ```
 /// use std::time::Duration;
@@ -29,7 +29,7 @@
 pub struct Time(u64);
 
 impl Time {
-    /// The moment so many milliseconds after the Unix epoch.
+    /// The time `millis` milliseconds after the Unix epoch.
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis)
     }
@@ -39,21 +39,21 @@
         self.0
     }
 
-    /// How long after `earlier` this moment is; zero if it is before.
+    /// The duration since `earlier`; zero if that is later.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment so long before this one.
+    /// The time `span` before this one.
     pub fn before(self, span: Duration) -> Time {
         Time(self.0.saturating_sub(span.as_millis() as u64))
     }
 
-    /// The present time by the system's clock. Only loops call this; functions that decide take
-    /// the present time as an argument.
+    /// The current time of the system clock. Only control loops call this; decision functions take
+    /// the current time as an argument.
     pub(crate) fn now() -> Time {
         let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        // A clock that stands before 1970 reads as 1970: nothing is due before that.
+        // A clock before 1970 reads as 1970: nothing is due before that.
         Time(since.unwrap_or_default().as_millis() as u64)
     }
 }
@@ -126,7 +126,7 @@
 }
 
 count!(
-    /// Processor time, in thousandths of a core.
+    /// CPU time, in thousandths of a core.
     Millicores, u32, "a number of millicores", "m"
 );
 count!(
@@ -138,52 +138,52 @@
     Bytes, u64, "a number of bytes", "B"
 );
 count!(
-    /// How often a host was assigned. A command that carries a lower one is refused.
+    /// How many times a host has been assigned. Commands with a lower epoch are refused.
     Epoch, u64, "an epoch", ""
 );
 count!(
-    /// A revision of the platform's store: each accepted write has a higher one.
+    /// A revision of the platform's store; each accepted write increases it.
     Revision, u64, "a revision", ""
 );
 count!(
-    /// A rate of requests.
+    /// A request rate.
     PerSecond, u32, "a rate", "/s"
 );
 
 impl Epoch {
-    /// The epoch after this one.
+    /// The next epoch.
     pub(crate) fn next(self) -> Epoch {
         Epoch(self.0 + 1)
     }
 }
 
-/// A moment of a process's steady clock, in milliseconds since the process began. It never jumps,
-/// and means nothing to other processes.
+/// A reading of the process's monotonic clock, in milliseconds since the process started. It never
+/// jumps and cannot be compared with readings of other processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub(crate) struct Steady(u64);
 
 impl Steady {
-    /// The moment so many milliseconds after the process began.
+    /// The reading `millis` milliseconds after the process started.
     pub(crate) const fn from_millis(millis: u64) -> Steady {
         Steady(millis)
     }
 
-    /// Milliseconds since an earlier moment; zero if it is later.
+    /// Milliseconds since `earlier`; zero if that is later.
     pub(crate) fn since(self, earlier: Steady) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The moment so many milliseconds later.
+    /// The reading `millis` milliseconds later.
     pub(crate) fn after(self, millis: u64) -> Steady {
         Steady(self.0.saturating_add(millis))
     }
 }
 
-/// The present, by both clocks.
+/// The current time by both clocks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Now {
-    /// For everything that lasts: leases, time limits, pauses.
+    /// For durations: leases, timeouts, delays.
     pub(crate) steady: Steady,
-    /// For what is due by the calendar, and for records that others read.
+    /// For calendar times, and for records that other processes read.
     pub(crate) wall: Time,
 }
--- a/src/model/worker.rs
+++ b/src/model/worker.rs
@@ -1,4 +1,4 @@
-//! What workers and hosts tell of themselves.
+//! Workers and hosts as they report themselves, and the results of orders to workers.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
     job::{Room, TaskId},
 };
 
-/// A worker's report on itself.
+/// A worker's registration, as it reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WorkerReport {
     pub(crate) id: Incarnation,
@@ -15,14 +15,15 @@
     pub(crate) pool: PoolId,
     pub(crate) address: String,
     pub(crate) zone: ZoneId,
+    #[serde(rename = "room")]
     pub(crate) room: Room,
     pub(crate) labels: Vec<String>,
-    /// Set once it is leaving: the least time it has left, in milliseconds.
+    /// Set once the worker is about to leave: the minimum time until then, in milliseconds.
     pub(crate) leaves_ms: Option<u64>,
 }
 
 impl WorkerReport {
-    /// What is known of a worker of which there is only its id and pool: no call reaches it.
+    /// A placeholder for a worker of which only its id and pool are known: it has no address.
     pub(crate) fn without_place(id: &Incarnation, pool: &str) -> Result<WorkerReport, IdError> {
         Ok(WorkerReport {
             id: id.clone(),
@@ -36,13 +37,14 @@
         })
     }
 
-    /// Whether another report names the same place: an incarnation keeps its own.
+    /// Whether another report has the same host, pool and address: these never change within one
+    /// incarnation.
     pub(crate) fn has_place_of(&self, other: &WorkerReport) -> bool {
         self.host == other.host && self.pool == other.pool && self.address == other.address
     }
 }
 
-/// A run that a worker lists as present.
+/// A run that a worker lists as present, i.e. not ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Present {
     pub(crate) task: TaskId,
@@ -50,7 +52,8 @@
     /// The newest checkpoint; empty for none.
     pub(crate) saved: String,
     pub(crate) percent: u32,
-    /// Over the last half second: a serving task's tail in milliseconds, or the millicores in use.
+    /// Over the last half second: the tail latency of a serving task in milliseconds, or the
+    /// millicores in use.
     pub(crate) gauge: u64,
 }
 
@@ -58,20 +61,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HowEnded {
     Done,
-    /// By its own fault or its worker's.
+    /// Failed through its own fault or its worker's.
     Failed,
-    /// By an order.
+    /// Stopped by an order.
     Stopped,
-    /// The worker's lease ran out.
+    /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// Its gang was not complete in time.
+    /// The gang was not complete in time.
     Alone,
 }
 
 impl HowEnded {
-    /// The word in log lines.
+    /// The name used in log lines.
     pub(crate) fn word(self) -> &'static str {
         match self {
             HowEnded::Done => "done",
@@ -87,7 +90,7 @@
 /// A run that a worker lists as ended, until the end is acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Ended {
-    /// Counts the ends of this worker, from 1.
+    /// Number of this end, counted per worker from 1.
     pub(crate) number: u64,
     pub(crate) task: TaskId,
     pub(crate) run: u32,
@@ -95,66 +98,66 @@
     pub(crate) saved: String,
 }
 
-/// What a worker answers when it is looked at.
+/// A worker's response to a poll.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Look {
-    /// When the incarnation started that answers, if it tells that.
+    /// When the responding incarnation started, if it reports that.
     pub(crate) born: Option<Born>,
-    /// Its own clock, in milliseconds.
+    /// The worker's own clock, in milliseconds.
     pub(crate) clock_ms: u64,
     pub(crate) present: Vec<Present>,
     pub(crate) ended: Vec<Ended>,
 }
 
-/// The most ends that a worker lists at once, by the platform's contract. Those behind them are
-/// listed once these are acknowledged.
-pub(crate) const MOST_ENDS: usize = 500;
+/// Maximum ends in one poll response, by the platform's contract. Further ends are listed once
+/// these are acknowledged.
+pub(crate) const MAX_LISTED_ENDS: usize = 500;
 
 impl Look {
-    /// Whether it lists all ends. Else a run that it lists nowhere may have ended all the same.
+    /// Whether the response lists all ends. Otherwise a run that it does not list may have ended.
     pub(crate) fn is_whole(&self) -> bool {
-        self.ended.len() < MOST_ENDS
+        self.ended.len() < MAX_LISTED_ENDS
     }
 }
 
-/// Why a worker refused an order for good.
+/// Why a worker permanently refused an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Refusal {
-    /// A later owner has spoken to it.
+    /// The worker has received a higher fencing token.
     Fenced,
-    /// The run is not above one that ended or was stopped there.
+    /// The run's number does not exceed that of a run that ended or was stopped there.
     Old,
-    /// The time it was given was over when the order came.
+    /// The lease granted by the order had expired when it arrived.
     Late,
-    /// It has no room.
+    /// The worker has too few free resources.
     Room,
-    /// The ticket does not hold.
+    /// The ticket is not valid.
     Ticket,
-    /// It is another life than the one that was meant.
+    /// The order was meant for another incarnation of the worker.
     OtherLife,
-    /// It is not well, and has done nothing.
+    /// The worker is unhealthy and has done nothing.
     Unwell,
-    /// It does not take the order as it stands.
+    /// The worker does not accept the order as written.
     Invalid,
 }
 
-/// How an order to a worker went.
+/// The result of an order to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum OrderEnd<T> {
     Done(T),
-    /// Not carried out, and never will be.
+    /// The order was not executed and never will be.
     Refused {
         why: Refusal,
         clock_ms: Option<u64>,
     },
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer: the order may have been executed, or may be later.
     Unknown,
-    /// It never left the node that was to send it, or it was a look of which word was lost between
-    /// two nodes: nothing was begun or stopped, and nothing is known of the worker.
+    /// The order never left the node that was to send it, or it was a poll that was lost between
+    /// two nodes: nothing was started or stopped, and nothing is known about the worker.
     Unsent,
 }
 
-/// What the platform is doing with a host.
+/// What the platform is currently doing with a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HostPhase {
     Up,
@@ -163,7 +166,7 @@
     Down,
 }
 
-/// A host, as the platform lists it.
+/// A host as listed by the platform.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ListedHost {
     pub(crate) host: HostId,
@@ -174,12 +177,12 @@
     pub(crate) room: Room,
 }
 
-/// A request of the operator: each of these hosts is to be maintained in time.
+/// An operator's request for a maintenance wave: each of these hosts is to be maintained in time.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Upkeep {
     pub(crate) wave: u64,
     pub(crate) hosts: Vec<HostId>,
     pub(crate) period_ms: u64,
-    /// Most hosts that may be away at once for this wave.
+    /// Maximum hosts that may be out of service for this wave at the same time.
     pub(crate) at_once: u32,
 }
