--- a/src/model/id.rs
+++ b/src/model/id.rs
@@ -135,10 +135,10 @@
 /// ```
 /// use caperhollow::model::id::{Incarnation, StartTime};
 /// let first: Incarnation = "w-1@1700000000000".parse().unwrap();
-/// assert_eq!(first.started, Some(StartTime(1_700_000_000_000)));
+/// assert_eq!(first.born, Some(StartTime(1_700_000_000_000)));
 /// assert_eq!(first.to_string(), "w-1@1700000000000");
 /// let unknown: Incarnation = "w-1".parse().unwrap();
-/// assert_eq!((&unknown.worker, unknown.started), (&first.worker, None));
+/// assert_eq!((&unknown.worker, unknown.born), (&first.worker, None));
 /// assert!("w-1@noon".parse::<Incarnation>().is_err());
 /// ```
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
