--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -877,7 +877,9 @@
                 }
             }
             JobState::Failed => assert!(self.may_fail(job), "{job} failed without cause"),
-            JobState::Running => assert!(self.started_jobs.contains(&job), "{job} has no run yet"),
+            JobState::Running => {
+                assert!(self.started_jobs.contains(&job), "{job} is running without a run")
+            }
             JobState::Queued | JobState::Cancelled => {}
         }
     }
