--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,6 +1,6 @@
-//! A scheduler node: callers hand jobs in at any node; each pool's jobs have one owner among the
-//! nodes, which starts their tasks on the pool's workers. Nodes keep nothing: what was promised is
-//! in the platform's store, what runs is asked of the workers.
+//! A scheduler node: callers submit jobs to any node; each pool's jobs have one owner among the
+//! nodes, which starts their tasks on the pool's workers. Nodes persist nothing themselves: accepted
+//! jobs are in the platform's store, and what runs is read from the workers.
 
 pub(crate) mod accept;
 pub(crate) mod api;
@@ -33,28 +33,28 @@
     settings::scheduler::SchedulerSettings,
 };
 
-/// What the tasks of a scheduler node share.
+/// State shared by the async tasks of a scheduler node.
 pub(crate) struct Node {
     pub(crate) settings: SchedulerSettings,
     pub(crate) kv: Kv,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Clock,
     view: Mutex<View>,
-    /// Jobs that wait to be written.
+    /// Submitted jobs that are yet to be written.
     pub(crate) accepting: mpsc::Sender<Acceptance>,
-    /// Cancelled when the node is told to end.
+    /// Cancelled when the node is to shut down.
     pub(crate) leaving: CancellationToken,
-    /// Whether it owns work.
+    /// Whether the node owns work.
     owning: watch::Sender<bool>,
 }
 
 impl Node {
-    /// The present, by both clocks.
+    /// The current time by the steady clock and by the wall clock.
     pub(crate) fn now(&self) -> Now {
         self.clock.now()
     }
 
-    /// Takes note of whether the node owns work.
+    /// Records whether the node owns work.
     pub(crate) fn note_owning(&self, owns: bool) {
         self.owning.send_if_modified(|owning| std::mem::replace(owning, owns) != owns);
     }
@@ -66,17 +66,17 @@
 
     /// Waits until the node owns work.
     pub(crate) async fn until_owning(&self) {
-        // The sender lives as long as the node.
+        // Cannot fail: the sender is a field of the node.
         let _ = self.owning.subscribe().wait_for(|owning| *owning).await;
     }
 
-    /// What the node knows of the store. Held for short looks only, never while waiting.
+    /// The node's view of the store. The lock is held briefly, and never across an await.
     pub(crate) fn view(&self) -> MutexGuard<'_, View> {
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What the tasks of a node are made with.
+/// Creates the state that the async tasks of a node share.
 pub(crate) fn node(
     settings: SchedulerSettings,
     kv: Kv,
--- a/src/scheduler/accept.rs
+++ b/src/scheduler/accept.rs
@@ -1,5 +1,5 @@
-//! Acceptance: jobs that callers hand in are written before the callers are told. What comes
-//! within a few milliseconds shares one transaction.
+//! Acceptance of jobs: a submitted job is written to the store before its caller gets an answer. Jobs
+//! that arrive within a few milliseconds of each other share one transaction.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,52 +18,52 @@
     scheduler::{Node, keys},
 };
 
-/// Jobs that may wait to be written.
-const QUEUE: usize = 512;
+/// Most jobs that may wait to be written.
+const QUEUE_CAPACITY: usize = 512;
 
-/// Jobs in one transaction: each needs a condition and two writes.
-const BATCH: usize = TXN_ENTRIES / 3;
+/// Most jobs in one transaction: each needs a condition and two writes.
+const MAX_BATCH_JOBS: usize = TXN_ENTRIES / 3;
 
-/// How long the first of a batch waits for others.
-const GATHER: Duration = Duration::from_millis(4);
+/// How long the first job of a batch waits for others.
+const BATCH_DELAY: Duration = Duration::from_millis(4);
 
-/// Transactions on their way at one time, so that a slow store does not hold up the next.
-const IN_FLIGHT: usize = 4;
+/// Most concurrent transactions. More than one, so that a slow one does not delay the next.
+const MAX_IN_FLIGHT: usize = 4;
 
-/// How long to wait before a write that got no answer is tried again.
-const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a write that got no answer is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// How an acceptance ended.
+/// The outcome of an acceptance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Accepted {
-    /// The job is kept.
+    /// The job was written.
     Kept,
-    /// It was kept before.
+    /// It was written earlier.
     Already,
     /// Nothing was written, and nothing will be.
     NotWritten,
-    /// It may have been written, or may be yet.
+    /// It may have been written, or may still be written.
     Unknown,
 }
 
-/// A job that waits to be written.
+/// A submitted job that is yet to be written.
 pub(crate) struct Acceptance {
     pub(crate) id: JobId,
     pub(crate) pool: PoolId,
     pub(crate) value: Bytes,
     /// When the caller stops waiting.
     pub(crate) deadline: Instant,
-    /// Whether an earlier try may have been written.
+    /// Whether an earlier attempt may have been written.
     unknown: bool,
-    told: oneshot::Sender<Accepted>,
+    reply: oneshot::Sender<Accepted>,
 }
 
-/// Where jobs wait to be written.
+/// Creates the queue of jobs to write.
 pub(crate) fn queue() -> (mpsc::Sender<Acceptance>, mpsc::Receiver<Acceptance>) {
-    mpsc::channel(QUEUE)
+    mpsc::channel(QUEUE_CAPACITY)
 }
 
-/// Has a job written.
+/// Queues a job to be written, and waits for the outcome.
 pub(crate) async fn accept(
     node: &Node,
     id: JobId,
@@ -71,22 +71,22 @@
     value: Bytes,
     deadline: Instant,
 ) -> Accepted {
-    let (told, tell) = oneshot::channel();
-    let acceptance = Acceptance { id, pool, value, deadline, unknown: false, told };
+    let (reply, outcome) = oneshot::channel();
+    let acceptance = Acceptance { id, pool, value, deadline, unknown: false, reply };
     if node.accepting.try_send(acceptance).is_err() {
         return Accepted::NotWritten;
     }
-    // A writer that ends without a word may have sent it.
-    tell.await.unwrap_or(Accepted::Unknown)
+    // A writer that ends without a reply may have sent the write.
+    outcome.await.unwrap_or(Accepted::Unknown)
 }
 
-/// Writes what waits until the node ends.
+/// Writes queued jobs in batches until the node ends.
 pub(crate) async fn write(node: Arc<Node>, mut waiting: mpsc::Receiver<Acceptance>) {
-    let slots = Arc::new(tokio::sync::Semaphore::new(IN_FLIGHT));
+    let slots = Arc::new(tokio::sync::Semaphore::new(MAX_IN_FLIGHT));
     while let Some(first) = waiting.recv().await {
         let mut batch = vec![first];
-        let until = Instant::now() + GATHER;
-        while batch.len() < BATCH {
+        let until = Instant::now() + BATCH_DELAY;
+        while batch.len() < MAX_BATCH_JOBS {
             match timeout_at(until, waiting.recv()).await {
                 Ok(Some(more)) => batch.push(more),
                 Ok(None) | Err(_) => break,
@@ -107,9 +107,9 @@
     while !batch.is_empty() {
         let mut txn = Txn::default();
         batch.sort_by_key(|acceptance| acceptance.id);
-        batch.dedup_by(|later, earlier| later.id == earlier.id && take_over(later, earlier));
+        batch.dedup_by(|later, earlier| later.id == earlier.id && reject_duplicate(later, earlier));
         for acceptance in &batch {
-            // The name is taken once, whichever pool the queue led to at the time.
+            // The job's name is unique across pools, since its queue may lead to another pool later.
             let (id, pool) = (keys::id(acceptance.id), acceptance.pool.to_string());
             txn = txn
                 .expect(id.clone(), Revision(0))
@@ -120,58 +120,59 @@
         match node.kv.commit(&txn).await {
             Ok(Committed::Done(revision)) => {
                 node.view().ages.told(sent, revision);
-                return tell_all(batch, |_| Accepted::Kept);
+                return reply_all(batch, |_| Accepted::Kept);
             }
             Ok(Committed::Conflict(items)) => {
-                let there = |id: JobId| items.iter().any(|item| item.key == keys::id(id));
+                let exists = |id: JobId| items.iter().any(|item| item.key == keys::id(id));
                 let (old, new): (Vec<_>, Vec<_>) =
-                    batch.into_iter().partition(|acceptance| there(acceptance.id));
+                    batch.into_iter().partition(|acceptance| exists(acceptance.id));
                 if old.is_empty() {
-                    log::error!("store: a conflict names no key that is there");
-                    return tell_all(new, |_| Accepted::Unknown);
+                    log::error!("store: a conflict lists none of the keys that were to be absent");
+                    return reply_all(new, |_| Accepted::Unknown);
                 }
-                tell_all(old, |_| Accepted::Already);
+                reply_all(old, |_| Accepted::Already);
                 batch = new;
             }
-            Ok(Committed::LeaseOver) => return tell_all(batch, |_| Accepted::NotWritten),
-            Err(error) => batch = failed(batch, &error).await,
+            Ok(Committed::LeaseOver) => return reply_all(batch, |_| Accepted::NotWritten),
+            Err(error) => batch = handle_failure(batch, &error).await,
         }
     }
 }
 
-/// Two callers handed in the same job at one time: the later is told to ask again.
-fn take_over(later: &mut Acceptance, _: &mut Acceptance) -> bool {
-    let (told, _) = oneshot::channel();
-    let told = std::mem::replace(&mut later.told, told);
-    let _ = told.send(Accepted::Unknown);
+/// Answers the later of two callers that submitted the same job at the same time: the outcome is
+/// unknown, and the caller is to ask again.
+fn reject_duplicate(later: &mut Acceptance, _: &mut Acceptance) -> bool {
+    let (reply, _) = oneshot::channel();
+    let reply = std::mem::replace(&mut later.reply, reply);
+    let _ = reply.send(Accepted::Unknown);
     true
 }
 
-/// What is left to be tried after a failure. Those that cannot be in time, or of which it is
-/// certain that nothing was written, are told.
-async fn failed(mut batch: Vec<Acceptance>, error: &StoreError) -> Vec<Acceptance> {
-    log::warn!("store: {} jobs not written: {error}", batch.len());
+/// The jobs to retry after a failed write. Jobs past their deadline get their answer here, and so do
+/// all if it is certain that nothing was written.
+async fn handle_failure(mut batch: Vec<Acceptance>, error: &StoreError) -> Vec<Acceptance> {
+    log::warn!("store: write of {} jobs failed: {error}", batch.len());
     if !error.is_unknown() {
         let outcome = |acceptance: &Acceptance| match acceptance.unknown {
             true => Accepted::Unknown,
             false => Accepted::NotWritten,
         };
-        tell_all(batch, outcome);
+        reply_all(batch, outcome);
         return Vec::new();
     }
-    sleep(RETRY_PAUSE).await;
+    sleep(RETRY_DELAY).await;
     let now = Instant::now();
     batch.iter_mut().for_each(|acceptance| acceptance.unknown = true);
-    let (late, rest): (Vec<_>, Vec<_>) =
+    let (late, remaining): (Vec<_>, Vec<_>) =
         batch.into_iter().partition(|acceptance| acceptance.deadline <= now);
-    tell_all(late, |_| Accepted::Unknown);
-    rest
+    reply_all(late, |_| Accepted::Unknown);
+    remaining
 }
 
-fn tell_all(batch: Vec<Acceptance>, outcome: impl Fn(&Acceptance) -> Accepted) {
+fn reply_all(batch: Vec<Acceptance>, outcome: impl Fn(&Acceptance) -> Accepted) {
     for acceptance in batch {
         let accepted = outcome(&acceptance);
-        // A caller that has gone does not listen.
-        let _ = acceptance.told.send(accepted);
+        // Fails if the caller has disconnected.
+        let _ = acceptance.reply.send(accepted);
     }
 }
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -1,4 +1,5 @@
-//! What callers ask: jobs handed in, their states, cancels, and how many wait in a queue.
+//! The HTTP interface for callers: submit and cancel jobs, read their states, and count the jobs that
+//! wait in a queue.
 
 use std::{sync::Arc, time::Duration};
 
@@ -32,30 +33,30 @@
     },
 };
 
-/// The header that tells how long a caller waits.
+/// The header with the time that a caller waits for an answer, in milliseconds.
 pub(crate) const DEADLINE_HEADER: &str = "Deadline-Ms";
 
-/// How long a caller waits that does not say so.
-const DEFAULT_WAIT: Duration = Duration::from_millis(3_000);
+/// The time that a caller waits, if its request does not say.
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// How much of a caller's wait is left for the answer's way back.
+/// The part of a caller's wait that is reserved for sending the answer back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 
-/// Longest body, in bytes: a payload of 4,000 and some hundred steps.
-const MAX_BODY: usize = 256 * 1024;
+/// Longest body: a payload of 4,000 bytes and some hundred steps.
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// How long to wait before a cancel that got no answer is written again.
-const RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a cancel whose write got no answer is written again.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// When a caller that was refused because the store is away should come back, in seconds.
-const AWAY_RETRY_S: u32 = 1;
+/// `Retry-After` of answers with status 503, in seconds.
+const RETRY_AFTER_S: u32 = 1;
 
-/// The interface for callers.
+/// The HTTP endpoint for callers, and for requests that other nodes relay.
 pub(crate) struct Api {
     pub(crate) node: Arc<Node>,
     pub(crate) lease: Arc<Lease>,
     pub(crate) relay: Relay,
-    /// Carries out orders of other nodes; none where only callers come.
+    /// Carries out orders of other nodes; `None` on the listener for callers.
     pub(crate) orders: Option<Runners>,
 }
 
@@ -68,20 +69,20 @@
         {
             return Ok(dispatch::serve::upgrade(&request, runners.clone()));
         }
-        let came = Instant::now();
+        let received = Instant::now();
         let method = method_name(request.method());
         let (queue, mut response) = self.answer(request).await;
         let queue = queue.as_deref().unwrap_or("none");
-        self.node.metrics.answered(queue, method, response.status(), came.elapsed());
+        self.node.metrics.answered(queue, method, response.status(), received.elapsed());
         if self.node.leaving.is_cancelled() {
-            // The caller's next request goes to another node.
+            // Makes the caller's next request go to another node.
             http::close_after(&mut response);
         }
         Ok(response)
     }
 }
 
-/// The node's own word on whether it takes new callers.
+/// The readiness probe: whether the node accepts new callers.
 pub(crate) struct Readiness {
     pub(crate) node: Arc<Node>,
     pub(crate) lease: Arc<Lease>,
@@ -93,33 +94,38 @@
     async fn call(&self, _: Request) -> poem::Result<Response> {
         let now = self.node.now().steady;
         let view = self.node.view();
-        let knows = view.is_ready() && view.hears_operator(now);
+        let is_current = view.is_ready() && view.hears_operator(now);
         drop(view);
-        let in_touch = self.lease.held(now).is_some();
-        let ready = knows && in_touch && !self.node.leaving.is_cancelled();
+        let has_lease = self.lease.held(now).is_some();
+        let ready = is_current && has_lease && !self.node.leaving.is_cancelled();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         Ok(http::text(status, ""))
     }
 }
 
 impl Api {
-    /// The name of the queue that was asked, and the answer.
+    /// The name of the queue that the request is about, and the answer.
     async fn answer(&self, request: Request) -> (Option<String>, Response) {
-        let came = Instant::now();
+        let received = Instant::now();
         let Some(config) = self.node.view().config.clone() else {
-            return (None, away("no configuration has been read yet"));
+            return (None, unavailable("the node has not read a configuration yet"));
         };
-        if relayed_by(&request).is_some_and(|theirs| config.version < theirs) {
-            return (None, away("the configuration here is older"));
+        if relayed_config(&request).is_some_and(|theirs| config.version < theirs) {
+            return (
+                None,
+                unavailable(
+                    "the configuration of this node is older than that of the relaying node",
+                ),
+            );
         }
         let host = request.header(header::HOST).unwrap_or_default().to_ascii_lowercase();
         let path = request.uri().path().to_owned();
         let Some(queue) = config.queue_of(&host, &path) else {
             return (None, http::text(StatusCode::NOT_FOUND, "there is no such queue\n"));
         };
-        let deadline = came + wait_of(&request).saturating_sub(ANSWER_MARGIN);
-        let rest = &path[queue.prefix.len()..];
-        let response = match (rest.is_empty(), rest.parse::<JobId>()) {
+        let deadline = received + caller_timeout(&request).saturating_sub(ANSWER_MARGIN);
+        let suffix = &path[queue.prefix.len()..];
+        let response = match (suffix.is_empty(), suffix.parse::<JobId>()) {
             (true, _) => self.pending(queue, config.version, &request, deadline).await,
             (false, Ok(id)) => self.answer_job(id, queue, config.version, request, deadline).await,
             (false, Err(error)) => http::text(StatusCode::NOT_FOUND, format!("{error}\n")),
@@ -127,7 +133,7 @@
         (Some(queue.name.clone()), response)
     }
 
-    /// Answers here, or has another node answer while the store turns this one away.
+    /// Answers here, or relays the request to another node if the store cannot be reached from here.
     async fn answer_job(
         &self,
         id: JobId,
@@ -136,62 +142,67 @@
         mut request: Request,
         deadline: Instant,
     ) -> Response {
-        let body = match http::read_body(request.take_body(), MAX_BODY).await {
+        let body = match http::read_body(request.take_body(), MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => {
-                let mut told = http::text(StatusCode::BAD_REQUEST, format!("{error}\n"));
-                http::close_after(&mut told);
-                return told;
+                let mut response = http::text(StatusCode::BAD_REQUEST, format!("{error}\n"));
+                http::close_after(&mut response);
+                return response;
             }
         };
-        let in_touch = self.lease.is_in_touch(self.node.now().steady);
+        let store_reachable = self.lease.is_in_touch(self.node.now().steady);
         let method = request.method().clone();
         if request.header(RELAYED_HEADER).is_some() {
-            return match in_touch {
+            return match store_reachable {
                 true => self.answer_here(id, queue, &method, body, deadline).await,
-                false => away("the store is not reached"),
+                false => unavailable("the store cannot be reached"),
             };
         }
         let subject = Subject::Job(id);
-        let call = call_of(&request, subject, config, body.clone(), deadline);
-        if !in_touch {
+        let call = relay_call(&request, subject, config, body.clone(), deadline);
+        if !store_reachable {
             match self.relay.ask(&self.node, &call).await {
                 Relayed::Answered(response) => return response,
-                Relayed::Unknown if method != Method::GET => return unanswered(),
+                Relayed::Unknown if method != Method::GET => return unknown_outcome(),
                 Relayed::Unknown | Relayed::NotTaken => {}
             }
-            let last = self.last_told(id, &method);
+            let last = self.last_known_response(id, &method);
             return match last {
                 Some(response) => response,
                 None => self.answer_here(id, queue, &method, body, deadline).await,
             };
         }
-        // One try, if others can make the next.
-        let tries_end = if self.has_peers() { Instant::now() } else { deadline };
-        let response = self.answer_here(id, queue, &method, body, tries_end).await;
-        if !is_away(&response) {
+        // A single attempt if another node can make the next one.
+        let retry_until = if self.has_peers() { Instant::now() } else { deadline };
+        let response = self.answer_here(id, queue, &method, body, retry_until).await;
+        if !is_unavailable(&response) {
             return response;
         }
         match self.relay.ask(&self.node, &call).await {
             Relayed::Answered(response) => response,
-            Relayed::NotTaken => self.last_told(id, &method).unwrap_or(response),
-            Relayed::Unknown => self.last_told(id, &method).unwrap_or_else(unanswered),
+            Relayed::NotTaken => self.last_known_response(id, &method).unwrap_or(response),
+            Relayed::Unknown => {
+                self.last_known_response(id, &method).unwrap_or_else(unknown_outcome)
+            }
         }
     }
 
-    /// How a job stood when it was last heard of, for a caller that asks while neither the store nor
-    /// another node answers: that is better than nothing, and an end is one for ever.
-    fn last_told(&self, id: JobId, method: &Method) -> Option<Response> {
-        let state = self.last_heard(id).filter(|_| *method == Method::GET)?;
+    /// The last known state of a job, for a `GET` while neither the store nor another node answers:
+    /// better than no answer, and a final state does not change.
+    fn last_known_response(&self, id: JobId, method: &Method) -> Option<Response> {
+        let state = self.last_known_state(id).filter(|_| *method == Method::GET)?;
         let age = self.node.view().ages.of(keys::ROOT, self.node.now().steady);
-        log::info!("job {id}: told as last heard: the records are {} ms old", age.unwrap_or(0));
+        log::info!(
+            "job {id}: answered with the last known state: the records are {} ms old",
+            age.unwrap_or(0)
+        );
         Some(http::json(StatusCode::OK, &caller::state(state)))
     }
 
     fn has_peers(&self) -> bool {
         let view = self.node.view();
-        let me = self.node.settings.node.as_str();
-        view.nodes.iter().any(|(name, at)| name != me && at.value.peers.is_some())
+        let own = self.node.settings.node.as_str();
+        view.nodes.iter().any(|(name, at)| name != own && at.value.peers.is_some())
     }
 
     async fn answer_here(
@@ -203,15 +214,15 @@
         deadline: Instant,
     ) -> Response {
         match *method {
-            Method::POST => self.hand_in(id, queue, body, deadline).await,
+            Method::POST => self.submit(id, queue, body, deadline).await,
             Method::GET => self.state(id).await,
             Method::DELETE => self.cancel(id, deadline).await,
             _ => http::text(StatusCode::METHOD_NOT_ALLOWED, "POST, GET or DELETE\n"),
         }
     }
 
-    /// How many jobs wait, by this node if it knows, or else by another one. A node that does not
-    /// know says so: a count from an old view may be far too low, and nobody sees it.
+    /// Answers how many jobs wait: from this node's view, or else by relaying to another node. A node
+    /// with a stale view refuses to answer: a count from it may be far too low without any sign of it.
     async fn pending(
         &self,
         queue: &Queue,
@@ -223,27 +234,27 @@
             return http::text(StatusCode::METHOD_NOT_ALLOWED, "GET\n");
         }
         let counted = self.node.view().pending(queue, self.node.now().steady);
-        let why = match counted {
+        let reason = match counted {
             Ok(Counted { jobs, by }) => {
                 self.node.metrics.counted_by(by);
                 return http::json(StatusCode::OK, &PendingAnswer { pending: jobs });
             }
-            Err(why) => why,
+            Err(reason) => reason,
         };
         if request.header(RELAYED_HEADER).is_none() {
             let subject = Subject::Queue(queue.name.clone());
-            let call = call_of(request, subject, config, Bytes::new(), deadline);
+            let call = relay_call(request, subject, config, Bytes::new(), deadline);
             if let Relayed::Answered(response) = self.relay.ask(&self.node, &call).await {
                 self.node.metrics.counted_by("another node");
                 return response;
             }
         }
         self.node.metrics.counted_by("nobody");
-        log::info!("queue {}: not known how many jobs wait: {why}", queue.name);
-        away("it is not known how many wait")
+        log::info!("queue {}: number of waiting jobs unknown: {reason}", queue.name);
+        unavailable("the number of waiting jobs is unknown")
     }
 
-    async fn hand_in(&self, id: JobId, queue: &Queue, body: Bytes, deadline: Instant) -> Response {
+    async fn submit(&self, id: JobId, queue: &Queue, body: Bytes, deadline: Instant) -> Response {
         if self.knows(id) {
             return http::text(StatusCode::OK, "");
         }
@@ -256,13 +267,13 @@
             }
         };
         if self.lease.held(now.steady).is_none() {
-            log::info!("job {id}: refused: the store is not reached");
-            return away("the store is not reached");
+            log::info!("job {id}: refused: the store cannot be reached");
+            return unavailable("the store cannot be reached");
         }
         let value = match serde_json::to_vec(&record) {
             Ok(value) => value,
             Err(error) => {
-                log::error!("job {id}: not written as JSON: {error}");
+                log::error!("job {id}: encoding as JSON failed: {error}");
                 return http::text(StatusCode::BAD_REQUEST, format!("{error}\n"));
             }
         };
@@ -272,8 +283,8 @@
         log::info!("job {id}: queue {}: {accepted:?} in {took} ms", queue.name);
         match accepted {
             Accepted::Kept | Accepted::Already => http::text(StatusCode::OK, ""),
-            Accepted::NotWritten => away("the store took nothing"),
-            Accepted::Unknown => unanswered(),
+            Accepted::NotWritten => unavailable("the write was not done"),
+            Accepted::Unknown => unknown_outcome(),
         }
     }
 
@@ -282,52 +293,52 @@
     }
 
     async fn state(&self, id: JobId) -> Response {
-        match self.standing(id).await {
+        match self.current_state(id).await {
             Ok(Some(state)) => http::json(StatusCode::OK, &caller::state(state)),
             Ok(None) => http::text(StatusCode::GONE, "there is no such job\n"),
             Err(error) => {
-                log::info!("job {id}: state not known: {error}");
-                away("the store is not reached")
+                log::info!("job {id}: state unknown: {error}");
+                unavailable("the store cannot be reached")
             }
         }
     }
 
-    /// How a job stood when it was last heard of; nothing if it was not.
-    fn last_heard(&self, id: JobId) -> Option<JobState> {
+    /// The state of a job in this node's view; `None` if the view does not have it.
+    fn last_known_state(&self, id: JobId) -> Option<JobState> {
         let view = self.node.view();
         view.jobs.get(&id).filter(|known| known.is_accepted()).map(KnownJob::state)
     }
 
-    /// How a job stands; nothing if it was never accepted. An end is one for ever; of others, and of
-    /// jobs that the node has not heard of, the store tells once the records here are old.
-    async fn standing(&self, id: JobId) -> Result<Option<JobState>, StoreError> {
+    /// The state of a job; `None` if it was never accepted. A final state in the view always holds;
+    /// for other states, and for jobs that the view does not have, the store is read if the view is
+    /// stale.
+    async fn current_state(&self, id: JobId) -> Result<Option<JobState>, StoreError> {
         let now = self.node.now().steady;
-        let is_new = self.node.view().ages.is_within(keys::ROOT, STATE_MS, now);
-        match self.last_heard(id).filter(|state| state.is_final() || is_new) {
+        let is_fresh = self.node.view().ages.is_within(keys::ROOT, STATE_MS, now);
+        match self.last_known_state(id).filter(|state| state.is_final() || is_fresh) {
             Some(state) => Ok(Some(state)),
-            None => self.read_standing(id).await,
+            None => self.read_state(id).await,
         }
     }
 
-    async fn read_standing(&self, id: JobId) -> Result<Option<JobState>, StoreError> {
+    async fn read_state(&self, id: JobId) -> Result<Option<JobState>, StoreError> {
         let (items, _) = self.node.kv.range(&keys::standing(id)).await?;
         Ok(view::standing(id, &items))
     }
 
     async fn cancel(&self, id: JobId, deadline: Instant) -> Response {
-        // Of a job that was accepted, however long ago, a cancel can be written: one that has ended
-        // stays as it ended.
-        let standing = match self.last_heard(id) {
+        // A cancel can be written for any accepted job, however old: a final state stays as it is.
+        let state = match self.last_known_state(id) {
             Some(state) => Ok(Some(state)),
-            None => self.read_standing(id).await,
+            None => self.read_state(id).await,
         };
-        match standing {
+        match state {
             Ok(Some(state)) if state.is_final() => return http::text(StatusCode::OK, ""),
             Ok(Some(_)) => {}
             Ok(None) => return http::text(StatusCode::GONE, "there is no such job\n"),
             Err(error) => {
-                log::info!("job {id}: cancel not taken: {error}");
-                return away("the store is not reached");
+                log::info!("job {id}: cancel failed: {error}");
+                return unavailable("the store cannot be reached");
             }
         }
         let key = keys::cancel(id);
@@ -339,7 +350,7 @@
                     log::info!("job {id}: cancelled");
                     return http::text(StatusCode::OK, "");
                 }
-                Ok(Committed::LeaseOver) => return away("the store took nothing"),
+                Ok(Committed::LeaseOver) => return unavailable("the write was not done"),
                 Err(error) => {
                     unknown |= error.is_unknown();
                     if !unknown || deadline <= Instant::now() {
@@ -347,13 +358,13 @@
                     }
                 }
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// A caller's request, to be handed to another node.
-fn call_of(
+/// A caller's request in the form that is relayed to another node.
+fn relay_call(
     request: &Request,
     subject: Subject,
     config: u64,
@@ -372,10 +383,10 @@
 }
 
 fn cancel_failed(id: JobId, unknown: bool, error: &StoreError) -> Response {
-    log::info!("job {id}: cancel not taken: {error}");
+    log::info!("job {id}: cancel failed: {error}");
     match unknown {
-        true => unanswered(),
-        false => away("the store took nothing"),
+        true => unknown_outcome(),
+        false => unavailable("the write was not done"),
     }
 }
 
@@ -388,30 +399,30 @@
     }
 }
 
-fn wait_of(request: &Request) -> Duration {
+fn caller_timeout(request: &Request) -> Duration {
     let millis = request.header(DEADLINE_HEADER).and_then(|text| text.parse().ok());
-    millis.map(Duration::from_millis).unwrap_or(DEFAULT_WAIT)
+    millis.map(Duration::from_millis).unwrap_or(DEFAULT_TIMEOUT)
 }
 
-/// The version of the configuration of the node that has handed on a request; nothing for a
-/// caller's own.
-fn relayed_by(request: &Request) -> Option<u64> {
+/// The configuration version of the node that relayed the request; `None` if it comes from a caller.
+fn relayed_config(request: &Request) -> Option<u64> {
     request.header(RELAYED_HEADER)?.parse().ok()
 }
 
-/// Whether the store was not reached, or gave no answer.
-fn is_away(response: &Response) -> bool {
+/// Whether the store could not be reached or gave no answer.
+fn is_unavailable(response: &Response) -> bool {
     matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
 }
 
-/// It may have been done, or may be yet.
-fn unanswered() -> Response {
-    http::text(StatusCode::GATEWAY_TIMEOUT, "the store gave no answer: ask again\n")
+/// The answer when the request may have been carried out, or may still be.
+fn unknown_outcome() -> Response {
+    http::text(StatusCode::GATEWAY_TIMEOUT, "the store gave no answer: retry the request\n")
 }
 
-/// Nothing was done, and nothing will be: the caller may come back.
-fn away(why: &str) -> Response {
-    let mut response = http::text(StatusCode::SERVICE_UNAVAILABLE, format!("not taken: {why}\n"));
-    response.headers_mut().insert(header::RETRY_AFTER, AWAY_RETRY_S.into());
+/// The answer when the request was not carried out and will not be: the caller may retry.
+fn unavailable(reason: &str) -> Response {
+    let mut response =
+        http::text(StatusCode::SERVICE_UNAVAILABLE, format!("request not accepted: {reason}\n"));
+    response.headers_mut().insert(header::RETRY_AFTER, RETRY_AFTER_S.into());
     response
 }
--- a/src/scheduler/clock.rs
+++ b/src/scheduler/clock.rs
@@ -1,4 +1,4 @@
-//! The node's clock, and whether the process has stood still.
+//! The node's clock, which also detects pauses of the process.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -9,70 +9,73 @@
 
 use crate::model::unit::{Now, Steady, Time};
 
-/// A process that does not look at its clock for so long has stood still, in milliseconds: its loop
-/// looks ten times a second, and a node without processor time waits a tenth of a second.
-const STOOD_STILL_MS: u64 = 1_000;
+/// A gap between two readings of the clock that counts as a pause of the process, in milliseconds:
+/// the control loop reads it ten times a second, and a node short of processor time may wait a tenth
+/// of a second.
+const PAUSE_THRESHOLD_MS: u64 = 1_000;
 
-/// A clock that never jumps, and that goes on while the machine is suspended: for all others, leases
-/// and time limits go on meanwhile as well.
+/// A clock that never jumps and that includes the time while the machine is suspended: leases and
+/// time limits expire meanwhile for all other processes.
 #[derive(Debug)]
 pub(crate) struct Clock {
-    began: Duration,
-    /// When it was last looked at, in milliseconds since it began.
-    seen: AtomicU64,
-    /// When the process was last found to have stood still.
-    woke: AtomicU64,
+    origin: Duration,
+    /// When it was last read, in milliseconds since its origin.
+    last_read: AtomicU64,
+    /// When the end of a pause of the process was last detected.
+    resumed: AtomicU64,
     #[cfg(test)]
-    stood: AtomicU64,
+    simulated_pauses: AtomicU64,
 }
 
 impl Clock {
     pub(crate) fn new() -> Clock {
         Clock {
-            began: since_boot(),
-            seen: AtomicU64::new(0),
-            woke: AtomicU64::new(0),
+            origin: since_boot(),
+            last_read: AtomicU64::new(0),
+            resumed: AtomicU64::new(0),
             #[cfg(test)]
-            stood: AtomicU64::new(0),
+            simulated_pauses: AtomicU64::new(0),
         }
     }
 
-    /// The present, by both clocks.
+    /// The current time by the steady clock and by the wall clock.
     pub(crate) fn now(&self) -> Now {
-        let millis = since_boot().saturating_sub(self.began).as_millis() as u64;
+        let millis = since_boot().saturating_sub(self.origin).as_millis() as u64;
         #[cfg(test)]
-        let millis = millis + self.stood.load(Ordering::Acquire);
-        let seen = self.seen.fetch_max(millis, Ordering::AcqRel);
-        if seen + STOOD_STILL_MS <= millis {
-            self.woke.fetch_max(millis, Ordering::AcqRel);
+        let millis = millis + self.simulated_pauses.load(Ordering::Acquire);
+        let last_read = self.last_read.fetch_max(millis, Ordering::AcqRel);
+        if last_read + PAUSE_THRESHOLD_MS <= millis {
+            self.resumed.fetch_max(millis, Ordering::AcqRel);
         }
         Now { steady: Steady::from_millis(millis), wall: Time::now() }
     }
 
-    /// When the process was last found to have stood still, a suspended machine included: what it had
-    /// decided before may no longer hold.
+    /// When the end of a pause of the process was last detected, a suspended machine included:
+    /// decisions made before that may no longer hold.
     pub(crate) fn woke(&self) -> Steady {
-        Steady::from_millis(self.woke.load(Ordering::Acquire))
+        Steady::from_millis(self.resumed.load(Ordering::Acquire))
     }
 
-    /// Has the process stand still for a while.
+    /// Simulates a pause of the process.
     #[cfg(test)]
     pub(crate) fn stand_still(&self, millis: u64) {
-        self.stood.fetch_add(millis, Ordering::AcqRel);
+        self.simulated_pauses.fetch_add(millis, Ordering::AcqRel);
     }
 }
 
-/// The time since the machine was started, suspended or not.
+/// The time since boot, including time suspended.
 fn since_boot() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map_or_else(
         |error| {
-            // Without that clock, one that stands still with the machine.
+            // Falls back to a clock that stops while the machine is suspended.
             static FALLBACK: std::sync::OnceLock<Instant> = std::sync::OnceLock::new();
-            let began = FALLBACK.get_or_init(|| {
-                log::error!("clock: the one that counts suspended time cannot be read: {error}");
+            let first_use = FALLBACK.get_or_init(|| {
+                log::error!(
+                    "clock: cannot read CLOCK_BOOTTIME, suspended time is not counted: {error}"
+                );
                 Instant::now()
             });
-            began.elapsed()
+            first_use.elapsed()
         },
         Duration::from,
     )
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,4 +1,4 @@
-//! What pools ask for, by the jobs that the view shows.
+//! The demand of pools for processor time, from the jobs in the view.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,35 +17,35 @@
     scheduler::view::{At, KnownJob, View},
 };
 
-/// The time over which arrivals are counted: half of it passes before a turn shows as it is.
-const ARRIVALS: Duration = Duration::from_millis(500);
+/// The window over which arrivals are counted: a change of the rate shows fully after half of it.
+const ARRIVAL_WINDOW: Duration = Duration::from_millis(500);
 
-/// What each pool asks for now, counted anew.
+/// The current demand of each pool, computed from scratch.
 pub(crate) fn of_pools(view: &View, config: &QueueConfig, wall: Time) -> BTreeMap<PoolId, Demand> {
     Demands::default().of_pools(view, config, wall)
 }
 
-/// Counts what pools ask for, again and again. The steps of a job are looked at again only when its
-/// records have changed, or another of its times has come: the view is locked meanwhile, on the
-/// node that has to take in what the store tells.
+/// Computes the demand of pools repeatedly. The steps of a job are evaluated again only when its
+/// records have changed or another of its occurrences is due: the view is locked meanwhile, on the
+/// node that also has to apply the changes from the store.
 #[derive(Debug, Default)]
 pub(crate) struct Demands {
-    jobs: HashMap<JobId, Counted>,
-    /// How often all was counted.
+    jobs: HashMap<JobId, JobDemand>,
+    /// How often the demand was computed.
     round: u64,
-    /// How often a step was looked at.
+    /// How often a step was evaluated.
     #[cfg(test)]
-    looks: std::cell::Cell<usize>,
+    evaluated_steps: std::cell::Cell<usize>,
 }
 
 impl Demands {
-    /// How often a step was looked at since this was last asked.
+    /// How often a step was evaluated since the last call.
     #[cfg(test)]
     pub(crate) fn take_looks(&self) -> usize {
-        self.looks.take()
+        self.evaluated_steps.take()
     }
 
-    /// What each pool asks for now.
+    /// The current demand of each pool.
     pub(crate) fn of_pools(
         &mut self,
         view: &View,
@@ -61,66 +61,69 @@
                 continue;
             };
             open += 1;
-            let kept = self.jobs.get_mut(id).filter(|counted| counted.is_of(record, job, wall));
-            let counted = match kept {
-                Some(counted) => counted,
+            let cached =
+                self.jobs.get_mut(id).filter(|demand| demand.is_current(record, job, wall));
+            let job_demand = match cached {
+                Some(job_demand) => job_demand,
                 None => {
                     #[cfg(test)]
-                    self.looks.set(self.looks.get() + record.value.steps.len());
-                    self.jobs.entry(*id).insert_entry(Counted::new(record, job, wall)).into_mut()
+                    self.evaluated_steps.set(self.evaluated_steps.get() + record.value.steps.len());
+                    self.jobs.entry(*id).insert_entry(JobDemand::new(record, job, wall)).into_mut()
                 }
             };
-            counted.round = self.round;
+            job_demand.round = self.round;
             match demands.get_mut(&record.value.pool) {
-                Some(demand) => counted.add_to(demand, wall),
+                Some(demand) => job_demand.add_to(demand, wall),
                 None => {
                     let demand = demands.entry(record.value.pool.clone()).or_default();
-                    counted.add_to(demand, wall);
+                    job_demand.add_to(demand, wall);
                 }
             }
         }
         if open < self.jobs.len() {
-            self.jobs.retain(|_, counted| counted.round == self.round);
+            self.jobs.retain(|_, job_demand| job_demand.round == self.round);
         }
         demands
     }
 }
 
-/// The share of a job's declared work, in percent, that is taken as certain to be left: what callers
-/// declare is off by half in both directions.
+/// The share of a job's remaining declared work that is assumed certain: what callers declare is off
+/// by half in both directions.
 const CERTAIN_PERCENT: u64 = 60;
 
-/// What a job asks for at its present records, but for what follows from the time alone.
+/// The demand of a job by its current records, without what depends on the time alone.
 #[derive(Debug)]
-struct Counted {
+struct JobDemand {
     /// The revisions of its record and of its progress.
     record: Revision,
     progress: Option<Revision>,
-    /// As long as the time is in here, no other of its times is due.
+    /// The interval of time in which no other occurrence becomes due.
     from: Time,
     until: Time,
-    /// The round in which the job was last seen.
+    /// The round in which the job was last in the view.
     round: u64,
-    /// Processor time of the steps whose turn has come, in millicores.
+    /// Processor time of the steps that are ready, in millicores.
     cpu: u64,
-    /// Hosts over which its lasting tasks must be spread.
+    /// Hosts over which its long-running tasks must be spread.
     spread: usize,
-    /// Whether some of it ends by itself.
-    ends: bool,
-    /// From when on it cannot end in time any more, by what its caller declared; nothing if it is
+    /// Whether some of its tasks end by themselves.
+    finite: bool,
+    /// The time after which it cannot end in time, by what its caller declared; `None` if it is
     /// never late.
     late_after: Option<Time>,
     accepted: Time,
-    /// Processor time that it takes to do all of it within the time over which arrivals are counted.
+    /// Processor time needed to do all of it within [`ARRIVAL_WINDOW`], in millicores.
     arriving: u64,
 }
 
-impl Counted {
-    /// Looks at each step of a job.
-    fn new(at: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> Counted {
+impl JobDemand {
+    /// Evaluates each step of a job.
+    fn new(at: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> JobDemand {
         let record = &*at.value;
-        let due = (0..record.times()).take_while(|time| record.due(*time) <= wall).count() as u32;
-        let mut counted = Counted {
+        let due = (0..record.times())
+            .take_while(|occurrence| record.due(*occurrence) <= wall)
+            .count() as u32;
+        let mut demand = JobDemand {
             record: at.revision,
             progress: job.progress.as_ref().map(|at| at.revision),
             from: due.checked_sub(1).map_or(Time::default(), |last| record.due(last)),
@@ -131,28 +134,28 @@
             round: 0,
             cpu: 0,
             spread: 0,
-            ends: false,
+            finite: false,
             late_after: None,
             accepted: record.accepted,
             arriving: arriving(record),
         };
-        let left_ms = counted.add_steps(record, job, due);
-        counted.late_after = late_after(record, left_ms);
-        counted
+        let left_ms = demand.add_steps(record, job, due);
+        demand.late_after = late_after(record, left_ms);
+        demand
     }
 
-    /// Adds what the steps ask for whose turn has come; declared work of one task of each step that
-    /// is left, in milliseconds.
+    /// Adds the demand of the steps that are ready. Returns the declared work of one task of each
+    /// unfinished step, in milliseconds.
     fn add_steps(&mut self, record: &JobRecord, job: &KnownJob, due: u32) -> u64 {
-        let notes = job.progress.iter().flat_map(|at| &at.value.steps);
-        let done: HashMap<(u32, u32), u32> = notes
-            .filter_map(|(name, note)| Some((step_number(name)?, note.done.len() as u32)))
+        let steps = job.progress.iter().flat_map(|at| &at.value.steps);
+        let done: HashMap<(u32, u32), u32> = steps
+            .filter_map(|(name, progress)| Some((step_number(name)?, progress.done.len() as u32)))
             .collect();
-        let done = |time: u32, step: u32| done.get(&(time, step)).copied().unwrap_or(0);
+        let done = |occurrence: u32, step: u32| done.get(&(occurrence, step)).copied().unwrap_or(0);
         let mut left_ms = 0;
-        for time in 0..due {
+        for occurrence in 0..due {
             for (number, step) in record.steps.iter().enumerate() {
-                let left = step.count.saturating_sub(done(time, number as u32));
+                let left = step.count.saturating_sub(done(occurrence, number as u32));
                 if left != 0 {
                     left_ms += step.estimate_ms;
                 }
@@ -160,12 +163,12 @@
                     record
                         .steps
                         .get(*earlier as usize)
-                        .is_none_or(|step| step.count <= done(time, *earlier))
+                        .is_none_or(|step| step.count <= done(occurrence, *earlier))
                 });
                 if !ready {
                     continue;
                 }
-                self.ends |= !step.lasting && left != 0;
+                self.finite |= !step.lasting && left != 0;
                 self.cpu += u64::from(left) * u64::from(step.charge().cpu.0);
                 if step.apart != 0 && step.lasting {
                     self.spread = self.spread.max(left.div_ceil(step.apart) as usize);
@@ -175,8 +178,8 @@
         left_ms
     }
 
-    /// Whether this is still what the job asks for.
-    fn is_of(&self, record: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> bool {
+    /// Whether this is still the demand of the job.
+    fn is_current(&self, record: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> bool {
         self.record == record.revision
             && self.progress == job.progress.as_ref().map(|at| at.revision)
             && self.from <= wall
@@ -189,25 +192,25 @@
             false => demand.cpu += self.cpu,
         }
         demand.spread = demand.spread.max(self.spread);
-        demand.ends |= self.ends;
-        if wall.since(self.accepted) < ARRIVALS {
+        demand.ends |= self.finite;
+        if wall.since(self.accepted) < ARRIVAL_WINDOW {
             demand.arriving += self.arriving;
             demand.arrivals += 1;
         }
     }
 }
 
-/// What it takes to keep up with a job that came lately: its work, done within that time.
+/// Processor time needed to do the work of a recent job within [`ARRIVAL_WINDOW`], in millicores.
 fn arriving(record: &JobRecord) -> u64 {
-    let passing = record.steps.iter().filter(|step| !step.lasting);
-    let work = passing.map(|step| {
+    let finite = record.steps.iter().filter(|step| !step.lasting);
+    let work = finite.map(|step| {
         let cpu = u64::from(step.count) * u64::from(step.charge().cpu.0);
-        cpu * step.estimate_ms / ARRIVALS.as_millis() as u64
+        cpu * step.estimate_ms / ARRIVAL_WINDOW.as_millis() as u64
     });
     work.sum()
 }
 
-/// From when on a job cannot end in time any more with so much of it left, by what its caller declared.
+/// The time after which a job with so much work left cannot end in time, by what its caller declared.
 fn late_after(record: &JobRecord, left_ms: u64) -> Option<Time> {
     if record.is_lasting() || record.times() != 1 {
         return None;
@@ -217,13 +220,13 @@
     let certain = left_ms * CERTAIN_PERCENT / 100;
     Some(match objective.checked_sub(certain) {
         Some(spare) => record.due(0) + Duration::from_millis(spare),
-        // Late from the first on, also by a clock that is behind.
+        // Late from the start, even by a clock that is behind.
         None => Time::default(),
     })
 }
 
-/// The time and the step that a progress record names; nothing if it names none.
+/// The occurrence and the step in the name of a progress entry; `None` if the name is invalid.
 fn step_number(name: &str) -> Option<(u32, u32)> {
-    let (time, step) = name.split_once('.')?;
-    Some((time.parse().ok()?, step.parse().ok()?))
+    let (occurrence, step) = name.split_once('.')?;
+    Some((occurrence.parse().ok()?, step.parse().ok()?))
 }
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -1,5 +1,4 @@
-//! The call of one order, whether the owner's node makes it or another does, and what the owner is
-//! told of it.
+//! The call of one order, made by the owner's node or by a delegate, and the event with its result.
 
 use super::wire::Answer;
 use crate::{
@@ -8,7 +7,7 @@
     platform::runner::Runners,
 };
 
-/// Makes the call of one order, and tells what became of it. Questions for advice are no orders.
+/// Makes the call of one order and returns its result. Requests for advice are not orders to workers.
 pub(crate) async fn call(runners: &Runners, effect: &Effect) -> Answer {
     match effect {
         Effect::Start { to, start } => Answer::End(runners.start(to, start).await),
@@ -23,21 +22,21 @@
     }
 }
 
-/// What its owner is told of an order that was decided on at a moment.
+/// The event that reports the result of an order to its owner; `sent` is when it was decided.
 pub(crate) fn event(effect: Effect, sent: Steady, answer: Answer) -> Option<Event> {
-    let end = |answer| match answer {
+    let result = |answer| match answer {
         Answer::End(end) => end,
         Answer::Look(_) => OrderEnd::Unknown,
     };
     Some(match effect {
         Effect::Start { to, start } => {
-            Event::Started { worker: to.worker, task: start.task, run: start.run, end: end(answer) }
+            Event::Started { worker: to.worker, task: start.task, run: start.run, end: result(answer) }
         }
         Effect::Stop { to, task, run } => {
-            Event::Stopped { worker: to.worker, task, run, end: end(answer) }
+            Event::Stopped { worker: to.worker, task, run, end: result(answer) }
         }
         Effect::Pace { to, task, percent, .. } => {
-            Event::Paced { worker: to.worker, task, percent, end: end(answer) }
+            Event::Paced { worker: to.worker, task, percent, end: result(answer) }
         }
         Effect::Look { to, .. } => {
             let end = match answer {
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -1,4 +1,4 @@
-//! The side that gives orders: one link to each node that carries some out.
+//! The sending side of delegated orders: one link to each delegate.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -30,32 +30,32 @@
     platform::runner::{LOOK_SLACK, ORDER_LIMIT},
 };
 
-/// How long a link may take to open. Two crossings between zones take some 6 ms.
-const DIAL_LIMIT: Duration = Duration::from_millis(500);
+/// How long a link may take to open. Two round trips between zones take some 6 ms.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a message may take to be written before the link counts as lost.
-const WRITE_LIMIT: Duration = Duration::from_millis(500);
+/// How long a message may take to be written before the link counts as failed.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How much longer than the call itself an order may take by way of another node.
-const DETOUR_SLACK: Duration = Duration::from_millis(300);
+/// How much longer than the call itself an order may take through a delegate.
+const DELEGATE_SLACK: Duration = Duration::from_millis(300);
 
-/// How often links are checked for orders that are overdue.
-const CHECK: Duration = Duration::from_millis(100);
+/// How often a link is checked for overdue orders.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a link that has orders on their way may be silent before it is closed: a connection can
-/// go silent for good without a reset.
-const SILENCE: Duration = Duration::from_millis(1_500);
+/// How long a link with pending orders may receive nothing before it is closed: a connection can
+/// hang for ever without a reset.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long nothing is sent over a link that failed or whose node is late.
-const REST: Duration = Duration::from_secs(1);
+/// How long nothing is sent over a link that failed or has overdue orders.
+const BACKOFF: Duration = Duration::from_secs(1);
 
-/// Told what became of an order, and whether the other node had no answer from the worker.
+/// Receives the result of an order, and whether the delegate got no answer from the worker.
 pub(crate) type Tell = Box<dyn FnOnce(Event, bool) + Send>;
 
-/// An order that another node is to carry out.
+/// An order that a delegate is to carry out.
 pub(crate) struct Outgoing {
     pub(crate) effect: Effect,
-    /// When it was decided on.
+    /// When it was decided.
     pub(crate) sent: Steady,
     /// Whether it may still be sent.
     pub(crate) may_go: Box<dyn Fn() -> bool + Send>,
@@ -63,7 +63,7 @@
 }
 
 impl Outgoing {
-    fn end(self, answer: Answer) {
+    fn finish(self, answer: Answer) {
         let unanswered = answer == Answer::End(OrderEnd::Unknown);
         let Outgoing { effect, sent, tell, .. } = self;
         if let Some(event) = event(effect, sent, answer) {
@@ -71,97 +71,97 @@
         }
     }
 
-    /// Ends it without word of the other node, which may have carried it out. Of a look it matters
-    /// only that nothing was heard.
-    fn lose(self) {
-        let is_look = matches!(self.effect, Effect::Look { .. });
-        self.end(Answer::End(if is_look { OrderEnd::Unsent } else { OrderEnd::Unknown }));
+    /// Ends it without an answer of the delegate, which may have carried it out. A poll changes nothing
+    /// at the worker, so that one without an answer counts as unsent.
+    fn give_up(self) {
+        let is_poll = matches!(self.effect, Effect::Look { .. });
+        self.finish(Answer::End(if is_poll { OrderEnd::Unsent } else { OrderEnd::Unknown }));
     }
 
-    fn limit(&self) -> Duration {
+    fn time_limit(&self) -> Duration {
         let call = match &self.effect {
             Effect::Look { wait, .. } => *wait + LOOK_SLACK,
             _ => ORDER_LIMIT,
         };
-        call + DETOUR_SLACK
+        call + DELEGATE_SLACK
     }
 }
 
-/// A link, as those see it that send over it.
+/// The sender's handle of a link.
 struct Link {
-    to: mpsc::UnboundedSender<Vec<Outgoing>>,
-    resting: Arc<AtomicBool>,
+    orders: mpsc::UnboundedSender<Vec<Outgoing>>,
+    backing_off: Arc<AtomicBool>,
 }
 
-/// The links of an owner's node.
+/// The links of an owner's node to its delegates.
 #[derive(Default)]
 pub(crate) struct Links {
     links: BTreeMap<SocketAddr, Link>,
 }
 
 impl Links {
-    /// Whether orders can go to a node now.
+    /// Whether orders can be sent to a node now.
     pub(crate) fn is_open(&self, address: SocketAddr) -> bool {
-        self.links.get(&address).is_none_or(|link| !link.resting.load(Ordering::Acquire))
+        self.links.get(&address).is_none_or(|link| !link.backing_off.load(Ordering::Acquire))
     }
 
-    /// Has a node carry out orders. Links are opened when they are first needed.
+    /// Sends orders to a node. A link is opened when it is first needed.
     pub(crate) fn send(&mut self, address: SocketAddr, orders: Vec<Outgoing>) {
         let link = self.links.entry(address).or_insert_with(|| open(address));
-        if let Err(unsent) = link.to.send(orders) {
-            unsent.0.into_iter().for_each(|order| order.end(Answer::End(OrderEnd::Unsent)));
+        if let Err(unsent) = link.orders.send(orders) {
+            unsent.0.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
         }
     }
 
-    /// Closes the links to nodes that are not among these, once their orders have ended.
+    /// Closes the links to all other nodes, once their pending orders have ended.
     pub(crate) fn keep_only(&mut self, addresses: &[SocketAddr]) {
         self.links.retain(|address, _| addresses.contains(address));
     }
 }
 
 fn open(address: SocketAddr) -> Link {
-    let (to, orders) = mpsc::unbounded_channel();
-    let resting = Arc::new(AtomicBool::new(false));
-    tokio::spawn(keep(address, orders, resting.clone()));
-    Link { to, resting }
+    let (sender, orders) = mpsc::unbounded_channel();
+    let backing_off = Arc::new(AtomicBool::new(false));
+    tokio::spawn(maintain(address, orders, backing_off.clone()));
+    Link { orders: sender, backing_off }
 }
 
-/// Keeps a link for as long as somebody may send over it.
-async fn keep(
+/// Maintains a link until its handle is dropped.
+async fn maintain(
     address: SocketAddr,
     mut orders: mpsc::UnboundedReceiver<Vec<Outgoing>>,
-    resting: Arc<AtomicBool>,
+    backing_off: Arc<AtomicBool>,
 ) {
     while let Some(first) = orders.recv().await {
         let error = match dial(address).await {
             Ok(link) => {
-                let mut talk = Talk::new(address, resting.clone());
-                let ended = talk.run(link, first, &mut orders).await;
-                talk.lose_all();
+                let mut session = Session::new(address, backing_off.clone());
+                let ended = session.run(link, first, &mut orders).await;
+                session.give_up_all();
                 match ended {
                     Ok(()) => return,
                     Err(error) => error,
                 }
             }
             Err(error) => {
-                first.into_iter().for_each(|order| order.end(Answer::End(OrderEnd::Unsent)));
+                first.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
                 error
             }
         };
         log::info!("orders: link to {address}: {error}");
-        resting.store(true, Ordering::Release);
-        let rested = tokio::time::sleep(REST);
-        tokio::pin!(rested);
+        backing_off.store(true, Ordering::Release);
+        let backoff = tokio::time::sleep(BACKOFF);
+        tokio::pin!(backoff);
         loop {
             tokio::select! {
-                () = &mut rested => break,
+                () = &mut backoff => break,
                 more = orders.recv() => {
                     let Some(more) = more else { return };
-                    more.into_iter().for_each(|order| order.end(Answer::End(OrderEnd::Unsent)));
+                    more.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
                 }
             }
         }
-        resting.store(false, Ordering::Release);
+        backing_off.store(false, Ordering::Release);
     }
 }
 
@@ -173,31 +173,31 @@
         let (link, _) = client_async_with_config(url, stream, Some(config())).await?;
         eyre::Ok(link)
     };
-    timeout(DIAL_LIMIT, opened).await?
+    timeout(CONNECT_TIMEOUT, opened).await?
 }
 
-/// What is on its way over an open link.
-struct Talk {
+/// An open link and its pending orders.
+struct Session {
     address: SocketAddr,
-    resting: Arc<AtomicBool>,
+    backing_off: Arc<AtomicBool>,
     namer: Namer,
     next: u32,
     pending: HashMap<u32, (Outgoing, Instant)>,
-    heard: Instant,
-    /// Until when the other node is late, and gets no more.
-    late_until: Option<Instant>,
+    last_received: Instant,
+    /// Until when the delegate gets no more orders, because some were overdue.
+    backoff_until: Option<Instant>,
 }
 
-impl Talk {
-    fn new(address: SocketAddr, resting: Arc<AtomicBool>) -> Talk {
-        Talk {
+impl Session {
+    fn new(address: SocketAddr, backing_off: Arc<AtomicBool>) -> Session {
+        Session {
             address,
-            resting,
+            backing_off,
             namer: Namer::default(),
             next: 0,
             pending: HashMap::new(),
-            heard: Instant::now(),
-            late_until: None,
+            last_received: Instant::now(),
+            backoff_until: None,
         }
     }
 
@@ -208,7 +208,7 @@
         orders: &mut mpsc::UnboundedReceiver<Vec<Outgoing>>,
     ) -> eyre::Result<()> {
         let (mut sink, mut stream) = link.split();
-        let mut check = interval(CHECK);
+        let mut check = interval(CHECK_INTERVAL);
         check.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut next = Some(first);
         let mut open = true;
@@ -217,8 +217,8 @@
                 while let Ok(more) = orders.try_recv() {
                     batch.extend(more);
                 }
-                let bytes = self.note(batch)?;
-                timeout(WRITE_LIMIT, sink.send(Message::binary(bytes))).await??;
+                let bytes = self.encode(batch)?;
+                timeout(WRITE_TIMEOUT, sink.send(Message::binary(bytes))).await??;
             }
             tokio::select! {
                 batch = orders.recv(), if open => {
@@ -228,7 +228,7 @@
                 message = stream.next() => {
                     let message = message.ok_or_else(|| eyre::eyre!("closed by the other side"))?;
                     if let Message::Binary(bytes) = message? {
-                        self.take_in(ciborium::from_reader(&bytes[..])?);
+                        self.handle_answers(ciborium::from_reader(&bytes[..])?);
                     }
                 }
                 _ = check.tick() => self.check()?,
@@ -237,14 +237,14 @@
         Ok(())
     }
 
-    /// Notes what is sent, and how it is written. While the link was opened, or the message before
-    /// was written, an ownership may have come to its end.
-    fn note(&mut self, batch: Vec<Outgoing>) -> eyre::Result<Vec<u8>> {
+    /// Records a batch as pending and encodes it, without orders that may no longer be sent: an
+    /// ownership may have ended while the link was opened or the previous message was written.
+    fn encode(&mut self, batch: Vec<Outgoing>) -> eyre::Result<Vec<u8>> {
         let now = Instant::now();
-        let (batch, over): (Vec<_>, Vec<_>) = batch.into_iter().partition(|one| (one.may_go)());
-        over.into_iter().for_each(|order| order.end(Answer::End(OrderEnd::Unsent)));
+        let (batch, expired): (Vec<_>, Vec<_>) = batch.into_iter().partition(|one| (one.may_go)());
+        expired.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
         if self.pending.is_empty() {
-            self.heard = now;
+            self.last_received = now;
         }
         let first = self.next;
         self.next = first.wrapping_add(batch.len() as u32);
@@ -252,7 +252,7 @@
         let effects = batch.iter().map(|order| &order.effect);
         let wire = wire::batch(&mut self.namer, numbered().zip(effects));
         for (number, order) in numbered().zip(batch) {
-            let due = now + order.limit();
+            let due = now + order.time_limit();
             self.pending.insert(number, (order, due));
         }
         let mut bytes = Vec::new();
@@ -260,42 +260,42 @@
         Ok(bytes)
     }
 
-    fn take_in(&mut self, answers: Answers) {
-        self.heard = Instant::now();
+    fn handle_answers(&mut self, answers: Answers) {
+        self.last_received = Instant::now();
         for (number, answer) in wire::read_answers(answers) {
-            // One that came too late was told as lost.
+            // Overdue orders were given up already.
             if let Some((order, _)) = self.pending.remove(&number) {
-                order.end(answer);
+                order.finish(answer);
             }
         }
     }
 
-    /// Gives up what is overdue, and leaves a node that is late alone for a while.
+    /// Gives up overdue orders, and if there are any sends the delegate nothing more for [`BACKOFF`].
     fn check(&mut self) -> eyre::Result<()> {
         let now = Instant::now();
-        let overdue =
+        let number_if_overdue =
             |(number, (_, due)): (&u32, &(Outgoing, Instant))| (*due <= now).then_some(*number);
-        let late: Vec<u32> = self.pending.iter().filter_map(overdue).collect();
-        if !late.is_empty() {
-            log::info!("orders: {} without word from {}", late.len(), self.address);
-            self.late_until = Some(now + REST);
-            self.resting.store(true, Ordering::Release);
-        } else if self.late_until.is_some_and(|until| until <= now) {
-            self.late_until = None;
-            self.resting.store(false, Ordering::Release);
+        let overdue: Vec<u32> = self.pending.iter().filter_map(number_if_overdue).collect();
+        if !overdue.is_empty() {
+            log::info!("orders: {} without an answer from {}", overdue.len(), self.address);
+            self.backoff_until = Some(now + BACKOFF);
+            self.backing_off.store(true, Ordering::Release);
+        } else if self.backoff_until.is_some_and(|until| until <= now) {
+            self.backoff_until = None;
+            self.backing_off.store(false, Ordering::Release);
         }
-        for number in late {
+        for number in overdue {
             if let Some((order, _)) = self.pending.remove(&number) {
-                order.lose();
+                order.give_up();
             }
         }
-        if !self.pending.is_empty() && SILENCE < now - self.heard {
-            eyre::bail!("silent with {} orders on their way", self.pending.len());
+        if !self.pending.is_empty() && RECEIVE_TIMEOUT < now - self.last_received {
+            eyre::bail!("nothing received with {} orders pending", self.pending.len());
         }
         Ok(())
     }
 
-    fn lose_all(&mut self) {
-        self.pending.drain().for_each(|(_, (order, _))| order.lose());
+    fn give_up_all(&mut self) {
+        self.pending.drain().for_each(|(_, (order, _))| order.give_up());
     }
 }
--- a/src/scheduler/dispatch/serve.rs
+++ b/src/scheduler/dispatch/serve.rs
@@ -1,5 +1,5 @@
-//! The side that carries out orders: each call to a worker is made from here, and what became of
-//! them goes back in batches.
+//! The receiving side of delegated orders: makes the call of each order to its worker, and sends the
+//! results back in batches.
 
 use std::time::Duration;
 
@@ -23,34 +23,34 @@
 };
 
 use super::{
-    MOST_BYTES,
+    MAX_MESSAGE_BYTES,
     call::call,
     wire::{self, Answer, Answers, Batch, Names},
 };
 use crate::{http, platform::runner::Runners};
 
 /// How long the first answer waits for others, so that they share a message: with ends of some
-/// twelve workers, each message and each wake-up at its reader serves several.
-const GATHER: Duration = Duration::from_millis(5);
+/// twelve workers, each message and each wake-up of its reader serves several.
+const BATCH_DELAY: Duration = Duration::from_millis(5);
 
-/// How long a link may be silent before it is closed: an owner with workers here looks at each of
-/// them once a second at the least.
-const SILENCE: Duration = Duration::from_secs(5);
+/// How long a link may receive nothing before it is closed: an owner polls each worker that it has
+/// delegated at least once a second.
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a message may take to be written.
-const WRITE_LIMIT: Duration = Duration::from_secs(1);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How messages are read on both sides.
+/// The WebSocket configuration of both sides.
 pub(super) fn config() -> WebSocketConfig {
-    WebSocketConfig::default().max_message_size(Some(MOST_BYTES)).max_frame_size(Some(MOST_BYTES))
+    WebSocketConfig::default().max_message_size(Some(MAX_MESSAGE_BYTES)).max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
-/// Takes a request for a link, and serves the link until it ends.
+/// Accepts a request for a link, and serves the link until it ends.
 pub(crate) fn upgrade(request: &Request, runners: Runners) -> Response {
     let key =
         request.header(header::SEC_WEBSOCKET_KEY).map(|key| derive_accept_key(key.as_bytes()));
     let (Some(key), Ok(upgrade)) = (key, request.take_upgrade()) else {
-        return http::text(StatusCode::BAD_REQUEST, "orders come over a WebSocket\n");
+        return http::text(StatusCode::BAD_REQUEST, "a WebSocket upgrade is required for orders\n");
     };
     tokio::spawn(async move {
         match upgrade.await {
@@ -59,10 +59,10 @@
                 let config = Some(config());
                 let link = WebSocketStream::from_raw_socket(stream, Role::Server, config).await;
                 if let Err(error) = serve(link, runners).await {
-                    log::info!("orders: link: {error}");
+                    log::info!("orders: link failed: {error}");
                 }
             }
-            Err(error) => log::info!("orders: link: not opened: {error}"),
+            Err(error) => log::info!("orders: link could not be opened: {error}"),
         }
     });
     Response::builder()
@@ -79,9 +79,9 @@
 {
     let (sink, mut stream) = link.split();
     let (done, answers) = mpsc::unbounded_channel();
-    let telling = tokio::spawn(tell(sink, answers));
+    let sender = tokio::spawn(send_answers(sink, answers));
     let mut names = Names::default();
-    while let Ok(Some(message)) = timeout(SILENCE, stream.next()).await {
+    while let Ok(Some(message)) = timeout(RECEIVE_TIMEOUT, stream.next()).await {
         let Message::Binary(bytes) = message? else {
             continue;
         };
@@ -90,37 +90,37 @@
             let (runners, done) = (runners.clone(), done.clone());
             tokio::spawn(async move {
                 let answer = call(&runners, &order.effect).await;
-                // The owner has gone: whoever follows it asks the workers.
+                // Fails if the link has ended: the next owner polls the workers.
                 let _ = done.send((order.number, answer));
             });
         }
     }
-    telling.abort();
+    sender.abort();
     Ok(())
 }
 
-/// Tells what became of orders until the link ends.
-async fn tell<S>(mut sink: S, mut answers: mpsc::UnboundedReceiver<(u32, Answer)>)
+/// Sends the results of orders until the link ends.
+async fn send_answers<S>(mut sink: S, mut answers: mpsc::UnboundedReceiver<(u32, Answer)>)
 where
     S: futures_util::Sink<Message> + Unpin,
     S::Error: std::fmt::Display,
 {
     while let Some((number, answer)) = answers.recv().await {
-        let mut told = Answers::default();
-        wire::add_answer(&mut told, number, answer);
-        sleep(GATHER).await;
+        let mut message = Answers::default();
+        wire::add_answer(&mut message, number, answer);
+        sleep(BATCH_DELAY).await;
         while let Ok((number, answer)) = answers.try_recv() {
-            wire::add_answer(&mut told, number, answer);
+            wire::add_answer(&mut message, number, answer);
         }
         let mut bytes = Vec::new();
-        if let Err(error) = ciborium::into_writer(&told, &mut bytes) {
-            log::error!("orders: answers not written as CBOR: {error}");
+        if let Err(error) = ciborium::into_writer(&message, &mut bytes) {
+            log::error!("orders: encoding answers as CBOR failed: {error}");
             continue;
         }
-        match timeout(WRITE_LIMIT, sink.send(Message::binary(bytes))).await {
+        match timeout(WRITE_TIMEOUT, sink.send(Message::binary(bytes))).await {
             Ok(Ok(())) => {}
-            Ok(Err(error)) => return log::info!("orders: answers not sent: {error}"),
-            Err(_) => return log::info!("orders: answers not sent in time"),
+            Ok(Err(error)) => return log::info!("orders: sending answers failed: {error}"),
+            Err(_) => return log::info!("orders: sending answers timed out"),
         }
     }
 }
--- a/src/scheduler/dispatch/wire.rs
+++ b/src/scheduler/dispatch/wire.rs
@@ -1,6 +1,6 @@
-//! What two nodes say to each other: orders one way, what became of them the other way. Rows are
-//! tuples and workers are named once a link, since an owner of a thousand workers gives thousands of
-//! orders a second.
+//! Messages between an owner's node and a delegate: orders one way, their results the other way. Rows
+//! are tuples, and a worker is named once per link and numbered from then on, since an owner of a
+//! thousand workers gives thousands of orders a second.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -33,15 +33,15 @@
     pub(crate) looks: Vec<LookRow>,
 }
 
-/// A worker that later rows name by its number: number, identifier, address, token.
+/// A worker, to which later rows refer by its number: number, identifier, address, token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct WorkerRow(u32, Incarnation, String, u64);
 
-/// A task: job, time, step, index.
+/// A task: job, occurrence, step, index.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct TaskRow(u64, u32, u32, u32);
 
-/// Order, worker, task, run, payload, until when, checkpoint, ticket.
+/// Order, worker, task, run, payload, valid until, checkpoint, ticket.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StartRow(u32, u32, TaskRow, u32, u32, u64, String, String);
 
@@ -53,27 +53,27 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PaceRow(u32, u32, TaskRow, u32, u32);
 
-/// Order, worker, ends acknowledged, until when, milliseconds to wait for an end.
+/// Order, worker, ends acknowledged, lease until, milliseconds to wait for an end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LookRow(u32, u32, u64, Option<u64>, u64);
 
-/// What became of orders.
+/// The results of orders.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub(crate) struct Answers {
     #[serde(rename = "e")]
     pub(crate) ends: Vec<EndRow>,
     #[serde(rename = "f")]
     pub(crate) found: Vec<FoundRow>,
-    /// Looks that tell when the incarnation started that answered: order, start.
+    /// For polls whose answer has it, the start time of the incarnation that answered: order, start.
     #[serde(rename = "b", default)]
     pub(crate) born: Vec<(u32, Born)>,
 }
 
-/// Order, how it went (see [`code`]), the worker's clock if it told it.
+/// Order, result (see [`refusal_code`]), the worker's clock if the answer had it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndRow(u32, u8, Option<u64>);
 
-/// Order, clock, what is present, what has ended.
+/// Order, the worker's clock, present runs, ended runs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct FoundRow(u32, u64, Vec<PresentRow>, Vec<EndedRow>);
 
@@ -81,42 +81,42 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PresentRow(TaskRow, u32, String, u32, u64);
 
-/// Number, task, run, how, checkpoint.
+/// Number, task, run, outcome, checkpoint.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndedRow(u64, TaskRow, u32, u8, String);
 
 /// An order, as the node that carries it out sees it.
 #[derive(Debug, Clone)]
 pub(crate) struct Order {
-    /// The number by which its answer is told.
+    /// The number to which its answer refers.
     pub(crate) number: u32,
     pub(crate) effect: Effect,
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Answer {
-    /// Of a start, a stop or a pace.
+    /// Of a start, a stop or a throttle.
     End(OrderEnd<u64>),
-    /// Of a look.
+    /// Of a poll.
     Look(OrderEnd<Look>),
 }
 
-/// Names workers by numbers, on the side that gives orders.
+/// Assigns numbers to workers, on the sending side.
 #[derive(Default)]
 pub(crate) struct Namer {
     numbers: HashMap<Incarnation, (u32, String, u64)>,
     next: u32,
 }
 
-/// Knows workers by their numbers, on the side that carries orders out.
+/// Looks workers up by their numbers, on the receiving side.
 #[derive(Default)]
 pub(crate) struct Names {
     workers: HashMap<u32, Addressee>,
 }
 
 impl Namer {
-    /// The number of a worker; told in the batch if the other side does not know it yet.
+    /// The number of a worker; added to the batch if the other side does not know it yet.
     fn number(&mut self, to: &Addressee, batch: &mut Batch) -> u32 {
         if let Some((number, address, token)) = self.numbers.get(&to.worker)
             && *address == to.address
@@ -132,7 +132,7 @@
     }
 }
 
-/// Orders as they are sent. Those that no other node carries out are left out, with a log line.
+/// Encodes orders. Effects that a delegate cannot carry out are logged and left out.
 pub(crate) fn batch<'a>(
     namer: &mut Namer,
     orders: impl Iterator<Item = (u32, &'a Effect)>,
@@ -172,15 +172,15 @@
                 batch.looks.push(LookRow(number, worker, *acknowledged, *until_ms, wait));
             }
             Effect::Advise { step, .. } => {
-                log::error!("step {step}: a question for advice is no order to a worker");
+                log::error!("step {step}: a request for advice is not an order to a worker");
             }
         }
     }
     batch
 }
 
-/// Orders as they came. One that names a worker or payload that was not told is left out, with a
-/// log line: its owner takes it for unanswered.
+/// Decodes orders. An order with an unknown worker or payload is logged and left out: its owner treats
+/// it as unanswered.
 pub(crate) fn orders(names: &mut Names, batch: Batch) -> Vec<Order> {
     for WorkerRow(number, worker, address, token) in batch.workers {
         names.workers.insert(number, Addressee { worker, address, token });
@@ -189,7 +189,7 @@
     let known = |number: u32| {
         let to = names.workers.get(&number).cloned();
         if to.is_none() {
-            log::error!("orders: worker {number} was not told");
+            log::error!("orders: unknown worker number {number}");
         }
         to
     };
@@ -207,35 +207,35 @@
         orders.extend(stop.map(|effect| Order { number, effect }));
     }
     for PaceRow(number, worker, task, run, percent) in batch.paces {
-        let pace = known(worker).map(|to| Effect::Pace { to, task: task.into(), run, percent });
-        orders.extend(pace.map(|effect| Order { number, effect }));
+        let throttle = known(worker).map(|to| Effect::Pace { to, task: task.into(), run, percent });
+        orders.extend(throttle.map(|effect| Order { number, effect }));
     }
     for LookRow(number, worker, acknowledged, until_ms, wait) in batch.looks {
         let wait = Duration::from_millis(wait);
-        let look = known(worker).map(|to| Effect::Look { to, acknowledged, until_ms, wait });
-        orders.extend(look.map(|effect| Order { number, effect }));
+        let poll = known(worker).map(|to| Effect::Look { to, acknowledged, until_ms, wait });
+        orders.extend(poll.map(|effect| Order { number, effect }));
     }
     orders
 }
 
-/// Adds what became of an order to what is told next.
+/// Adds the result of an order to the next message.
 pub(crate) fn add_answer(answers: &mut Answers, number: u32, answer: Answer) {
     match answer {
-        Answer::Look(OrderEnd::Done(look)) => {
-            let present = look.present.into_iter().map(|present| {
+        Answer::Look(OrderEnd::Done(poll)) => {
+            let present = poll.present.into_iter().map(|present| {
                 let Present { task, run, saved, percent, gauge } = present;
                 PresentRow(task.into(), run, saved, percent, gauge)
             });
-            let ended = look.ended.into_iter().map(|ended| {
+            let ended = poll.ended.into_iter().map(|ended| {
                 let Ended { number, task, run, how, saved } = ended;
-                EndedRow(number, task.into(), run, how_code(how), saved)
+                EndedRow(number, task.into(), run, outcome_code(how), saved)
             });
             let (present, ended) = (present.collect(), ended.collect());
-            answers.born.extend(look.born.map(|born| (number, born)));
-            answers.found.push(FoundRow(number, look.clock_ms, present, ended));
+            answers.born.extend(poll.born.map(|born| (number, born)));
+            answers.found.push(FoundRow(number, poll.clock_ms, present, ended));
         }
         Answer::Look(OrderEnd::Refused { why, clock_ms }) => {
-            answers.ends.push(EndRow(number, code(why), clock_ms));
+            answers.ends.push(EndRow(number, refusal_code(why), clock_ms));
         }
         Answer::Look(OrderEnd::Unknown) | Answer::End(OrderEnd::Unknown) => {
             answers.ends.push(EndRow(number, UNKNOWN, None));
@@ -247,12 +247,12 @@
             answers.ends.push(EndRow(number, DONE, Some(clock_ms)));
         }
         Answer::End(OrderEnd::Refused { why, clock_ms }) => {
-            answers.ends.push(EndRow(number, code(why), clock_ms));
+            answers.ends.push(EndRow(number, refusal_code(why), clock_ms));
         }
     }
 }
 
-/// What became of orders, by their numbers.
+/// Decodes the results of orders, by their numbers.
 pub(crate) fn read_answers(answers: Answers) -> Vec<(u32, Answer)> {
     let ends = answers.ends.into_iter().map(|EndRow(number, code, clock_ms)| {
         let end = match code {
@@ -272,9 +272,9 @@
             Present { task: task.into(), run, saved, percent, gauge }
         });
         let ended = ended.into_iter().map(|EndedRow(number, task, run, how, saved)| {
-            Some(Ended { number, task: task.into(), run, how: how_of(how)?, saved })
+            Some(Ended { number, task: task.into(), run, how: outcome_of(how)?, saved })
         });
-        // A run whose end is left out would count as gone.
+        // A run whose end is missing would count as lost.
         let end = match ended.collect::<Option<Vec<Ended>>>() {
             Some(ended) => {
                 OrderEnd::Done(Look { born, clock_ms, present: present.collect(), ended })
@@ -303,7 +303,7 @@
 const UNKNOWN: u8 = 1;
 const UNSENT: u8 = 2;
 
-/// Refusals by their codes, which are their places here, after the three above.
+/// Refusals: the code of each is its index here plus 3, after the three codes above.
 const REFUSALS: [Refusal; 8] = [
     Refusal::Fenced,
     Refusal::Old,
@@ -315,8 +315,8 @@
     Refusal::Invalid,
 ];
 
-/// How runs end, by their codes, which are their places here.
-const HOWS: [HowEnded; 6] = [
+/// Outcomes of runs: the code of each is its index here.
+const OUTCOMES: [HowEnded; 6] = [
     HowEnded::Done,
     HowEnded::Failed,
     HowEnded::Stopped,
@@ -325,23 +325,23 @@
     HowEnded::Alone,
 ];
 
-fn code(why: Refusal) -> u8 {
-    let place = REFUSALS.iter().position(|known| *known == why);
-    place.map_or(UNKNOWN, |place| UNSENT + 1 + place as u8)
+fn refusal_code(reason: Refusal) -> u8 {
+    let index = REFUSALS.iter().position(|known| *known == reason);
+    index.map_or(UNKNOWN, |index| UNSENT + 1 + index as u8)
 }
 
 fn refusal(code: u8) -> Option<Refusal> {
     REFUSALS.get(usize::from(code.checked_sub(UNSENT + 1)?)).copied()
 }
 
-fn how_code(how: HowEnded) -> u8 {
-    HOWS.iter().position(|known| *known == how).map_or(u8::MAX, |place| place as u8)
+fn outcome_code(outcome: HowEnded) -> u8 {
+    OUTCOMES.iter().position(|known| *known == outcome).map_or(u8::MAX, |index| index as u8)
 }
 
-fn how_of(code: u8) -> Option<HowEnded> {
-    let how = HOWS.get(usize::from(code)).copied();
-    if how.is_none() {
-        log::error!("orders: {code} does not tell how a run ends");
+fn outcome_of(code: u8) -> Option<HowEnded> {
+    let outcome = OUTCOMES.get(usize::from(code)).copied();
+    if outcome.is_none() {
+        log::error!("orders: unknown code {code} for the outcome of a run");
     }
-    how
+    outcome
 }
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -1,4 +1,4 @@
-//! Feeds the owner of the fleet's work with what is known, and carries out what it wants done.
+//! Plans for the fleet from the view, if this node owns that work, and carries out the effects.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -29,42 +29,42 @@
 /// How often the fleet's owner decides, in milliseconds.
 const PLAN_MS: u64 = 100;
 
-/// For how many times as long as a plan took none is made after it. Plans take a quarter of the
-/// node's time at the most: with 100 ms for each, ten a second, a node took in nothing else and
-/// decided on a state of 6 to 9 s before.
-const PLAN_REST: u64 = 3;
+/// The pause after a plan, as a multiple of the time that it took: planning takes at most a quarter of
+/// the node's time. With ten plans a second of 100 ms each, a node processed nothing else and decided
+/// from a view 6 to 9 s old.
+const PLAN_PAUSE_FACTOR: u64 = 3;
 
-/// How far the nodes' clocks may differ.
-const CLOCKS_DIFFER: std::time::Duration = std::time::Duration::from_millis(500);
+/// How far the clocks of two nodes may differ.
+const MAX_CLOCK_SKEW: std::time::Duration = std::time::Duration::from_millis(500);
 
-/// How long after the record of a call the call itself may be made, in milliseconds.
-const CALL_AFTER_MS: u64 = 500;
+/// How long after writing the record of a call the call itself may be made, in milliseconds.
+const MAX_CALL_DELAY_MS: u64 = 500;
 
-/// Hosts that are marked by one transaction: each has a condition and a write, beside the condition
+/// Most hosts to mark in one transaction: each needs a condition and a write, beside the condition
 /// that this node is the owner.
 const MARK_BATCH: usize = (TXN_ENTRIES - 1) / 2;
 
-/// Hosts whose marks are taken away by one: each has a condition and two records.
+/// Most hosts to unmark in one transaction: each needs a condition and two removals.
 const UNMARK_BATCH: usize = (TXN_ENTRIES - 1) / 3;
 
-/// What is copied from the view for one decision.
-struct Known {
+/// Data copied from the view for one plan.
+struct PlanInput {
     config: std::sync::Arc<QueueConfig>,
     demands: BTreeMap<PoolId, Demand>,
-    known: Revision,
-    leaves: BTreeMap<HostId, Mark>,
-    empties: BTreeMap<HostId, WorkerId>,
+    view_revision: Revision,
+    marks: BTreeMap<HostId, Mark>,
+    drained: BTreeMap<HostId, WorkerId>,
     upkeeps: Vec<Upkeep>,
     maintained: BTreeMap<u64, BTreeSet<HostId>>,
     reported: BTreeSet<u64>,
     idle: BTreeSet<HostId>,
     light: Vec<HostId>,
     busy: Vec<HostId>,
-    resting: BTreeSet<HostId>,
+    recently_called: BTreeSet<HostId>,
 }
 
 impl Drive {
-    /// Decides for the fleet, if this node owns that work and it is time.
+    /// Plans for the fleet, if this node owns that work and a plan is due.
     pub(super) fn fleet_step(&mut self, now: Now) {
         if now.steady < self.next_fleet {
             return;
@@ -85,30 +85,30 @@
         let Some(OwnedFleet { fleet, demands, .. }) = self.fleet.as_mut() else {
             return;
         };
-        let handover = self.node.settings.platform.handover + CLOCKS_DIFFER;
-        let Some(mut known) = known(&self.node.view(), demands, now.wall) else {
+        let handover = self.node.settings.platform.handover + MAX_CLOCK_SKEW;
+        let Some(mut input) = plan_input(&self.node.view(), demands, now.wall) else {
             return;
         };
-        known.resting = resting(&self.node.view(), fleet.token, now.wall.before(handover));
-        let scene = Scene {
-            config: &known.config,
-            demands: &known.demands,
-            known: known.known,
-            leaves: &known.leaves,
-            empties: &known.empties,
-            upkeeps: &known.upkeeps,
-            maintained: &known.maintained,
-            reported: &known.reported,
-            idle: &known.idle,
-            light: &known.light,
-            busy: &known.busy,
-            resting: &known.resting,
+        input.recently_called = recently_called(&self.node.view(), fleet.token, now.wall.before(handover));
+        let snapshot = Scene {
+            config: &input.config,
+            demands: &input.demands,
+            known: input.view_revision,
+            leaves: &input.marks,
+            empties: &input.drained,
+            upkeeps: &input.upkeeps,
+            maintained: &input.maintained,
+            reported: &input.reported,
+            idle: &input.idle,
+            light: &input.light,
+            busy: &input.busy,
+            resting: &input.recently_called,
         };
         let token = fleet.token;
-        let effects = fleet.plan(&scene, now.steady);
+        let effects = fleet.plan(&snapshot, now.steady);
         if self.next_fleet_summary <= now.steady {
             self.next_fleet_summary = now.steady.after(SUMMARY_MS);
-            for pool in fleet.summary(&scene, now.steady) {
+            for pool in fleet.summary(&snapshot, now.steady) {
                 log::info!("{pool}");
             }
         }
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Takes note of how writes of the fleet's work ended.
+    /// Handles the results of writes of the fleet's work.
     pub(super) fn fleet_written(
         &mut self,
         token: u64,
@@ -140,28 +140,28 @@
         if let Some((number, record)) = wave {
             owned.waves.insert(number, record);
         }
-        for (effect, end) in ends {
-            owned.fleet.written(effect, end, now.steady);
+        for (effect, result) in ends {
+            owned.fleet.written(effect, result, now.steady);
         }
     }
 
-    /// The owner of the fleet's work, if it is still the one of an earlier decision.
+    /// The owner of the fleet's work, if it still has this token.
     pub(super) fn fleet_under(&mut self, token: u64) -> Option<&mut Fleet> {
         self.fleet.as_mut().map(|owned| &mut owned.fleet).filter(|fleet| fleet.token == token)
     }
 
-    /// Writes marks, or takes them away, in one transaction.
+    /// Writes or removes drain marks in one transaction.
     fn write_marks(&self, batch: &[FleetEffect], token: u64) {
         let mut txn = Txn::default().expect(keys::owner(keys::FLEET), Revision(token));
         for effect in batch {
             match effect {
-                FleetEffect::Mark(host, leave) => {
-                    log::info!("host {host}: to be emptied: {leave:?}");
+                FleetEffect::Mark(host, action) => {
+                    log::info!("host {host}: marked as draining: {action:?}");
                     let key = keys::leave(host);
-                    txn = txn.expect(key.clone(), Revision(0)).put(key, json(leave));
+                    txn = txn.expect(key.clone(), Revision(0)).put(key, json(action));
                 }
                 FleetEffect::Unmark(host, mark) => {
-                    // Under a condition: done late, it would take away a later mark.
+                    // The condition keeps a delayed write from removing a later mark.
                     let key = keys::leave(host);
                     txn = txn.expect(key.clone(), *mark).remove(key).remove(keys::empty(host));
                 }
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Writes how far a wave is.
+    /// Writes the progress of a wave.
     fn write_wave(&self, effect: FleetEffect, token: u64) {
         let guard = Txn::default().expect(keys::owner(keys::FLEET), Revision(token));
         match &effect {
@@ -226,62 +226,63 @@
         }
     }
 
-    /// The record of a wave that the next write builds on: the one that this owner wrote last, where
-    /// the view does not show it yet.
+    /// The record of a wave on which the next write builds: the one that this owner wrote last, if the
+    /// view does not have it yet.
     fn wave_record(&self, wave: u64) -> At<WaveRecord> {
-        let shown = self.node.view().waves.get(&wave).cloned();
+        let viewed = self.node.view().waves.get(&wave).cloned();
         let own = self.fleet.as_ref().and_then(|owned| owned.waves.get(&wave)).cloned();
-        let newest = shown.into_iter().chain(own).max_by_key(|at| at.revision);
+        let newest = viewed.into_iter().chain(own).max_by_key(|at| at.revision);
         newest.unwrap_or(At { value: WaveRecord::default(), revision: Revision(0) })
     }
 
     fn list_hosts(&self, token: u64, now: Now) {
-        let (machines, to) = (self.machines.clone(), self.to.clone());
+        let (machines, inputs) = (self.machines.clone(), self.to.clone());
         tokio::spawn(async move {
             let hosts = machines.list().await;
-            let _ = to.send(Input::HostList { token, sent: now.steady, hosts });
+            let _ = inputs.send(Input::HostList { token, sent: now.steady, hosts });
         });
     }
 
-    fn call_host(&self, token: u64, host: HostId, leave: Leave) {
-        let (machines, to, node) = (self.machines.clone(), self.to.clone(), self.node.clone());
+    fn call_host(&self, token: u64, host: HostId, action: Leave) {
+        let (machines, inputs, node) = (self.machines.clone(), self.to.clone(), self.node.clone());
         let tenure = self.fleet.as_ref().map(|owned| owned.tenure.clone());
         tokio::spawn(async move {
-            // Kept first, so that a later owner leaves the host alone for a while, and under the
-            // condition that there is none yet.
+            // The record is written first, under the condition that there is no later owner, so that a
+            // later one does not call the host for a while.
             let now = node.now();
             let record = CalledRecord { token, at: now.wall };
             let txn = Txn::default()
                 .expect(keys::owner(keys::FLEET), Revision(token))
                 .put(keys::called(&host), json(&record));
-            let kept = matches!(node.kv.commit(&txn).await, Ok(Committed::Done(_)));
-            // Meanwhile the process may have been paused.
-            let late = CALL_AFTER_MS < node.now().steady.since(now.steady);
+            let written = matches!(node.kv.commit(&txn).await, Ok(Committed::Done(_)));
+            // The process may have been paused meanwhile.
+            let late = MAX_CALL_DELAY_MS < node.now().steady.since(now.steady);
             let holds = tenure.is_some_and(|tenure| tenure.holds(node.now().steady));
-            if !kept || late || !holds {
+            if !written || late || !holds {
                 log::info!(
-                    "host {host}: {leave:?}: not called: kept {kept}, late {late}, holds {holds}"
+                    "host {host}: {action:?}: not called: record written {written}, late {late}, \
+                     lease held {holds}"
                 );
-                let _ = to.send(Input::HostCalled { token, host, leave, end: CallEnd::NotBegun });
+                let _ = inputs.send(Input::HostCalled { token, host, leave: action, end: CallEnd::NotBegun });
                 return;
             }
-            let end = match &leave {
+            let answer = match &action {
                 Leave::Upkeep(wave) => machines.maintain(&host, *wave, token).await,
                 Leave::Move(pool) => machines.move_to(&host, pool, token).await,
             };
-            log::info!("host {host}: {leave:?}: {end:?}");
-            let end = match end {
+            log::info!("host {host}: {action:?}: {answer:?}");
+            let end = match answer {
                 HostCall::Done => CallEnd::Begun,
                 HostCall::Unknown | HostCall::Busy => CallEnd::Unknown,
                 HostCall::Limited => CallEnd::Limited,
                 HostCall::Refused | HostCall::Invalid => CallEnd::NotBegun,
             };
-            let _ = to.send(Input::HostCalled { token, host, leave, end });
+            let _ = inputs.send(Input::HostCalled { token, host, leave: action, end });
         });
     }
 
-    /// Makes a write and tells how it ended, for each that it was made for; with it goes what it
-    /// leaves of a wave.
+    /// Commits a transaction and reports its result for each effect that it was made for, with the
+    /// resulting record of the wave, if any.
     fn write(
         &self,
         token: u64,
@@ -289,47 +290,47 @@
         effects: Vec<FleetEffect>,
         wave: Option<(u64, WaveRecord)>,
     ) {
-        let (node, to) = (self.node.clone(), self.to.clone());
+        let (node, inputs) = (self.node.clone(), self.to.clone());
         tokio::spawn(async move {
             let (end, items) = match node.kv.commit(&txn).await {
                 Ok(Committed::Done(revision)) => (WriteEnd::Done(revision), Vec::new()),
                 Ok(Committed::Conflict(items)) => (WriteEnd::Refused(None), items),
                 Ok(Committed::LeaseOver) => (WriteEnd::Lost, Vec::new()),
                 Err(error) => {
-                    log::warn!("fleet: {} not written: {error}", describe(&effects));
+                    log::warn!("fleet: write of {} failed: {error}", describe(&effects));
                     (WriteEnd::Lost, Vec::new())
                 }
             };
             if matches!(end, WriteEnd::Refused(_)) {
-                log::info!("fleet: {} refused", describe(&effects));
+                log::info!("fleet: write of {} refused: a condition does not hold", describe(&effects));
             }
-            let kept = wave.and_then(|(number, record)| match &end {
+            let wave = wave.and_then(|(number, record)| match &end {
                 WriteEnd::Done(revision) => {
                     Some((number, At { value: record, revision: *revision }))
                 }
                 WriteEnd::Refused(_) => {
-                    standing(&items, &keys::wave(number)).map(|record| (number, record))
+                    stored_record(&items, &keys::wave(number)).map(|record| (number, record))
                 }
                 WriteEnd::Lost => None,
             });
-            let of = |effect: &FleetEffect| match (effect, &end) {
+            let result_of = |effect: &FleetEffect| match (effect, &end) {
                 (
                     FleetEffect::Mark(host, _) | FleetEffect::Unmark(host, _),
                     WriteEnd::Refused(_),
                 ) => {
-                    let mark = standing(&items, &keys::leave(host));
+                    let mark = stored_record(&items, &keys::leave(host));
                     let mark = mark.map(|at| Mark { leave: at.value, revision: at.revision });
                     WriteEnd::Refused(mark)
                 }
                 _ => end.clone(),
             };
-            let ends = effects.into_iter().map(|effect| (effect.clone(), of(&effect))).collect();
-            let _ = to.send(Input::FleetWritten { token, ends, wave: kept });
+            let ends = effects.into_iter().map(|effect| (effect.clone(), result_of(&effect))).collect();
+            let _ = inputs.send(Input::FleetWritten { token, ends, wave });
         });
     }
 }
 
-/// What a write is for, for the log.
+/// The effects that a write is made for, as text for the log.
 fn describe(effects: &[FleetEffect]) -> String {
     let first = effects.first().map(|first| format!("{first:?}")).unwrap_or_default();
     match effects.len() {
@@ -338,37 +339,37 @@
     }
 }
 
-/// A record of ours as the store has it; nothing if there is none, or it is not understood.
-fn standing<T: serde::de::DeserializeOwned>(items: &[Item], key: &str) -> Option<At<T>> {
+/// One of the scheduler's records as the store has it; `None` if it is absent or cannot be read.
+fn stored_record<T: serde::de::DeserializeOwned>(items: &[Item], key: &str) -> Option<At<T>> {
     let item = items.iter().find(|item| item.key == key)?;
     let value = serde_json::from_slice(&item.value);
     let value = value.inspect_err(|error| log::error!("record {key}: not used: {error}"));
     Some(At { value: value.ok()?, revision: item.revision })
 }
 
-/// Hosts that another owner has moved or maintained since a moment.
-fn resting(view: &View, token: u64, since: Time) -> BTreeSet<HostId> {
-    let lately = |at: &&CalledRecord| at.token != token && since < at.at;
-    let called = view.called.iter().filter(|(_, at)| lately(&&at.value));
+/// Hosts that another owner has moved or maintained since a given time.
+fn recently_called(view: &View, token: u64, since: Time) -> BTreeSet<HostId> {
+    let is_recent = |at: &&CalledRecord| at.token != token && since < at.at;
+    let called = view.called.iter().filter(|(_, at)| is_recent(&&at.value));
     called.map(|(host, _)| host.clone()).collect()
 }
 
-/// When the next plan may be made after one that began at a moment and took so long.
+/// When the next plan may be made, given the start and the duration of the last one.
 pub(crate) fn next_plan(began: Steady, took: Duration) -> Steady {
     let took = took.as_micros().div_ceil(1_000) as u64;
-    began.after(PLAN_MS.max(took.saturating_mul(1 + PLAN_REST)))
+    began.after(PLAN_MS.max(took.saturating_mul(1 + PLAN_PAUSE_FACTOR)))
 }
 
-fn known(view: &View, demands: &mut Demands, wall: Time) -> Option<Known> {
+fn plan_input(view: &View, demands: &mut Demands, wall: Time) -> Option<PlanInput> {
     let config = view.config.clone()?;
     let demands = demands.of_pools(view, &config, wall);
     let mark = |at: &At<Leave>| Mark { leave: at.value.clone(), revision: at.revision };
-    Some(Known {
+    Some(PlanInput {
         config,
         demands,
-        known: view.known,
-        leaves: view.leaves.iter().map(|(host, at)| (host.clone(), mark(at))).collect(),
-        empties: view
+        view_revision: view.known,
+        marks: view.leaves.iter().map(|(host, at)| (host.clone(), mark(at))).collect(),
+        drained: view
             .empties
             .iter()
             .filter(|(host, at)| {
@@ -384,7 +385,7 @@
             .filter(|(_, at)| at.value.reported)
             .map(|(wave, _)| *wave)
             .collect(),
-        resting: BTreeSet::new(),
+        recently_called: BTreeSet::new(),
         idle: view.usages.values().flat_map(|at| at.value.idle.iter().cloned()).collect(),
         light: view.usages.values().flat_map(|at| at.value.light.iter().cloned()).collect(),
         busy: view.usages.values().flat_map(|at| at.value.busy.iter().cloned()).collect(),
