--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -145,9 +145,9 @@
         let body = match http::read_body(request.take_body(), MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => {
-                let mut response = http::text(StatusCode::BAD_REQUEST, format!("{error}\n"));
-                http::close_after(&mut response);
-                return response;
+                let mut refusal = http::text(StatusCode::BAD_REQUEST, format!("{error}\n"));
+                http::close_after(&mut refusal);
+                return refusal;
             }
         };
         let store_reachable = self.lease.is_in_touch(self.node.now().steady);
@@ -328,11 +328,11 @@
 
     async fn cancel(&self, id: JobId, deadline: Instant) -> Response {
         // A cancel can be written for any accepted job, however old: a final state stays as it is.
-        let state = match self.last_known_state(id) {
+        let current = match self.last_known_state(id) {
             Some(state) => Ok(Some(state)),
             None => self.read_state(id).await,
         };
-        match state {
+        match current {
             Ok(Some(state)) if state.is_final() => return http::text(StatusCode::OK, ""),
             Ok(Some(_)) => {}
             Ok(None) => return http::text(StatusCode::GONE, "there is no such job\n"),
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -62,7 +62,7 @@
             };
             open += 1;
             let cached =
-                self.jobs.get_mut(id).filter(|demand| demand.is_current(record, job, wall));
+                self.jobs.get_mut(id).filter(|job_demand| job_demand.is_current(record, job, wall));
             let job_demand = match cached {
                 Some(job_demand) => job_demand,
                 None => {
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -29,9 +29,12 @@
         Answer::Look(_) => OrderEnd::Unknown,
     };
     Some(match effect {
-        Effect::Start { to, start } => {
-            Event::Started { worker: to.worker, task: start.task, run: start.run, end: result(answer) }
-        }
+        Effect::Start { to, start } => Event::Started {
+            worker: to.worker,
+            task: start.task,
+            run: start.run,
+            end: result(answer),
+        },
         Effect::Stop { to, task, run } => {
             Event::Stopped { worker: to.worker, task, run, end: result(answer) }
         }
--- a/src/scheduler/dispatch/serve.rs
+++ b/src/scheduler/dispatch/serve.rs
@@ -42,7 +42,9 @@
 
 /// The WebSocket configuration of both sides.
 pub(super) fn config() -> WebSocketConfig {
-    WebSocketConfig::default().max_message_size(Some(MAX_MESSAGE_BYTES)).max_frame_size(Some(MAX_MESSAGE_BYTES))
+    WebSocketConfig::default()
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 /// Accepts a request for a link, and serves the link until it ends.
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -89,7 +89,8 @@
         let Some(mut input) = plan_input(&self.node.view(), demands, now.wall) else {
             return;
         };
-        input.recently_called = recently_called(&self.node.view(), fleet.token, now.wall.before(handover));
+        input.recently_called =
+            recently_called(&self.node.view(), fleet.token, now.wall.before(handover));
         let snapshot = Scene {
             config: &input.config,
             demands: &input.demands,
@@ -201,22 +202,22 @@
                     record.value.hosts.insert(host.clone());
                 }
                 let txn = txn.put(key, json(&record.value));
-                let kept = Some((*wave, record.value));
-                self.write(token, txn, vec![effect], kept);
+                let written = Some((*wave, record.value));
+                self.write(token, txn, vec![effect], written);
             }
             FleetEffect::Report(wave, done) => {
                 log::info!("wave {wave}: {}", if *done { "done" } else { "begun" });
                 let status = records::wave_status(*done);
                 let mut txn = guard.put(records::wave_status_key(*wave), status);
-                let mut kept = None;
+                let mut written = None;
                 if *done {
                     let mut record = self.wave_record(*wave);
                     record.value.reported = true;
                     let key = keys::wave(*wave);
                     txn = txn.expect(key.clone(), record.revision).put(key, json(&record.value));
-                    kept = Some((*wave, record.value));
+                    written = Some((*wave, record.value));
                 }
-                self.write(token, txn, vec![effect], kept);
+                self.write(token, txn, vec![effect], written);
             }
             FleetEffect::List
             | FleetEffect::Mark(..)
@@ -243,7 +244,7 @@
         });
     }
 
-    fn call_host(&self, token: u64, host: HostId, action: Leave) {
+    fn call_host(&self, token: u64, host: HostId, leave: Leave) {
         let (machines, inputs, node) = (self.machines.clone(), self.to.clone(), self.node.clone());
         let tenure = self.fleet.as_ref().map(|owned| owned.tenure.clone());
         tokio::spawn(async move {
@@ -260,24 +261,25 @@
             let holds = tenure.is_some_and(|tenure| tenure.holds(node.now().steady));
             if !written || late || !holds {
                 log::info!(
-                    "host {host}: {action:?}: not called: record written {written}, late {late}, \
+                    "host {host}: {leave:?}: not called: record written {written}, late {late}, \
                      lease held {holds}"
                 );
-                let _ = inputs.send(Input::HostCalled { token, host, leave: action, end: CallEnd::NotBegun });
+                let _ =
+                    inputs.send(Input::HostCalled { token, host, leave, end: CallEnd::NotBegun });
                 return;
             }
-            let answer = match &action {
+            let answer = match &leave {
                 Leave::Upkeep(wave) => machines.maintain(&host, *wave, token).await,
                 Leave::Move(pool) => machines.move_to(&host, pool, token).await,
             };
-            log::info!("host {host}: {action:?}: {answer:?}");
+            log::info!("host {host}: {leave:?}: {answer:?}");
             let end = match answer {
                 HostCall::Done => CallEnd::Begun,
                 HostCall::Unknown | HostCall::Busy => CallEnd::Unknown,
                 HostCall::Limited => CallEnd::Limited,
                 HostCall::Refused | HostCall::Invalid => CallEnd::NotBegun,
             };
-            let _ = inputs.send(Input::HostCalled { token, host, leave: action, end });
+            let _ = inputs.send(Input::HostCalled { token, host, leave, end });
         });
     }
 
@@ -302,9 +304,12 @@
                 }
             };
             if matches!(end, WriteEnd::Refused(_)) {
-                log::info!("fleet: write of {} refused: a condition does not hold", describe(&effects));
+                log::info!(
+                    "fleet: write of {} refused: a condition does not hold",
+                    describe(&effects)
+                );
             }
-            let wave = wave.and_then(|(number, record)| match &end {
+            let written = wave.and_then(|(number, record)| match &end {
                 WriteEnd::Done(revision) => {
                     Some((number, At { value: record, revision: *revision }))
                 }
@@ -324,8 +329,9 @@
                 }
                 _ => end.clone(),
             };
-            let ends = effects.into_iter().map(|effect| (effect.clone(), result_of(&effect))).collect();
-            let _ = inputs.send(Input::FleetWritten { token, ends, wave });
+            let ends =
+                effects.into_iter().map(|effect| (effect.clone(), result_of(&effect))).collect();
+            let _ = inputs.send(Input::FleetWritten { token, ends, wave: written });
         });
     }
 }
@@ -343,7 +349,7 @@
 fn stored_record<T: serde::de::DeserializeOwned>(items: &[Item], key: &str) -> Option<At<T>> {
     let item = items.iter().find(|item| item.key == key)?;
     let value = serde_json::from_slice(&item.value);
-    let value = value.inspect_err(|error| log::error!("record {key}: not used: {error}"));
+    let value = value.inspect_err(|error| log::error!("record {key}: ignored: {error}"));
     Some(At { value: value.ok()?, revision: item.revision })
 }
 
--- a/src/scheduler/keys.rs
+++ b/src/scheduler/keys.rs
@@ -1,18 +1,18 @@
-//! The keys of our own records in the store.
+//! The keys of the scheduler's own records in the store.
 
 use crate::model::{
     id::{HostId, Incarnation, PoolId},
     job::JobId,
 };
 
-/// All of our records, but for what operators read.
+/// The prefix of all records of the scheduler, except those that operators read.
 pub(crate) const ROOT: &str = "ch/";
 
-/// What belongs to one piece of work: its owner, and the jobs handed in to it. One watch of both
-/// hears of a new owner before any job that came after it.
+/// The records of one piece of work: its owner and its submitted jobs. They share a prefix, so that
+/// one watch reports a new owner before any job accepted after it.
 const WORK: &str = "ch/work/";
-/// What is kept of a job beside what was handed in: one read tells how it stands.
-const STANDING: &str = "ch/job/";
+/// The records of a job besides the submitted one: one read of its prefix gives the state of the job.
+const JOB_STATE: &str = "ch/job/";
 const TERM: &str = "ch/term/";
 const LEAVE: &str = "ch/leave/";
 const EMPTY: &str = "ch/empty/";
@@ -24,49 +24,49 @@
 const NODE: &str = "ch/all/node/";
 const QUEUED: &str = "ch/all/queued/";
 
-/// What every node hears of, whether or not it may own work.
+/// The prefix that every node mirrors, whether or not it may own work.
 pub(crate) const ALL: &str = "ch/all/";
 
-/// The work of all pools together: waves of upkeep, and hosts that change pools.
+/// The name of the work of all pools together: waves of upkeep, and hosts that change pools.
 pub(crate) const FLEET: &str = "fleet";
 
-/// A record of ours, by its key.
+/// The kind of one of the scheduler's records, from its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Key {
     /// A job, as it was accepted.
     Job(JobId),
-    /// Some pool has a job of this name.
+    /// The name of a job is in use, whichever its pool.
     Id(JobId),
-    /// What is kept of a job that has begun.
+    /// The progress of a job that has begun.
     Progress(JobId),
     /// The caller has cancelled the job.
     Cancel(JobId),
     /// The node that owns a pool's jobs, or the work of all pools.
     Owner(String),
-    /// How many owners there were.
+    /// The number of owners so far.
     Term(String),
-    /// A host that is to be emptied.
+    /// The drain mark of a host.
     Leave(HostId),
-    /// A host that is empty, by its pool's owner.
+    /// A host that is drained, as reported by its pool's owner.
     Empty(HostId),
-    /// What is known of a wave.
+    /// The progress of a wave.
     Wave(u64),
-    /// A worker that may run something of a pool.
+    /// A worker that may run tasks of a pool.
     Roster(String, Incarnation),
-    /// Those of them that are silent.
+    /// The silent workers on a pool's roster.
     Away(String),
-    /// How the hosts of a pool are used.
+    /// The usage of a pool's hosts.
     Usage(String),
     /// When a host was last moved or maintained, and by which owner.
     Called(HostId),
     /// A node that may own work, by its name.
     Node(String),
-    /// How many jobs of each queue have not begun, by the owner of a pool.
+    /// The number of jobs of each queue that have not begun, as reported by the owner of a pool.
     Queued(String),
 }
 
 impl Key {
-    /// Reads a key of ours.
+    /// Parses the key of one of the scheduler's records.
     pub(crate) fn parse(text: &str) -> Option<Key> {
         let rest = |prefix: &str| text.strip_prefix(prefix);
         if let Some(work) = rest(WORK) {
@@ -75,8 +75,8 @@
                 (_, record) => record.strip_prefix("job/")?.parse().ok().map(Key::Job),
             };
         }
-        if let Some(standing) = rest(STANDING) {
-            let (id, kind) = standing.split_once('/')?;
+        if let Some(path) = rest(JOB_STATE) {
+            let (id, kind) = path.split_once('/')?;
             let id = id.parse().ok()?;
             return match kind {
                 "id" => Some(Key::Id(id)),
@@ -117,7 +117,7 @@
     }
 }
 
-/// What belongs to one piece of work.
+/// The prefix of the records of one piece of work.
 pub(crate) fn work(name: &str) -> String {
     format!("{WORK}{name}/")
 }
@@ -126,21 +126,21 @@
     format!("{WORK}{}/job/{id}", self::pool(pool))
 }
 
-/// All that is kept of how a job stands.
+/// The prefix of the records with the state of a job.
 pub(crate) fn standing(id: JobId) -> String {
-    format!("{STANDING}{id}/")
+    format!("{JOB_STATE}{id}/")
 }
 
 pub(crate) fn id(id: JobId) -> String {
-    format!("{STANDING}{id}/id")
+    format!("{JOB_STATE}{id}/id")
 }
 
 pub(crate) fn progress(id: JobId) -> String {
-    format!("{STANDING}{id}/progress")
+    format!("{JOB_STATE}{id}/progress")
 }
 
 pub(crate) fn cancel(id: JobId) -> String {
-    format!("{STANDING}{id}/cancel")
+    format!("{JOB_STATE}{id}/cancel")
 }
 
 pub(crate) fn queued(name: &str) -> String {
@@ -167,7 +167,7 @@
     format!("{WAVE}{wave}")
 }
 
-/// The names under which work is owned: one for each pool.
+/// The name of a pool's work.
 pub(crate) fn pool(pool: &PoolId) -> String {
     format!("pool-{pool}")
 }
--- a/src/scheduler/lateness.rs
+++ b/src/scheduler/lateness.rs
@@ -1,5 +1,5 @@
-//! Tells when what the node knows of the store becomes too old to be used, and when it is not any
-//! more, in the log and in the metrics.
+//! Monitors the age of the node's view of the store: exports it as a metric, and logs when it becomes
+//! too old to be used and when it is current again.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,64 +15,64 @@
     },
 };
 
-/// How often the ages are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// How often the ages are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The least time between two lines about one prefix, in milliseconds: a view that is now older and
-/// now younger than its bound is told of by these.
-const LINE_PAUSE_MS: u64 = 2_000;
+/// The minimum time between two log lines about one prefix, in milliseconds: limits the lines about a
+/// view whose age crosses the bound again and again.
+const MIN_LOG_INTERVAL_MS: u64 = 2_000;
 
-/// What is told of a prefix.
+/// A change of a prefix's view to be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Turn {
-    /// It has become too old.
+    /// It has become stale.
     Late { age_ms: u64 },
-    /// It is not any more, and was for so long.
+    /// It is current again, after being stale for `after_ms`.
     Back { after_ms: u64 },
 }
 
-/// What was last told of one prefix.
+/// The last logged status of one prefix.
 #[derive(Debug, Default)]
 pub(crate) struct Lateness {
-    late_since: Option<Steady>,
-    next_line: Steady,
+    stale_since: Option<Steady>,
+    next_log: Steady,
 }
 
 impl Lateness {
-    /// Looks at the age of a prefix; what is to be told.
+    /// Checks the age of a prefix; returns the change to log, if any.
     pub(crate) fn look(&mut self, age_ms: u64, now: Steady) -> Option<Turn> {
-        let is_late = RECORDS_MS < age_ms;
-        if is_late == self.late_since.is_some() || now < self.next_line {
+        let is_stale = RECORDS_MS < age_ms;
+        if is_stale == self.stale_since.is_some() || now < self.next_log {
             return None;
         }
-        self.next_line = now.after(LINE_PAUSE_MS);
-        match self.late_since.take() {
+        self.next_log = now.after(MIN_LOG_INTERVAL_MS);
+        match self.stale_since.take() {
             Some(since) => Some(Turn::Back { after_ms: now.since(since) }),
             None => {
-                self.late_since = Some(now);
+                self.stale_since = Some(now);
                 Some(Turn::Late { age_ms })
             }
         }
     }
 }
 
-/// Looks at the ages of all prefixes until the node ends.
+/// Checks the ages of all prefixes until the node ends.
 pub(crate) async fn watch(node: Arc<Node>) {
-    let mut told: BTreeMap<&'static str, Lateness> = BTreeMap::new();
+    let mut logged: BTreeMap<&'static str, Lateness> = BTreeMap::new();
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let now = node.now().steady;
         for prefix in [OPERATOR_PREFIX, ALL, ROOT, WORKER_PREFIX] {
             let Some(age_ms) = node.view().ages.of(prefix, now) else {
                 continue;
             };
             node.metrics.view_age(prefix, Duration::from_millis(age_ms));
-            match told.entry(prefix).or_default().look(age_ms, now) {
+            match logged.entry(prefix).or_default().look(age_ms, now) {
                 Some(Turn::Late { age_ms }) => {
-                    log::warn!("view of {prefix}: too old: {age_ms} ms");
+                    log::warn!("view of {prefix}: stale: {age_ms} ms old");
                 }
                 Some(Turn::Back { after_ms }) => {
-                    log::info!("view of {prefix}: kept up again, after {after_ms} ms");
+                    log::info!("view of {prefix}: current again after {after_ms} ms");
                 }
                 None => {}
             }
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -1,4 +1,4 @@
-//! The node's lease in the store: what the node owns goes with it.
+//! The node's lease in the store: the node's ownership of work ends with it.
 
 use std::{
     sync::{
@@ -20,196 +20,193 @@
     scheduler::{Node, drive::json, keys, view::NodeRecord},
 };
 
-/// How long a node that is not heard of keeps what it owns.
+/// How long the ownership of a node that does not renew its lease lasts.
 const TTL: Duration = Duration::from_millis(LEASE_MS);
 
-/// How often the lease is renewed: three tries fit into its time.
-const RENEW: Duration = Duration::from_millis(500);
+/// How often the lease is renewed: three attempts fit into its time.
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long before the lease's end the node stops acting on it, in milliseconds: an order that is
-/// about to be sent takes a few.
+/// How long before the lease's end the node stops acting on it, in milliseconds: sending an order
+/// takes a few.
 const MARGIN_MS: u64 = 200;
 
-/// How long after a failure the next call is made.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The lease, as last heard.
+/// The lease, by the store's last answer.
 #[derive(Default)]
 pub(crate) struct Lease {
-    heard: Mutex<Heard>,
+    state: Mutex<State>,
 }
 
-/// A time in which the lease may have been over.
+/// An interval in which the lease may have expired.
 #[derive(Debug, Clone, Copy)]
 struct Gap {
-    /// Until when it had held for certain.
+    /// Until when it held for certain.
     until: Steady,
-    /// When it was known to be renewed. A write that was sent before that may have been done before
-    /// the renewal, and confirms nothing of the gap.
+    /// When the renewal was known. A write sent before that may have been done before the renewal, and
+    /// confirms nothing about the gap.
     renewed: Steady,
 }
 
 #[derive(Debug, Clone, Default)]
-struct Heard {
-    /// The lease, unless the store has said that it is over, and when it may be.
+struct State {
+    /// The lease and when it may expire, unless the store has reported it as expired.
     last: Option<(LeaseId, Steady)>,
-    /// Renewals that came when the lease may have been over. What was owned may have been taken away
-    /// meanwhile.
+    /// Gaps before renewals that came when the lease may have expired: another node may have acquired
+    /// the work meanwhile.
     gaps: Vec<Gap>,
-    /// What was not confirmed since then is over, whatever is renewed: the overtime of a gap that
-    /// ended there has passed.
+    /// Ownership that was not confirmed since then is over, even if the lease is renewed: the grace
+    /// period of a gap that ended there has passed.
     barrier: Steady,
     /// Whether the last renewal failed.
     failing: bool,
 }
 
 impl Lease {
-    /// The lease, while it certainly holds.
+    /// The lease, while it holds for certain.
     pub(crate) fn held(&self, now: Steady) -> Option<LeaseId> {
-        self.heard().last.filter(|(_, until)| now < *until).map(|(id, _)| id)
+        self.state().last.filter(|(_, until)| now < *until).map(|(id, _)| id)
     }
 
-    /// The lease that was last granted or renewed, unless the store has said that it is over.
+    /// The lease that was last granted or renewed, unless the store has reported it as expired.
     pub(crate) fn last(&self) -> Option<LeaseId> {
-        self.heard().last.map(|(id, _)| id)
+        self.state().last.map(|(id, _)| id)
     }
 
-    /// Whether the store was reached when the lease was last to be renewed.
+    /// Whether the lease holds and its last renewal succeeded.
     pub(crate) fn is_in_touch(&self, now: Steady) -> bool {
-        self.held(now).is_some() && !self.heard().failing
+        self.held(now).is_some() && !self.state().failing
     }
 
-    /// Takes note that the lease was granted or renewed by a call that was sent at a moment and
-    /// answered now.
+    /// Records that the lease was granted or renewed by a call sent at `sent` and answered now.
     pub(crate) fn renewed(&self, id: LeaseId, sent: Steady, ttl: Duration, now: Steady) {
-        // Later owners rely on the time that was asked for.
+        // Later owners rely on the requested time to live, so a longer one is not used.
         let left = (ttl.min(TTL).as_millis() as u64).saturating_sub(MARGIN_MS);
-        let mut heard = self.heard();
-        let before = heard.last.filter(|(held, _)| *held == id).map(|(_, until)| until);
+        let mut state = self.state();
+        let before = state.last.filter(|(held, _)| *held == id).map(|(_, until)| until);
         if let Some(until) = before.filter(|until| *until <= now) {
-            // A write of the same millisecond may have been sent before.
-            heard.gaps.push(Gap { until, renewed: now.after(1) });
+            // A write sent in the same millisecond may have been sent before the renewal.
+            state.gaps.push(Gap { until, renewed: now.after(1) });
         }
         let passed = |gap: &mut Gap| gap.until.after(OVERTIME_MS) <= now;
-        let passed: Vec<Gap> = heard.gaps.extract_if(.., passed).collect();
+        let passed: Vec<Gap> = state.gaps.extract_if(.., passed).collect();
         for gap in passed {
-            heard.barrier = heard.barrier.max(gap.renewed);
+            state.barrier = state.barrier.max(gap.renewed);
         }
-        heard.last = Some((id, sent.after(left)));
-        heard.failing = false;
+        state.last = Some((id, sent.after(left)));
+        state.failing = false;
     }
 
-    /// Takes note that it could not be renewed, or not for certain.
+    /// Records that it could not be renewed, or not for certain.
     pub(crate) fn failed(&self) {
-        self.heard().failing = true;
+        self.state().failing = true;
     }
 
-    /// Takes note that the store has said that it is over.
+    /// Records that the store has reported it as expired.
     pub(crate) fn ended(&self) {
-        self.heard().last = None;
+        self.state().last = None;
     }
 
-    fn heard(&self) -> MutexGuard<'_, Heard> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The lease under which something was won. What was won lasts as long as that lease: one that the
-/// node takes after it says nothing of whether another node has won the same meanwhile.
+/// The ownership of a piece of work under one lease. It lasts as long as that lease: a lease that the
+/// node acquires later does not show whether another node has acquired the work meanwhile.
 ///
-/// Three questions, from the strictest to the mildest:
-/// - [`Tenure::confirmed`]: up to when had nobody else won it, for certain? Conclusions from time
-///   count up to there.
-/// - [`Tenure::holds`]: is the lease held now, by the node's clock? Calls that change hosts are made
-///   then, each after a write of its own.
-/// - [`Tenure::allows_orders`]: may orders go to workers, which are fenced? Later owners rely on how
-///   long that lasts.
+/// Three questions, from the strictest to the most lenient:
+/// - [`Tenure::confirmed`]: until when had certainly no other node acquired it? Conclusions from the
+///   time that has passed are valid up to then.
+/// - [`Tenure::holds`]: is the lease held now, by the node's clock? Calls that change hosts need this,
+///   and each follows a write of its own.
+/// - [`Tenure::allows_orders`]: may orders be sent to workers, which reject those of earlier owners by
+///   their fencing token? Later owners rely on how long that lasts.
 #[derive(Clone)]
 pub(crate) struct Tenure {
     lease: Arc<Lease>,
     id: LeaseId,
-    /// When it was won.
+    /// When it was acquired.
     since: Steady,
-    /// When the last write was sent that the store did under the condition that it lasts, in
-    /// milliseconds of the steady clock.
+    /// When the last successful write with this ownership as a condition was sent, in milliseconds of
+    /// the steady clock.
     confirmed: Arc<AtomicU64>,
-    /// Whether the store has said that it is over.
-    denied: Arc<AtomicBool>,
+    /// Whether the store has reported it as over.
+    ended: Arc<AtomicBool>,
 }
 
 impl Tenure {
-    /// What is won at a moment under a lease of the node.
+    /// Ownership that was acquired at `since` under a lease of the node.
     pub(crate) fn new(lease: &Arc<Lease>, id: LeaseId, since: Steady) -> Tenure {
         let confirmed = Arc::new(AtomicU64::new(since.since(Steady::default())));
-        let denied = Arc::default();
-        Tenure { lease: lease.clone(), id, since, confirmed, denied }
+        let ended = Arc::default();
+        Tenure { lease: lease.clone(), id, since, confirmed, ended }
     }
 
-    /// Takes note that the store has done a write, sent at a moment, under the condition that it
-    /// lasts.
+    /// Records a successful write, sent at `sent`, that had this ownership as a condition.
     pub(crate) fn confirm(&self, sent: Steady) {
         self.confirmed.fetch_max(sent.since(Steady::default()), Ordering::AcqRel);
     }
 
-    /// Takes note that the store has said that it is over.
+    /// Records that the store has reported it as over.
     pub(crate) fn deny(&self) {
-        self.denied.store(true, Ordering::Release);
+        self.ended.store(true, Ordering::Release);
     }
 
-    /// Up to when it has lasted for certain.
+    /// Until when it has lasted for certain.
     pub(crate) fn confirmed(&self) -> Steady {
         Steady::from_millis(self.confirmed.load(Ordering::Acquire))
     }
 
-    /// Whether the lease was renewed when it may have been over, and the store has not confirmed
-    /// since then that this lasts.
+    /// Whether the lease was renewed when it may have expired, and the ownership was not confirmed
+    /// since then.
     pub(crate) fn is_doubtful(&self) -> bool {
         let confirmed = self.confirmed();
-        self.lease.heard().gaps.iter().any(|gap| confirmed < gap.renewed)
+        self.lease.state().gaps.iter().any(|gap| confirmed < gap.renewed)
     }
 
-    /// Whether the store has not confirmed it since a moment, at which the node may have missed its
-    /// end.
+    /// Whether it was last confirmed before `moment`, when the node may have missed its end.
     pub(crate) fn is_older_than(&self, moment: Steady) -> bool {
         self.confirmed() < moment
     }
 
-    /// Whether it certainly lasts.
+    /// Whether it lasts for certain.
     pub(crate) fn holds(&self, now: Steady) -> bool {
-        self.lease.held(now) == Some(self.id) && !self.denied.load(Ordering::Acquire)
+        self.lease.held(now) == Some(self.id) && !self.ended.load(Ordering::Acquire)
     }
 
-    /// Whether orders may be given: also for a while after the lease may be over, as long as the
-    /// store has not said that it is. A renewal after that while shows nothing of what was owned:
-    /// only a write does that the store has done under the condition that it lasts.
+    /// Whether orders may be sent: also in the grace period after the lease may have expired, as long
+    /// as the store has not reported it as expired. A renewal after the grace period does not restore
+    /// the ownership: only a write that succeeds with the ownership as a condition does.
     pub(crate) fn allows_orders(&self, now: Steady) -> bool {
-        let (heard, confirmed) = (self.lease.heard(), self.confirmed());
+        let (state, confirmed) = (self.lease.state(), self.confirmed());
         let is_last =
             |(id, until): (LeaseId, Steady)| id == self.id && now < until.after(OVERTIME_MS);
-        let is_whole = |gap: &Gap| gap.renewed <= confirmed || now < gap.until.after(OVERTIME_MS);
-        !self.denied.load(Ordering::Acquire)
-            && heard.last.is_some_and(is_last)
-            && heard.barrier <= confirmed
-            && heard.gaps.iter().all(is_whole)
+        let is_bridged = |gap: &Gap| gap.renewed <= confirmed || now < gap.until.after(OVERTIME_MS);
+        !self.ended.load(Ordering::Acquire)
+            && state.last.is_some_and(is_last)
+            && state.barrier <= confirmed
+            && state.gaps.iter().all(is_bridged)
     }
 
-    /// What is told of it in the log.
+    /// A description for the log.
     pub(crate) fn describe(&self, now: Steady) -> String {
-        let last = self.lease.heard().last;
+        let last = self.lease.state().last;
         let lease = match last {
             Some((id, until)) if id == self.id => {
-                format!("which may be over since {} ms", now.since(until))
+                format!("which may have expired {} ms ago", now.since(until))
             }
-            Some((id, _)) => format!("which is over, now lease {id}"),
-            None => "which is over, now none".to_owned(),
+            Some((id, _)) => format!("which has expired, replaced by lease {id}"),
+            None => "which has expired, not replaced".to_owned(),
         };
-        format!("won {} ms ago under lease {}, {lease}", now.since(self.since), self.id)
+        format!("acquired {} ms ago under lease {}, {lease}", now.since(self.since), self.id)
     }
 }
 
-/// Takes a lease and keeps it until the node ends.
+/// Acquires a lease and renews it until the node ends.
 pub(crate) async fn keep(node: Arc<Node>, lease: Arc<Lease>) {
-    let mut listed = false;
+    let mut registered = false;
     loop {
         let sent = node.now().steady;
         let held = lease.last();
@@ -223,20 +220,20 @@
                     log::info!("store: lease {id} for {} ms", ttl.as_millis());
                 }
                 lease.renewed(id, sent, ttl, node.now().steady);
-                if !listed {
-                    listed = list(&node, id).await;
+                if !registered {
+                    registered = register(&node, id).await;
                 }
-                sleep(RENEW).await;
+                sleep(RENEW_INTERVAL).await;
             }
             Ok(None) => {
-                log::warn!("store: lease {held:?} is over: what was owned is lost");
-                listed = false;
+                log::warn!("store: lease {held:?} has expired: ownership of all work is lost");
+                registered = false;
                 lease.ended();
             }
             Err(error) => {
                 log::warn!("store: lease not renewed: {error}");
                 lease.failed();
-                sleep(FAILED_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
         if node.leaving.is_cancelled() {
@@ -245,17 +242,17 @@
     }
 }
 
-/// Lists the node among those that may own work; tells whether that is done.
-async fn list(node: &Node, lease: LeaseId) -> bool {
+/// Registers the node as one that may own work; returns whether that succeeded.
+async fn register(node: &Node, lease: LeaseId) -> bool {
     let record = NodeRecord { cpu: node.settings.cpu, peers: node.settings.listen.peers };
     let key = keys::node(node.settings.node.as_str());
     let txn = Txn::default().put_leased(&key, json(&record), lease);
     match node.kv.commit(&txn).await {
         Ok(Committed::Done(_)) => true,
-        // The next renewal tells that the lease is over.
+        // The next renewal reports that the lease has expired.
         Ok(Committed::LeaseOver | Committed::Conflict(_)) => false,
         Err(error) => {
-            log::warn!("node {}: not listed among the nodes: {error}", node.settings.node);
+            log::warn!("node {}: registration failed: {error}", node.settings.node);
             false
         }
     }
--- a/src/scheduler/metrics.rs
+++ b/src/scheduler/metrics.rs
@@ -1,4 +1,4 @@
-//! A scheduler node's metrics, as Prometheus reads them.
+//! The Prometheus metrics of a scheduler node.
 
 use std::{
     collections::BTreeMap,
@@ -21,117 +21,117 @@
 use crate::{http, jobs::gone::Counts, logging};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct StoreCall {
+struct StoreCallLabels {
     call: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Asked {
+struct RequestLabels {
     queue: String,
     method: &'static str,
     status: u16,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct OfQueue {
+struct QueueLabels {
     queue: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ordered {
+struct OrderLabels {
     order: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct CalledBy {
+struct CallerLabels {
     caller: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Because {
+struct ReasonLabels {
     why: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct JobEndLabels {
     queue: String,
     state: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct By {
+struct CountLabels {
     by: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Of {
+struct PrefixLabels {
     prefix: &'static str,
 }
 
-type Latencies = fn() -> Histogram;
+type NewHistogram = fn() -> Histogram;
 
-fn latencies() -> Histogram {
+fn latency_histogram() -> Histogram {
     // From half a millisecond to about a minute.
     Histogram::new(exponential_buckets(0.0005, 2.0, 18))
 }
 
-/// What the node counts and measures.
+/// The metrics of a node.
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
-    store_calls: Family<StoreCall, Counter>,
-    store_seconds: Family<StoreCall, Histogram, Latencies>,
-    asked: Family<Asked, Counter>,
+    store_calls: Family<StoreCallLabels, Counter>,
+    store_seconds: Family<StoreCallLabels, Histogram, NewHistogram>,
+    requests: Family<RequestLabels, Counter>,
     /// Callers' requests by method and status, over all queues.
-    totals: Mutex<BTreeMap<(&'static str, u16), u64>>,
-    answer_seconds: Family<OfQueue, Histogram, Latencies>,
-    orders: Family<Ordered, Counter>,
-    order_seconds: Family<Ordered, Histogram, Latencies>,
-    orders_under_way: Family<CalledBy, Gauge>,
-    orders_again: Counter,
-    ended: Family<Ended, Counter>,
-    restarts: Family<Because, Counter>,
-    strays: Family<Because, Counter>,
-    crashes: Counter,
-    given_up: Counter,
-    started_again: Counter,
-    job_seconds: Family<OfQueue, Histogram, Latencies>,
-    owned: Gauge,
-    config: Gauge,
-    refused: Gauge,
-    view_seconds: Family<Of, Gauge<f64, AtomicU64>>,
-    queue_counts: Family<By, Counter>,
-    lines_left_out: Gauge,
+    request_totals: Mutex<BTreeMap<(&'static str, u16), u64>>,
+    answer_seconds: Family<QueueLabels, Histogram, NewHistogram>,
+    orders: Family<OrderLabels, Counter>,
+    order_seconds: Family<OrderLabels, Histogram, NewHistogram>,
+    in_flight_orders: Family<CallerLabels, Gauge>,
+    resent_orders: Counter,
+    ended_jobs: Family<JobEndLabels, Counter>,
+    task_restarts: Family<ReasonLabels, Counter>,
+    unexpected_runs: Family<ReasonLabels, Counter>,
+    task_crashes: Counter,
+    abandoned_tasks: Counter,
+    worker_restarts: Counter,
+    job_seconds: Family<QueueLabels, Histogram, NewHistogram>,
+    owned_work: Gauge,
+    config_version: Gauge,
+    refused_records: Gauge,
+    view_age_seconds: Family<PrefixLabels, Gauge<f64, AtomicU64>>,
+    queue_counts: Family<CountLabels, Counter>,
+    dropped_log_lines: Gauge,
 }
 
 impl Metrics {
-    /// All metrics, at zero.
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Metrics {
         let metrics = Metrics {
             registry: Mutex::new(Registry::with_prefix("caperhollow")),
             store_calls: Family::default(),
-            store_seconds: Family::new_with_constructor(latencies as Latencies),
-            asked: Family::default(),
-            totals: Mutex::default(),
-            answer_seconds: Family::new_with_constructor(latencies as Latencies),
+            store_seconds: Family::new_with_constructor(latency_histogram as NewHistogram),
+            requests: Family::default(),
+            request_totals: Mutex::default(),
+            answer_seconds: Family::new_with_constructor(latency_histogram as NewHistogram),
             orders: Family::default(),
-            order_seconds: Family::new_with_constructor(latencies as Latencies),
-            orders_under_way: Family::default(),
-            orders_again: Counter::default(),
-            ended: Family::default(),
-            restarts: Family::default(),
-            strays: Family::default(),
-            crashes: Counter::default(),
-            given_up: Counter::default(),
-            started_again: Counter::default(),
-            job_seconds: Family::new_with_constructor(latencies as Latencies),
-            owned: Gauge::default(),
-            config: Gauge::default(),
-            refused: Gauge::default(),
-            view_seconds: Family::default(),
+            order_seconds: Family::new_with_constructor(latency_histogram as NewHistogram),
+            in_flight_orders: Family::default(),
+            resent_orders: Counter::default(),
+            ended_jobs: Family::default(),
+            task_restarts: Family::default(),
+            unexpected_runs: Family::default(),
+            task_crashes: Counter::default(),
+            abandoned_tasks: Counter::default(),
+            worker_restarts: Counter::default(),
+            job_seconds: Family::new_with_constructor(latency_histogram as NewHistogram),
+            owned_work: Gauge::default(),
+            config_version: Gauge::default(),
+            refused_records: Gauge::default(),
+            view_age_seconds: Family::default(),
             queue_counts: Family::default(),
-            lines_left_out: Gauge::default(),
+            dropped_log_lines: Gauge::default(),
         };
         metrics.register();
         metrics
@@ -146,21 +146,21 @@
             "Time of the store's answers",
             self.store_seconds.clone(),
         );
-        registry.register("asked", "Callers' requests by final status", self.asked.clone());
+        registry.register("asked", "Callers' requests by final status", self.requests.clone());
         registry.register("answer_seconds", "Time to a final answer", self.answer_seconds.clone());
         registry.register("orders", "Orders to workers", self.orders.clone());
         registry.register("order_seconds", "Time of workers' answers", self.order_seconds.clone());
         registry.register(
             "orders_under_way",
             "Orders to workers without an answer so far, by whether this node or another calls",
-            self.orders_under_way.clone(),
+            self.in_flight_orders.clone(),
         );
         registry.register(
             "orders_again",
             "Looks and stops that were sent again because the one before had no answer",
-            self.orders_again.clone(),
+            self.resent_orders.clone(),
         );
-        registry.register("jobs_ended", "Jobs that this node saw end", self.ended.clone());
+        registry.register("jobs_ended", "Jobs that this node saw end", self.ended_jobs.clone());
         registry.register(
             "job_seconds",
             "Time from a job's acceptance to its success, by its owner",
@@ -169,39 +169,43 @@
         registry.register(
             "task_restarts",
             "Tasks started again, by why the run before was held to be over",
-            self.restarts.clone(),
+            self.task_restarts.clone(),
         );
         registry.register(
             "stray_runs",
             "Runs that workers listed and that should not be there, by what is wrong with them",
-            self.strays.clone(),
+            self.unexpected_runs.clone(),
         );
         registry.register(
             "task_crashes",
             "Workers lost under a task, counted once for each task that had lately begun there",
-            self.crashes.clone(),
+            self.task_crashes.clone(),
         );
         registry.register(
             "tasks_given_up",
             "Tasks given up because workers crash under them; their jobs are shown as failed",
-            self.given_up.clone(),
+            self.abandoned_tasks.clone(),
         );
         registry.register(
             "workers_started_again",
             "Workers that have started again under their name, as their owners heard",
-            self.started_again.clone(),
+            self.worker_restarts.clone(),
+        );
+        registry.register("owned", "Pieces of work that the node owns", self.owned_work.clone());
+        registry.register(
+            "config_version",
+            "The configuration in force",
+            self.config_version.clone(),
         );
-        registry.register("owned", "Pieces of work that the node owns", self.owned.clone());
-        registry.register("config_version", "The configuration in force", self.config.clone());
         registry.register(
             "records_refused",
             "Records of the store that could not be read, or were not their worker's own",
-            self.refused.clone(),
+            self.refused_records.clone(),
         );
         registry.register(
             "view_age_seconds",
             "How old what the node knows of each prefix of the store is",
-            self.view_seconds.clone(),
+            self.view_age_seconds.clone(),
         );
         registry.register(
             "queue_counts",
@@ -211,18 +215,18 @@
         registry.register(
             "log_lines_left_out",
             "Log lines that were left out because there were too many",
-            self.lines_left_out.clone(),
+            self.dropped_log_lines.clone(),
         );
     }
 
-    /// Notes a call of the store.
+    /// Records a call of the store.
     pub(crate) fn store_call(&self, call: &'static str, outcome: &'static str, took: Duration) {
-        let label = StoreCall { call, outcome };
+        let label = StoreCallLabels { call, outcome };
         self.store_calls.get_or_create(&label).inc();
         self.store_seconds.get_or_create(&label).observe(took.as_secs_f64());
     }
 
-    /// Notes a caller's request.
+    /// Records an answered request of a caller.
     pub(crate) fn answered(
         &self,
         queue: &str,
@@ -230,78 +234,80 @@
         status: StatusCode,
         took: Duration,
     ) {
-        let label = Asked { queue: queue.to_owned(), method, status: status.as_u16() };
-        self.asked.get_or_create(&label).inc();
-        let mut totals = self.totals.lock().unwrap_or_else(PoisonError::into_inner);
+        let label = RequestLabels { queue: queue.to_owned(), method, status: status.as_u16() };
+        self.requests.get_or_create(&label).inc();
+        let mut totals = self.request_totals.lock().unwrap_or_else(PoisonError::into_inner);
         *totals.entry((method, status.as_u16())).or_default() += 1;
         drop(totals);
-        let label = OfQueue { queue: queue.to_owned() };
+        let label = QueueLabels { queue: queue.to_owned() };
         self.answer_seconds.get_or_create(&label).observe(took.as_secs_f64());
     }
 
-    /// Notes an order to a worker.
+    /// Records an order to a worker.
     pub(crate) fn ordered(&self, order: &'static str, outcome: &'static str, took: Duration) {
-        let label = Ordered { order, outcome };
+        let label = OrderLabels { order, outcome };
         self.orders.get_or_create(&label).inc();
         self.order_seconds.get_or_create(&label).observe(took.as_secs_f64());
     }
 
-    /// Notes that more or fewer orders are on their way.
-    pub(crate) fn orders_under_way(&self, caller: &'static str, more: i64) {
-        self.orders_under_way.get_or_create(&CalledBy { caller }).inc_by(more);
+    /// Adds to the number of orders in flight.
+    pub(crate) fn orders_under_way(&self, caller: &'static str, change: i64) {
+        self.in_flight_orders.get_or_create(&CallerLabels { caller }).inc_by(change);
     }
 
-    /// Notes the end of a job that this node owns.
+    /// Records the end of a job that this node owns.
     pub(crate) fn job_ended(&self, queue: &str, state: &'static str, took: Duration) {
-        let label = Ended { queue: queue.to_owned(), state };
-        self.ended.get_or_create(&label).inc();
-        let label = OfQueue { queue: queue.to_owned() };
+        let label = JobEndLabels { queue: queue.to_owned(), state };
+        self.ended_jobs.get_or_create(&label).inc();
+        let label = QueueLabels { queue: queue.to_owned() };
         self.job_seconds.get_or_create(&label).observe(took.as_secs_f64());
     }
 
-    /// Notes what an owner has counted.
+    /// Adds the counts of an owner.
     pub(crate) fn counted(&self, counts: &Counts) {
         for (why, count) in &counts.restarts {
-            self.restarts.get_or_create(&Because { why }).inc_by(*count);
+            self.task_restarts.get_or_create(&ReasonLabels { why }).inc_by(*count);
         }
-        self.crashes.inc_by(counts.crashes);
-        self.given_up.inc_by(counts.given_up);
-        self.started_again.inc_by(counts.started_again);
-        self.orders_again.inc_by(counts.again);
+        self.task_crashes.inc_by(counts.crashes);
+        self.abandoned_tasks.inc_by(counts.given_up);
+        self.worker_restarts.inc_by(counts.started_again);
+        self.resent_orders.inc_by(counts.again);
         for (why, count) in &counts.strays {
-            self.strays.get_or_create(&Because { why }).inc_by(*count);
+            self.unexpected_runs.get_or_create(&ReasonLabels { why }).inc_by(*count);
         }
     }
 
-    /// Notes what the node owns and which configuration is in force.
+    /// Sets the number of pieces of work that the node owns and the version of the configuration in
+    /// force.
     pub(crate) fn holds(&self, owned: usize, config: u64) {
-        self.owned.set(owned as i64);
-        self.config.set(config as i64);
+        self.owned_work.set(owned as i64);
+        self.config_version.set(config as i64);
     }
 
-    /// Notes how old what is known of a prefix is.
+    /// Sets the age of the view of a prefix.
     pub(crate) fn view_age(&self, prefix: &'static str, age: Duration) {
-        self.view_seconds.get_or_create(&Of { prefix }).set(age.as_secs_f64());
+        self.view_age_seconds.get_or_create(&PrefixLabels { prefix }).set(age.as_secs_f64());
     }
 
-    /// Notes by what jobs that wait were counted.
+    /// Records by what the waiting jobs of a queue were counted.
     pub(crate) fn counted_by(&self, by: &'static str) {
-        self.queue_counts.get_or_create(&By { by }).inc();
+        self.queue_counts.get_or_create(&CountLabels { by }).inc();
     }
 
-    /// Notes how many records of the store named nothing to use.
+    /// Sets the number of records that were refused.
     pub(crate) fn refused(&self, records: u64) {
-        self.refused.set(records as i64);
+        self.refused_records.set(records as i64);
     }
 
-    /// Calls of the store so far, for the log.
+    /// The number of store calls so far, for the log.
     pub(crate) fn store_summary(&self) -> String {
         const CALLS: [&str; 6] = ["get", "range", "watch", "commit", "grant", "keep"];
         const OUTCOMES: [&str; 4] = ["done", "refused", "unanswered", "unreached"];
         let mut parts = Vec::new();
         for call in CALLS {
             for outcome in OUTCOMES {
-                let count = self.store_calls.get(&StoreCall { call, outcome }).map(|c| c.get());
+                let count =
+                    self.store_calls.get(&StoreCallLabels { call, outcome }).map(|c| c.get());
                 if let Some(count) = count {
                     parts.push(format!("{call} {outcome} {count}"));
                 }
@@ -310,26 +316,26 @@
         parts.join(", ")
     }
 
-    /// Callers' requests so far, for the log.
+    /// The number of callers' requests so far, for the log.
     pub(crate) fn asked_summary(&self) -> String {
-        let totals = self.totals.lock().unwrap_or_else(PoisonError::into_inner);
+        let totals = self.request_totals.lock().unwrap_or_else(PoisonError::into_inner);
         let parts = totals.iter().map(|((method, status), n)| format!("{method} {status} {n}"));
         parts.collect::<Vec<_>>().join(", ")
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     fn text(&self) -> String {
-        self.lines_left_out.set(logging::left_out() as i64);
+        self.dropped_log_lines.set(logging::left_out() as i64);
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(error) = encode(&mut text, &registry) {
-            log::error!("metrics: not encoded: {error}");
+            log::error!("metrics: encoding failed: {error}");
         }
         text
     }
 }
 
-/// Serves the metrics.
+/// The HTTP endpoint that serves the metrics.
 pub(crate) struct Page(pub(crate) Arc<Metrics>);
 
 impl Endpoint for Page {
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -1,5 +1,5 @@
-//! Keeps the view like the store: one read of each prefix, then a watch from there. What is taken in
-//! counts as known as of when it was asked for, not as of when it came.
+//! Mirrors the store into the view: one read of each prefix, then a watch from its revision. An answer
+//! counts as of the time when its call was sent, not of when it arrived.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -29,138 +29,141 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Prefix {
     path: &'static str,
-    /// The least time between two answers of its watch, so that many small changes come in few
-    /// answers: each is paid for.
+    /// The minimum time between two answers of its watch, so that many small changes come in few
+    /// answers: each has a cost.
     pause: Duration,
-    /// The same at a node that owns work: of each host that changes pools its owners hear four
-    /// times, one after the other, and work that can be in time waits for it meanwhile.
+    /// The same at a node that owns work: each host that changes pools takes four updates in sequence
+    /// to the owners, and work that could still end in time waits meanwhile.
     owner_pause: Duration,
-    /// How long a watch waits for a change: while nothing changes, so old it gets and a pause more.
+    /// How long a watch waits for a change: while nothing changes, the view of the prefix gets as old
+    /// as this plus a pause.
     wait: Duration,
-    /// Whether it is read anew when its watch was lost. What was written meanwhile may be many
+    /// Whether the prefix is read again when its watch was lost. The changes meanwhile may be many
     /// versions of one large configuration, too much for a slow link within the time of a watch,
-    /// and only the newest counts.
-    reads_anew: bool,
+    /// and only the newest is needed.
+    rereads_on_loss: bool,
 }
 
-/// Configurations and waves, which come at once.
+/// Configurations and waves, mirrored without a pause.
 const OPERATOR: Prefix = Prefix {
     path: OPERATOR_PREFIX,
     pause: Duration::ZERO,
     owner_pause: Duration::ZERO,
     wait: WATCH_WAIT,
-    reads_anew: true,
+    rereads_on_loss: true,
 };
 
-/// What every node hears of: the nodes, and how many jobs wait, which may be two seconds old.
+/// What every node mirrors: the list of nodes, and the counts of waiting jobs, which may be two seconds
+/// old.
 const COMMON: Prefix = Prefix {
     path: keys::ALL,
     pause: Duration::from_millis(500),
     owner_pause: Duration::from_millis(500),
-    wait: COUNTED_WAIT,
-    reads_anew: false,
+    wait: COUNTS_WATCH_WAIT,
+    rereads_on_loss: false,
 };
 
-/// All records of ours. Owners hear of new jobs by a watch of their own.
+/// All records of the scheduler. Owners receive new jobs earlier through watches of their own.
 pub(super) const RECORDS: Prefix = Prefix {
     path: ROOT,
     pause: Duration::from_millis(120),
     owner_pause: Duration::from_millis(40),
-    wait: COUNTED_WAIT,
-    reads_anew: false,
+    wait: COUNTS_WATCH_WAIT,
+    rereads_on_loss: false,
 };
 
-/// What workers say of themselves.
+/// The reports of workers.
 pub(super) const WORKERS: Prefix = Prefix {
     path: WORKER_PREFIX,
     pause: Duration::from_millis(250),
     owner_pause: Duration::from_millis(60),
     wait: WATCH_WAIT,
-    reads_anew: false,
+    rereads_on_loss: false,
 };
 
-/// How long after it has read which nodes there are a node decides whether it is to hear of
-/// everything: nodes that start together are listed within that.
-const SETTLE: Duration = Duration::from_millis(250);
+/// How long after its first read of the list of nodes a node decides whether it is a replica: nodes
+/// that start together are listed within that time.
+const REPLICA_DELAY: Duration = Duration::from_millis(250);
 
-/// How often it looks whether that has changed.
-const REPLICA_CHECK: Duration = Duration::from_millis(200);
+/// How often a node checks whether it has become a replica.
+const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a watch waits for a change. A watch that hangs because its connection is cut is
-/// noticed soon after, within what a change of the configuration may take.
+/// How long a watch waits for a change. A watch that hangs because its connection is cut is detected
+/// soon after, within the time that a change of the configuration may take.
 const WATCH_WAIT: Duration = Duration::from_millis(800);
 
-/// The same for what callers are answered from: a watch that is answered tells of what was written
-/// before it was sent, and two of them with their pauses stay well within what an answer may show. On
-/// a site with work it is answered long before.
-const COUNTED_WAIT: Duration = Duration::from_millis(500);
+/// The same for records from which callers are answered: an answered watch covers what was written
+/// before it was sent, and two of them with their pauses stay well within the allowed age of an
+/// answer. On a site with work, a change ends the wait much earlier.
+const COUNTS_WATCH_WAIT: Duration = Duration::from_millis(500);
 
-/// The least time between two answers of an owner's own watch.
-const FOLLOW_PAUSE: Duration = Duration::from_millis(8);
+/// The minimum time between two answers of an owner's own watch.
+const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(8);
 
-/// Changes that are taken in at one time, at the least: as many as the store tells in one answer. All
-/// of a large deployment are 10,000 and more, which held the view for 25 ms on a whole core.
+/// The minimum number of changes to apply at once, about as many as the store sends in one answer. A
+/// large deployment has 10,000 and more, which at once locked the view for 25 ms on a whole core.
 pub(super) const SLICE: usize = 512;
 
-/// How long to wait after a call that failed.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Mirrors what the node is to hear of until it ends: what all nodes hear of from the start, and the
-/// rest once the node is one of those that may own work. Such a node goes on as one.
-pub(crate) fn start(node: &Arc<Node>, to: &mpsc::UnboundedSender<Input>) {
+/// Starts to mirror the store until the node ends: the prefixes that all nodes mirror at once, and the
+/// others when the node becomes a replica. It then stays one.
+pub(crate) fn start(node: &Arc<Node>, inputs: &mpsc::UnboundedSender<Input>) {
     for prefix in [OPERATOR, COMMON] {
-        spawn(node, prefix, to);
+        spawn(node, prefix, inputs);
     }
-    let (node, to) = (node.clone(), to.clone());
+    let (node, inputs) = (node.clone(), inputs.clone());
     tokio::spawn(async move {
         until_replica(&node).await;
         log::info!("node {}: hears of everything from now on", node.settings.node);
         for prefix in [RECORDS, WORKERS] {
-            spawn(&node, prefix, &to);
+            spawn(&node, prefix, &inputs);
         }
     });
 }
 
-fn spawn(node: &Arc<Node>, prefix: Prefix, to: &mpsc::UnboundedSender<Input>) {
-    let (node, to) = (node.clone(), to.clone());
-    tokio::spawn(async move { mirror(&node, prefix, &to).await });
+fn spawn(node: &Arc<Node>, prefix: Prefix, inputs: &mpsc::UnboundedSender<Input>) {
+    let (node, inputs) = (node.clone(), inputs.clone());
+    tokio::spawn(async move { mirror(&node, prefix, &inputs).await });
 }
 
 async fn until_replica(node: &Node) {
     while !node.view().is_ready() {
-        sleep(REPLICA_CHECK / 10).await;
+        sleep(REPLICA_CHECK_INTERVAL / 10).await;
     }
-    sleep(SETTLE).await;
+    sleep(REPLICA_DELAY).await;
     while !node.view().replicas(node.settings.replicas).contains(node.settings.node.as_str()) {
-        sleep(REPLICA_CHECK).await;
+        sleep(REPLICA_CHECK_INTERVAL).await;
     }
 }
 
-/// Watches what belongs to one piece of work that this node owns, so that its new jobs are heard
-/// of at once. The mirror tells of the same, later.
+/// Watches the records of one piece of work that this node owns, so that its new jobs are received at
+/// once. The mirror receives the same changes later.
 pub(crate) fn follow(
     node: &Arc<Node>,
     name: &str,
     token: u64,
-    over: CancellationToken,
-    to: &mpsc::UnboundedSender<Input>,
+    ended: CancellationToken,
+    inputs: &mpsc::UnboundedSender<Input>,
 ) {
-    let (prefix, to) = (keys::work(name), to.clone());
-    // What the mirror has told, the owner was given when it took the work up.
+    let (prefix, inputs) = (keys::work(name), inputs.clone());
+    // The owner already got the changes that the mirror had applied when it took the work up.
     let mut view = node.view();
     let since = view.known.max(Revision(token));
     let source = view.heard.open(&prefix, since);
     view.ages.begin(&prefix, ROOT);
     drop(view);
-    let follower = Follower { node: node.clone(), prefix, source, name: name.to_owned(), token };
+    let owner_watch =
+        OwnerWatch { node: node.clone(), prefix, source, name: name.to_owned(), token };
     tokio::spawn(async move {
-        let following = follower.run(since, &to);
-        over.run_until_cancelled(following).await;
+        let watching = owner_watch.run(since, &inputs);
+        ended.run_until_cancelled(watching).await;
     });
 }
 
 /// An owner's own watch: a source of changes until it is dropped.
-struct Follower {
+struct OwnerWatch {
     node: Arc<Node>,
     prefix: String,
     source: SourceId,
@@ -168,33 +171,33 @@
     token: u64,
 }
 
-impl Follower {
-    async fn run(&self, mut since: Revision, to: &mpsc::UnboundedSender<Input>) {
+impl OwnerWatch {
+    async fn run(&self, mut since: Revision, inputs: &mpsc::UnboundedSender<Input>) {
         let prefix = self.prefix.as_str();
         loop {
-            let asked = ask(&self.node);
+            let call = start_call(&self.node);
             match self.node.kv.watch(prefix, since, WATCH_WAIT).await {
-                Ok(heard) => {
+                Ok(answer) => {
                     let answered = self.node.now().steady;
-                    let extent = Extent::of_watch(asked, WATCH_WAIT, &heard, answered);
-                    since = heard.at.max(since);
-                    let cut = heard.may_be_cut();
-                    let deltas = self.hear(asked, heard.changes, extent);
-                    // The receiver ends with the process only.
+                    let extent = Extent::of_watch(call, WATCH_WAIT, &answer, answered);
+                    since = answer.at.max(since);
+                    let may_be_cut = answer.may_be_cut();
+                    let deltas = self.receive(call, answer.changes, extent);
+                    // Cannot fail: the receiver lives as long as the process.
                     if !deltas.is_empty() {
-                        let _ = to.send(Input::Deltas(deltas));
+                        let _ = inputs.send(Input::Deltas(deltas));
                     }
-                    if !cut {
+                    if !may_be_cut {
                         let (name, token) = (self.name.clone(), self.token);
-                        let asked = asked.sent;
-                        let _ = to.send(Input::Followed { name, token, asked, at: since });
-                        sleep(FOLLOW_PAUSE).await;
+                        let asked = call.sent;
+                        let _ = inputs.send(Input::Followed { name, token, asked, at: since });
+                        sleep(OWNER_WATCH_PAUSE).await;
                     }
                 }
                 Err(error) => {
                     log::debug!("store: watch of {prefix} lost at {since}: {error}");
-                    sleep(FAILED_PAUSE).await;
-                    // What the mirror has told needs no history.
+                    sleep(RETRY_DELAY).await;
+                    // Changes that the mirror has applied are not needed again.
                     since = since.max(self.node.view().known);
                 }
             }
@@ -202,13 +205,13 @@
     }
 }
 
-impl Follower {
-    fn hear(&self, asked: Asked, changes: Vec<Change>, extent: Extent) -> Vec<Delta> {
-        self.node.view().hear((&self.prefix, self.source), asked, changes, extent)
+impl OwnerWatch {
+    fn receive(&self, call: Asked, changes: Vec<Change>, extent: Extent) -> Vec<Delta> {
+        self.node.view().hear((&self.prefix, self.source), call, changes, extent)
     }
 }
 
-impl Drop for Follower {
+impl Drop for OwnerWatch {
     fn drop(&mut self) {
         let mut view = self.node.view();
         view.heard.close(self.source);
@@ -216,51 +219,51 @@
     }
 }
 
-/// A call that is sent now.
-fn ask(node: &Node) -> Asked {
+/// Describes a call that is sent now.
+fn start_call(node: &Node) -> Asked {
     let now = node.now().steady;
     node.view().ages.ask(now)
 }
 
-async fn mirror(node: &Arc<Node>, prefix: Prefix, to: &mpsc::UnboundedSender<Input>) {
+async fn mirror(node: &Arc<Node>, prefix: Prefix, inputs: &mpsc::UnboundedSender<Input>) {
     let source = node.view().heard.open(prefix.path, Revision::default());
     let mut since: Option<Revision> = None;
     let mut keys: BTreeSet<String> = BTreeSet::new();
     let mut lost = false;
     loop {
         let outcome = match since {
-            // While it was read, more was written.
+            // Without a pause: more was written during the read.
             None => {
-                let read = read_all(node, (prefix.path, source), &mut keys, to).await;
+                let read = read_all(node, (prefix.path, source), &mut keys, inputs).await;
                 read.map(|at| (Some(at), Duration::ZERO))
             }
-            Some(from) => watch(node, (&prefix, source), from, &mut keys, to).await,
+            Some(from) => watch(node, (&prefix, source), from, &mut keys, inputs).await,
         };
         match outcome {
             Ok((at, pause)) => {
                 if lost {
-                    log::info!("store: watch of {} goes on at {at:?}", prefix.path);
+                    log::info!("store: watch of {} resumed at {at:?}", prefix.path);
                 }
                 lost = false;
                 since = at;
-                rest(node, pause).await;
+                wait_pause(node, pause).await;
             }
             Err(error) => {
                 if !lost {
                     log::warn!("store: watch of {} lost at {since:?}: {error}", prefix.path);
                 }
                 lost = true;
-                if prefix.reads_anew {
+                if prefix.rereads_on_loss {
                     since = None;
                 }
-                sleep(FAILED_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Waits until the next answer may come: a node that has just come to own work is told at once.
-async fn rest(node: &Node, pause: Duration) {
+/// Waits before the next call of a watch, unless the node comes to own work meanwhile.
+async fn wait_pause(node: &Node, pause: Duration) {
     if pause.is_zero() {
         return;
     }
@@ -273,9 +276,9 @@
     }
 }
 
-/// How long after an answer of its watch the next one of a prefix may come. After one that may be
-/// cut there is no pause: with one of 120 ms a view took in 3,125 changes a second at the most, and
-/// one that had fallen behind never came as far as the store again.
+/// The pause after an answer of a prefix's watch. After an answer that may be cut there is none: with
+/// one of 120 ms a view applied at most 3,125 changes a second, and one that had fallen behind never
+/// caught up with the store.
 pub(super) fn pause_after(answer: &Heard, prefix: &Prefix, owns: bool) -> Duration {
     match (answer.may_be_cut(), owns) {
         (true, _) => Duration::ZERO,
@@ -284,20 +287,20 @@
     }
 }
 
-/// Reads a whole prefix; what is known and not there any more is gone.
+/// Reads a whole prefix. Known keys that are absent from it count as removed.
 async fn read_all(
     node: &Arc<Node>,
     (prefix, source): (&'static str, SourceId),
     keys: &mut BTreeSet<String>,
-    to: &mpsc::UnboundedSender<Input>,
+    inputs: &mpsc::UnboundedSender<Input>,
 ) -> Result<Revision, StoreError> {
-    let asked = ask(node);
+    let call = start_call(node);
     let (mut items, at) = node.kv.range(prefix).await?;
-    node.view().ages.told(asked.sent, at);
-    let there: BTreeSet<String> = items.iter().map(|item| item.key.clone()).collect();
-    let gone = keys.iter().filter(|key| !there.contains(*key));
-    let gone = gone.map(|key| Change { key: key.clone(), revision: at, value: None });
-    let gone: Vec<Change> = gone.collect();
+    node.view().ages.told(call.sent, at);
+    let present: BTreeSet<String> = items.iter().map(|item| item.key.clone()).collect();
+    let removed = keys.iter().filter(|key| !present.contains(*key));
+    let removed = removed.map(|key| Change { key: key.clone(), revision: at, value: None });
+    let removed: Vec<Change> = removed.collect();
     items.sort_by_key(|item| item.revision);
     let items = items.into_iter();
     let written = items.map(|item| Change {
@@ -305,81 +308,84 @@
         revision: item.revision,
         value: Some(item.value),
     });
-    let changes = gone.into_iter().chain(written).collect();
-    *keys = there;
-    take_in(node, (prefix, source), asked, changes, Extent::Changes(at), to).await;
+    let changes = removed.into_iter().chain(written).collect();
+    *keys = present;
+    apply(node, (prefix, source), call, changes, Extent::Changes(at), inputs).await;
     Ok(at)
 }
 
-/// Waits for changes; how far they go, and the pause after them. With the history gone, all is read
-/// again.
+/// Waits for changes. Returns the revision that they reach and the pause after them; `None` for the
+/// revision if the history was compacted and the prefix has to be read again.
 async fn watch(
     node: &Arc<Node>,
     (prefix, source): (&Prefix, SourceId),
     since: Revision,
     keys: &mut BTreeSet<String>,
-    to: &mpsc::UnboundedSender<Input>,
+    inputs: &mpsc::UnboundedSender<Input>,
 ) -> Result<(Option<Revision>, Duration), StoreError> {
     let Prefix { path, wait, .. } = *prefix;
-    let asked = ask(node);
-    let heard = match node.kv.watch(path, since, wait).await {
-        Ok(heard) => heard,
+    let call = start_call(node);
+    let answer = match node.kv.watch(path, since, wait).await {
+        Ok(answer) => answer,
         Err(StoreError::Compacted { .. }) => {
-            log::info!("store: the history of {path} after {since} is gone: it is read anew");
-            let nothing = Heard { changes: Vec::new(), at: since };
-            return Ok((None, pause_after(&nothing, prefix, node.owns_work())));
+            log::info!(
+                "store: the history of {path} after {since} was compacted: reading the prefix again"
+            );
+            let empty = Heard { changes: Vec::new(), at: since };
+            return Ok((None, pause_after(&empty, prefix, node.owns_work())));
         }
         Err(error) => return Err(error),
     };
-    let (at, extent) = (heard.at, Extent::of_watch(asked, wait, &heard, node.now().steady));
+    let (at, extent) = (answer.at, Extent::of_watch(call, wait, &answer, node.now().steady));
     if let Extent::Quiet(at, until) = extent
         && since < at
     {
         node.view().ages.told(until, at);
     }
-    for change in &heard.changes {
+    for change in &answer.changes {
         match change.value {
             Some(_) => keys.insert(change.key.clone()),
             None => keys.remove(&change.key),
         };
     }
-    let pause = pause_after(&heard, prefix, node.owns_work());
-    take_in(node, (path, source), asked, heard.changes, extent, to).await;
+    let pause = pause_after(&answer, prefix, node.owns_work());
+    apply(node, (path, source), call, answer.changes, extent, inputs).await;
     Ok((Some(at.max(since)), pause))
 }
 
-/// Takes in what was told, a slice at a time, so that callers are answered in between.
-async fn take_in(
+/// Applies changes to the view, a slice at a time, so that callers are answered in between.
+async fn apply(
     node: &Arc<Node>,
     (prefix, source): (&'static str, SourceId),
-    asked: Asked,
+    call: Asked,
     mut changes: Vec<Change>,
     extent: Extent,
-    to: &mpsc::UnboundedSender<Input>,
+    inputs: &mpsc::UnboundedSender<Input>,
 ) {
     let now = node.now().steady;
     while let Some(end) = end_of_slice(&changes) {
-        let rest = changes.split_off(end);
-        let slice = std::mem::replace(&mut changes, rest);
-        let deltas = node.view().hear_part(asked, slice);
-        // The receiver ends with the process only.
-        let _ = to.send(Input::Deltas(deltas));
+        let remaining = changes.split_off(end);
+        let slice = std::mem::replace(&mut changes, remaining);
+        let deltas = node.view().hear_part(call, slice);
+        // Cannot fail: the receiver lives as long as the process.
+        let _ = inputs.send(Input::Deltas(deltas));
         yield_now().await;
     }
     let mut view = node.view();
-    let deltas = view.hear((prefix, source), asked, changes, extent);
+    let deltas = view.hear((prefix, source), call, changes, extent);
     let first = view.note_answer(prefix, now);
     if prefix == ROOT {
         view.known = view.known.max(extent.at());
     }
     drop(view);
     if !deltas.is_empty() || first || prefix == ROOT {
-        // The receiver ends with the process only.
-        let _ = to.send(Input::Deltas(deltas));
+        // Cannot fail: the receiver lives as long as the process.
+        let _ = inputs.send(Input::Deltas(deltas));
     }
 }
 
-/// Where the first of several slices ends: no transaction is torn apart.
+/// The end of the first of several slices, such that no transaction is split; `None` if the changes fit
+/// into one slice.
 pub(super) fn end_of_slice(changes: &[Change]) -> Option<usize> {
     (SLICE..changes.len()).find(|at| changes[*at].revision != changes[*at - 1].revision)
 }
--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -1,6 +1,6 @@
-//! Requests of callers that come to a node which the store turns away, or whose view is too old for
-//! the answer: another node that knows better answers them. All of these requests may be made twice and mean the same, so that one
-//! whose answer was lost is asked of the next node.
+//! Relays requests of callers to another node, if this node cannot reach the store or its view is too
+//! old for an answer. All of these requests are idempotent, so that one whose answer was lost is sent to
+//! the next node.
 
 use std::{
     collections::hash_map::DefaultHasher,
@@ -25,27 +25,27 @@
     scheduler::{Node, api::DEADLINE_HEADER},
 };
 
-/// Marks a request that comes from another node, which is not handed on again, with the version of
-/// the configuration by which that node has read it.
+/// The header of a relayed request, which is not relayed again. Its value is the version of the
+/// configuration by which the relaying node has read the request.
 pub(crate) const RELAYED_HEADER: &str = "Caperhollow-Relayed";
 
-/// How long a connection to another node may take: some may be cut off with this one.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// How long a connection to another node may take to open: some may be cut off like this one.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long another node may take to answer. It writes once, in some 10 ms, or 250 ms where the
-/// store is slow.
-const ANSWER_LIMIT: Duration = Duration::from_millis(900);
+/// How long another node may take to answer. It writes once, in some 10 ms, or 250 ms if the store is
+/// slow.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Nodes that are asked before the caller is told to come back.
-const MOST_NODES: usize = 2;
+/// Most nodes to try before the caller is told to retry.
+const MAX_NODES: usize = 2;
 
-/// How long no node is asked after none could help, in milliseconds: most often the store is away
-/// for all, and each of them would ask the others. Questions about queues pause by themselves: nodes
-/// may know too little of these and reach the store.
-const PAUSE_MS: u64 = 500;
+/// How long nothing is relayed after no node could answer, in milliseconds: usually no node can reach
+/// the store then, and each would relay to the others. Requests about queues have a pause of their own:
+/// nodes may have a stale count although they reach the store.
+const FAILURE_PAUSE_MS: u64 = 500;
 
-/// Headers of an answer that are handed on.
-const KEPT_HEADERS: [HeaderName; 2] = [header::CONTENT_TYPE, header::RETRY_AFTER];
+/// Headers of an answer that are passed on to the caller.
+const FORWARDED_HEADERS: [HeaderName; 2] = [header::CONTENT_TYPE, header::RETRY_AFTER];
 
 /// What a request is about.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -64,37 +64,37 @@
     }
 }
 
-/// A caller's request, as it is handed to another node.
+/// A caller's request, as it is relayed to another node.
 pub(crate) struct Call {
     pub(crate) subject: Subject,
     pub(crate) method: Method,
     pub(crate) host: String,
     pub(crate) path: String,
-    /// The configuration in force: a node with an older one must not answer by it.
+    /// The version of the configuration in force: a node with an older one must not answer.
     pub(crate) config: u64,
     pub(crate) body: Bytes,
     /// When the caller stops waiting.
     pub(crate) deadline: Instant,
 }
 
-/// How it ended.
+/// The result of relaying a request.
 pub(crate) enum Relayed {
     Answered(Response),
-    /// No node took it, and none will.
+    /// No node carried it out, and none will.
     NotTaken,
-    /// A node may have done it, or may do it yet.
+    /// A node may have carried it out, or may still do so.
     Unknown,
 }
 
-/// Hands requests to other nodes.
+/// Relays requests to other nodes.
 pub(crate) struct Relay {
     connections: ManyConnections,
-    /// No node is asked about jobs before, in milliseconds of the steady clock.
+    /// When requests about jobs may be relayed again, in milliseconds of the steady clock.
     jobs_not_before: AtomicU64,
-    /// The same about queues.
+    /// The same for requests about queues.
     queues_not_before: AtomicU64,
-    /// How many nodes were asked about queues in vain: others are asked next.
-    in_vain: AtomicUsize,
+    /// How many requests about queues failed, counted per node: other nodes are tried next.
+    queue_failures: AtomicUsize,
 }
 
 impl Relay {
@@ -103,18 +103,18 @@
             Client::builder()
                 .no_proxy()
                 .tcp_nodelay(true)
-                .connect_timeout(CONNECT_LIMIT)
-                .timeout(ANSWER_LIMIT)
+                .connect_timeout(CONNECT_TIMEOUT)
+                .timeout(ANSWER_TIMEOUT)
         });
         Relay {
             connections,
             jobs_not_before: AtomicU64::new(0),
             queues_not_before: AtomicU64::new(0),
-            in_vain: AtomicUsize::new(0),
+            queue_failures: AtomicUsize::new(0),
         }
     }
 
-    /// Has another node answer.
+    /// Has another node answer a request.
     pub(crate) async fn ask(&self, node: &Node, call: &Call) -> Relayed {
         let (now, subject) = (node.now().steady, &call.subject);
         let not_before = match subject {
@@ -125,9 +125,9 @@
             return Relayed::NotTaken;
         }
         let mut unknown = false;
-        let in_vain = self.in_vain.load(Ordering::Relaxed);
-        for peer in peers(node, subject, in_vain).into_iter().take(MOST_NODES) {
-            match self.ask_one(peer, call).await {
+        let failures = self.queue_failures.load(Ordering::Relaxed);
+        for peer in peers(node, subject, failures).into_iter().take(MAX_NODES) {
+            match self.relay_to(peer, call).await {
                 Relayed::Answered(response) => {
                     log::info!("{subject}: {} answered by {peer}", call.method);
                     return Relayed::Answered(response);
@@ -136,16 +136,16 @@
                 Relayed::Unknown => unknown = true,
             }
         }
-        let pause = node.now().steady.after(PAUSE_MS).since(Steady::default());
-        not_before.store(pause, Ordering::Release);
+        let paused_until = node.now().steady.after(FAILURE_PAUSE_MS).since(Steady::default());
+        not_before.store(paused_until, Ordering::Release);
         if matches!(subject, Subject::Queue(_)) {
-            self.in_vain.fetch_add(MOST_NODES, Ordering::Relaxed);
+            self.queue_failures.fetch_add(MAX_NODES, Ordering::Relaxed);
         }
-        log::info!("{subject}: {} answered by no other node", call.method);
+        log::info!("{subject}: {} not answered by any other node", call.method);
         if unknown { Relayed::Unknown } else { Relayed::NotTaken }
     }
 
-    async fn ask_one(&self, peer: SocketAddr, call: &Call) -> Relayed {
+    async fn relay_to(&self, peer: SocketAddr, call: &Call) -> Relayed {
         let left = call.deadline.saturating_duration_since(Instant::now());
         let url = format!("http://{peer}{}", call.path);
         let request = |client: &Client| {
@@ -160,7 +160,7 @@
             Ok(whole) => whole,
             Err(error) if error.is_connect() => return Relayed::NotTaken,
             Err(error) => {
-                log::info!("{}: no whole answer by {peer}: {error}", call.subject);
+                log::info!("{}: no complete answer from {peer}: {error}", call.subject);
                 return Relayed::Unknown;
             }
         };
@@ -171,7 +171,7 @@
             _ => {}
         }
         let mut response = Response::builder().status(status).body(body);
-        for name in KEPT_HEADERS {
+        for name in FORWARDED_HEADERS {
             if let Some(value) = headers.get(&name) {
                 response.headers_mut().insert(name, value.clone());
             }
@@ -180,10 +180,10 @@
     }
 }
 
-/// The other nodes, as last known, in an order that differs by subject so that they share the load. Of
-/// queues those are asked first that hear of everything, and of these not the ones that were asked in
-/// vain: what they lack is not about the queue, and may last.
-fn peers(node: &Node, subject: &Subject, in_vain: usize) -> Vec<SocketAddr> {
+/// The other known nodes, in an order that depends on the subject so that they share the load. For
+/// queues, replicas come first, beginning after those that failed before: the cause of a failure is not
+/// specific to the queue and may last.
+fn peers(node: &Node, subject: &Subject, failures: usize) -> Vec<SocketAddr> {
     let view = node.view();
     let replicas = view.replicas(node.settings.replicas);
     let others = view.nodes.iter().filter(|(name, _)| **name != *node.settings.node.as_str());
@@ -198,8 +198,8 @@
         (comes_later, hasher.finish())
     });
     if matches!(subject, Subject::Queue(_)) {
-        let first = peers.iter().filter(|(is_replica, _)| *is_replica).count();
-        peers[..first].rotate_left(in_vain % first.max(1));
+        let replica_count = peers.iter().filter(|(is_replica, _)| *is_replica).count();
+        peers[..replica_count].rotate_left(failures % replica_count.max(1));
     }
     peers.into_iter().map(|(_, peer)| peer).collect()
 }
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -1,4 +1,4 @@
-//! Starts a scheduler node, and ends it so that no caller is cut off.
+//! Starts a scheduler node, and shuts it down without cutting off callers.
 
 use std::{
     path::{Path, PathBuf},
@@ -29,50 +29,51 @@
     settings::scheduler::{self, SchedulerSettings},
 };
 
-/// How long a call of the store may take: it answers in milliseconds, or is slow and answers in
-/// some hundred.
-const STORE_LIMIT: Duration = Duration::from_millis(700);
+/// How long a call of the store may take: it answers in milliseconds, or in some hundred while it is
+/// slow.
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Connections of callers that may be open at one time, well under the descriptors of a node.
+/// Most open connections of callers, well below the limit of a node's file descriptors.
 const MAX_CONNECTIONS: usize = 3_000;
 
-/// How often a node tells what it has spent.
-const SUMMARY: Duration = Duration::from_secs(10);
+/// How often a node logs its counts of calls and answers.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What is left of the grace for the last answers once the node stops listening.
-const LAST_ANSWERS: Duration = Duration::from_millis(1_500);
+/// The part of the grace time for the last answers, after the node has stopped listening.
+const FINAL_GRACE: Duration = Duration::from_millis(1_500);
 
-/// Runs a node until it is told to end.
+/// Runs a node until `shutdown` completes.
 pub(crate) async fn run(
     settings: SchedulerSettings,
     path: PathBuf,
-    told: impl Future<Output = Result<(), Error>>,
+    shutdown: impl Future<Output = Result<(), Error>>,
 ) -> Result<(), Error> {
     let failed = |error| Error::system("listen", error);
     let (callers, _) = http::listen(&settings.listen.callers.to_string()).await.map_err(failed)?;
     let (readiness, _) =
         http::listen(&settings.listen.readiness.to_string()).await.map_err(failed)?;
     let grace = settings.grace;
-    let (figures, _) = http::listen(&settings.listen.metrics.to_string()).await.map_err(failed)?;
+    let (metrics_listener, _) =
+        http::listen(&settings.listen.metrics.to_string()).await.map_err(failed)?;
     let peers = match settings.listen.peers {
         Some(address) => Some(http::listen(&address.to_string()).await.map_err(failed)?.0),
         None => None,
     };
     let metrics = Arc::new(Metrics::new());
-    let noted = metrics.clone();
-    let note = move |call, outcome, took| noted.store_call(call, outcome, took);
-    let kv = Kv::new(&settings.platform.store.to_string(), STORE_LIMIT, note);
+    let call_metrics = metrics.clone();
+    let note = move |call, outcome, took| call_metrics.store_call(call, outcome, took);
+    let kv = Kv::new(&settings.platform.store.to_string(), STORE_TIMEOUT, note);
     let (accepting, waiting) = accept::queue();
     let node = node(settings, kv, metrics.clone(), accepting);
     log::info!("node {}: started in {}", node.settings.node, node.settings.zone);
     let lease = Arc::new(Lease::default());
-    let (to, from) = mpsc::unbounded_channel();
+    let (inputs, received) = mpsc::unbounded_channel();
     tokio::spawn(lease::keep(node.clone(), lease.clone()));
     tokio::spawn(accept::write(node.clone(), waiting));
-    mirror::start(&node, &to);
+    mirror::start(&node, &inputs);
     let runners = Runners::new();
-    let drive = Drive::new(node.clone(), lease.clone(), runners.clone(), to.clone());
-    tokio::spawn(drive.run(from));
+    let control_loop = Drive::new(node.clone(), lease.clone(), runners.clone(), inputs.clone());
+    tokio::spawn(control_loop.run(received));
     let stop = http::Stop::default();
     let api =
         |orders| Api { node: node.clone(), lease: lease.clone(), relay: Relay::new(), orders };
@@ -82,57 +83,63 @@
     }
     let probe = Readiness { node: node.clone(), lease };
     tokio::spawn(http::serve(readiness, 64, probe, http::Stop::default()));
-    tokio::spawn(http::serve(figures, 16, Page(metrics), http::Stop::default()));
+    tokio::spawn(http::serve(metrics_listener, 16, Page(metrics), http::Stop::default()));
     tokio::spawn(summarize(node.clone()));
     tokio::spawn(lateness::watch(node.clone()));
     tokio::spawn(reload(node.clone(), path));
-    told.await?;
-    log::info!("node {}: told to end", node.settings.node);
+    shutdown.await?;
+    log::info!("node {}: shutting down", node.settings.node);
     node.leaving.cancel();
-    // The receiver ends with the process only.
-    let _ = to.send(Input::Leave);
-    sleep(grace.saturating_sub(LAST_ANSWERS)).await;
+    // Cannot fail: the receiver lives as long as the process.
+    let _ = inputs.send(Input::Leave);
+    sleep(grace.saturating_sub(FINAL_GRACE)).await;
     stop.gently.cancel();
-    // Requests that are still at work have the rest of the grace.
-    let _ = tokio::time::timeout(LAST_ANSWERS / 2, serving).await;
+    // Requests in progress may use the rest of the grace time.
+    let _ = tokio::time::timeout(FINAL_GRACE / 2, serving).await;
     log::info!("node {}: ended", node.settings.node);
     Ok(())
 }
 
-/// Tells now and then how many calls of the store were made.
+/// Logs the numbers of store calls and of answers to callers at intervals.
 async fn summarize(node: Arc<Node>) {
     loop {
-        sleep(SUMMARY).await;
+        sleep(SUMMARY_INTERVAL).await;
         log::info!("store: calls so far: {}", node.metrics.store_summary());
         log::info!("callers: answers so far: {}", node.metrics.asked_summary());
     }
 }
 
-/// Reads the settings again whenever the process is told that they have changed. What a running
-/// process cannot take on is told, and comes into force with its next start.
+/// Reads the settings again at each SIGHUP and logs the result: changes come into force with the next
+/// start.
 async fn reload(node: Arc<Node>, path: PathBuf) {
-    let mut told = match signal(SignalKind::hangup()) {
-        Ok(told) => told,
+    let mut hangups = match signal(SignalKind::hangup()) {
+        Ok(hangups) => hangups,
         Err(error) => {
-            log::error!("node {}: does not hear of new settings: {error}", node.settings.node);
+            log::error!(
+                "node {}: cannot listen for SIGHUP, settings are not read again: {error}",
+                node.settings.node
+            );
             return;
         }
     };
-    while told.recv().await.is_some() {
-        compare(&node.settings, &path);
+    while hangups.recv().await.is_some() {
+        check_settings(&node.settings, &path);
     }
 }
 
-fn compare(held: &SchedulerSettings, path: &Path) {
+fn check_settings(current: &SchedulerSettings, path: &Path) {
     match scheduler::load(path) {
-        Ok(settings) if settings == *held => {
-            log::info!("node {}: settings read again: the same", held.node);
+        Ok(settings) if settings == *current => {
+            log::info!("node {}: settings read again: unchanged", current.node);
         }
         Ok(_) => {
-            log::warn!("node {}: settings read again: new ones need a restart", held.node);
+            log::warn!("node {}: settings read again: changes need a restart", current.node);
         }
         Err(problems) => {
-            log::error!("node {}: settings read again: kept as they were: {problems}", held.node);
+            log::error!(
+                "node {}: settings read again: invalid, still using the old ones: {problems}",
+                current.node
+            );
         }
     }
 }
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -1,7 +1,7 @@
-//! What a node knows of the store: our own records, the operator's and the workers'.
+//! A node's view of the store: the scheduler's own records, the operator's and the workers'.
 //!
-//! Another writer may have been at any of them. What cannot be read is logged and counted, names
-//! nothing to use, and is never taken for a sign that nothing runs.
+//! Any of them may have been changed by another writer. A record that cannot be read is logged, counted
+//! and not used, and is never taken as evidence that nothing runs.
 
 pub(crate) mod age;
 pub(crate) mod heard;
@@ -39,32 +39,32 @@
     },
 };
 
-/// Who owns a piece of work; no node if that cannot be read.
+/// The owner of a piece of work; the default, which names no node, if the record cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct OwnerRecord {
     pub(crate) node: String,
-    /// The life of the node's process.
+    /// A random number that identifies the node's process.
     pub(crate) life: u64,
 }
 
-/// A node that may own work: listed as long as its lease holds.
+/// A node that may own work. The record exists as long as the node's lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct NodeRecord {
     /// The processor time that the node has.
     pub(crate) cpu: Millicores,
-    /// Where it answers requests that other nodes hand on; nothing if it does not.
+    /// Where it answers requests that other nodes relay; `None` if it does not.
     #[serde(default)]
     pub(crate) peers: Option<SocketAddr>,
 }
 
-/// The count of owners that is taken where the record cannot be read: more than there are changes of
-/// owners, and with as many again the numbers of runs still fit.
-const LOST_COUNT: u32 = 1_000_000;
+/// The assumed number of owners if the record cannot be read: more than there are changes of owners,
+/// and even twice as many leave enough numbers for runs.
+const UNREADABLE_TERM_COUNT: u32 = 1_000_000;
 
-/// How old may be what a node knows of the operator before it no longer says that it is ready, in
-/// milliseconds. A watch is answered once a second; two that fall silent, one after the other, are
-/// given up after 1.5 s each.
-const UNHEARD_MS: u64 = 3_500;
+/// The maximum time since the last answer about the operator's records for a node to be ready, in
+/// milliseconds. A watch is answered once a second; two that hang in succession are given up after
+/// 1.5 s each.
+const MAX_OPERATOR_SILENCE_MS: u64 = 3_500;
 
 /// How many owners a piece of work has had.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -72,28 +72,28 @@
     pub(crate) count: u32,
 }
 
-/// The worker on whose host nothing runs any more.
+/// The worker of a drained host, on which nothing runs any more.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EmptyRecord {
     pub(crate) worker: Incarnation,
-    /// The revision of the mark for which the host was emptied.
+    /// The revision of the drain mark for which the host was drained.
     pub(crate) mark: Revision,
 }
 
 /// When a host was last moved or maintained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CalledRecord {
-    /// The token of the fleet's owner.
+    /// The token of the fleet's owner that called it.
     pub(crate) token: u64,
     pub(crate) at: Time,
 }
 
-/// What is kept of a wave.
+/// The progress of a wave.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct WaveRecord {
     /// The hosts that had their upkeep.
     pub(crate) hosts: BTreeSet<HostId>,
-    /// Whether the wave was reported as done.
+    /// Whether the wave was reported to the operator as done.
     pub(crate) reported: bool,
 }
 
@@ -104,21 +104,21 @@
     pub(crate) revision: Revision,
 }
 
-/// A job, as far as it is known.
+/// A job in the view, as far as its records are known.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct KnownJob {
     pub(crate) record: Option<At<Arc<JobRecord>>>,
     pub(crate) progress: Option<At<Arc<Progress>>>,
     pub(crate) cancelled: bool,
-    /// Whether the newest progress cannot be read; `progress` is the one before then.
-    is_garbled: bool,
-    /// The revision at which the record was first heard of: another writer may write it anew, which
-    /// makes the job no newer than its owner.
-    first: Option<Revision>,
+    /// Whether the newest progress cannot be read; `progress` is then the previous one.
+    is_unreadable: bool,
+    /// The revision at which the record was first received: another writer may rewrite it, which does
+    /// not make the job newer than its owner.
+    first_revision: Option<Revision>,
 }
 
 impl KnownJob {
-    /// What callers are told.
+    /// The state that callers see.
     pub(crate) fn state(&self) -> JobState {
         match &self.progress {
             Some(progress) if progress.value.state.is_final() => progress.value.state,
@@ -128,20 +128,20 @@
         }
     }
 
-    /// Whether the job was accepted: of one that ended only its end is kept.
+    /// Whether the job was accepted. For one that has ended only its final state is stored.
     pub(crate) fn is_accepted(&self) -> bool {
         self.record.is_some() || self.state().is_final()
     }
 
-    /// The job as its owner is told of it. One whose progress cannot be read waits until it can:
-    /// what of it was done would run again.
+    /// The job in the form that its owner receives. `None` while its progress cannot be read: its
+    /// finished tasks would run again.
     pub(crate) fn stored(&self, id: JobId) -> Option<StoredJob> {
-        let record = self.record.as_ref().filter(|_| !self.is_garbled)?;
+        let record = self.record.as_ref().filter(|_| !self.is_unreadable)?;
         let progress = self.progress.as_ref();
         Some(StoredJob {
             id,
             record: record.value.clone(),
-            revision: self.first.unwrap_or(record.revision),
+            revision: self.first_revision.unwrap_or(record.revision),
             progress: progress.map(|progress| progress.value.clone()),
             saved_at: progress.map(|progress| progress.revision).unwrap_or_default(),
             cancelled: self.cancelled,
@@ -149,7 +149,7 @@
     }
 }
 
-/// How a job stands by what the store keeps of it; nothing if it was never accepted.
+/// The state of a job by its records in the store; `None` if it was never accepted.
 pub(crate) fn standing(id: JobId, items: &[Item]) -> Option<JobState> {
     let find = |key: String| items.iter().find(|item| item.key == key);
     let progress = find(keys::progress(id));
@@ -163,14 +163,14 @@
     (find(keys::id(id)).is_some() || known.state().is_final()).then(|| known.state())
 }
 
-/// What changed, for those that act on it.
+/// A change of the view, for the code that acts on it.
 #[derive(Debug, Clone)]
 pub(crate) enum Delta {
     Job(JobId),
     Removed(JobId),
     Cancelled(JobId),
     Owner(String),
-    /// The mark of a host has changed.
+    /// The drain mark of a host has changed.
     Leave(HostId),
     Worker(WorkerReport),
     Unlisted(WorkerId),
@@ -179,7 +179,7 @@
     Config,
 }
 
-/// What a node knows.
+/// A node's view of the store.
 #[derive(Default)]
 pub(crate) struct View {
     pub(crate) jobs: HashMap<JobId, KnownJob>,
@@ -189,123 +189,121 @@
     pub(crate) leaves: BTreeMap<HostId, At<Leave>>,
     pub(crate) empties: BTreeMap<HostId, At<EmptyRecord>>,
     pub(crate) waves: BTreeMap<u64, At<WaveRecord>>,
-    /// By pool, how its hosts are used.
+    /// The usage of hosts, by pool.
     pub(crate) usages: BTreeMap<String, At<HostUsage>>,
     pub(crate) called: BTreeMap<HostId, At<CalledRecord>>,
-    /// By pool, the workers that may run something.
+    /// The workers that may run tasks of a pool, by pool and worker.
     pub(crate) rosters: BTreeMap<(String, Incarnation), At<WorkerReport>>,
-    /// By pool, which of these are silent.
+    /// The silent workers on the rosters, by pool.
     pub(crate) away: BTreeMap<String, At<Away>>,
     pub(crate) workers: BTreeMap<WorkerId, At<WorkerReport>>,
-    /// Workers whose entry names nothing to use, with the last report that did.
+    /// Workers whose entry is invalid, with the last valid report.
     pub(crate) barred: BTreeMap<WorkerId, Option<WorkerReport>>,
     pub(crate) config: Option<Arc<QueueConfig>>,
     pub(crate) upkeeps: BTreeMap<u64, At<Upkeep>>,
-    /// By pool, how many jobs of each queue have not begun.
+    /// The reports of how many jobs of each queue have not begun, by pool.
     pub(crate) queued: BTreeMap<String, Word>,
-    /// When the call was sent whose answer is taken in.
-    hearing: Steady,
-    /// How old this view of each prefix is.
+    /// When the call was sent whose answer is being applied.
+    call_sent: Steady,
+    /// The age of this view, by prefix.
     pub(crate) ages: Ages,
-    /// The revision up to which our own records are known.
+    /// The revision up to which the scheduler's own records are known.
     pub(crate) known: Revision,
-    /// Which of the prefixes have been read once.
+    /// The prefixes that have been read completely once.
     pub(crate) ready: BTreeSet<&'static str>,
-    /// When a watch of each prefix, or a read of all of it, was last answered.
+    /// When a watch or a complete read was last answered, by prefix.
     answered: BTreeMap<&'static str, Steady>,
-    /// What was last heard of each key.
+    /// The newest known revision of each key.
     pub(crate) heard: Heard,
-    /// How many records could not be read, or were not their worker's own.
+    /// The number of records that could not be read, or were not their worker's own.
     pub(crate) refused: u64,
 }
 
 impl View {
-    /// Whether callers can be answered.
+    /// Whether the view suffices to answer callers.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.contains(OPERATOR_PREFIX)
             && self.ready.contains(keys::ALL)
             && self.config.is_some()
     }
 
-    /// Takes note that a prefix was read, or that its watch was answered; whether for the first time.
+    /// Records that a prefix was read or that its watch was answered. Returns whether for the first time.
     pub(crate) fn note_answer(&mut self, prefix: &'static str, now: Steady) -> bool {
         self.answered.insert(prefix, now);
         self.ready.insert(prefix)
     }
 
-    /// Whether the operator is still heard: calls of the store may pass while watches hang.
+    /// Whether the operator's records are up to date: watches may hang while other calls of the store
+    /// succeed.
     pub(crate) fn hears_operator(&self, now: Steady) -> bool {
-        let answered = self.answered.get(OPERATOR_PREFIX);
-        answered.is_some_and(|at| now.since(*at) < UNHEARD_MS)
+        let last_answer = self.answered.get(OPERATOR_PREFIX);
+        last_answer.is_some_and(|at| now.since(*at) < MAX_OPERATOR_SILENCE_MS)
     }
 
-    /// Whether everything has been read once, so that work can be owned.
+    /// Whether every prefix has been read once, which a node needs to own work.
     pub(crate) fn is_whole(&self) -> bool {
         self.is_ready() && self.ready.contains(keys::ROOT) && self.ready.contains(WORKER_PREFIX)
     }
 
-    /// The nodes that are to hear of everything: so many of those with the most processor time, and
-    /// owners.
-    pub(crate) fn replicas(&self, most: usize) -> BTreeSet<&str> {
+    /// The nodes that mirror every prefix: the `max` ones with the most processor time, and all owners.
+    pub(crate) fn replicas(&self, max: usize) -> BTreeSet<&str> {
         let mut nodes: Vec<(&String, u32)> =
             self.nodes.iter().map(|(name, at)| (name, at.value.cpu.0)).collect();
         nodes.sort_by_key(|(name, cpu)| (std::cmp::Reverse(*cpu), *name));
-        let first = nodes.into_iter().take(most).map(|(name, _)| name.as_str());
+        let largest = nodes.into_iter().take(max).map(|(name, _)| name.as_str());
         let owners = self.owners.values().map(|owner| owner.value.node.as_str());
-        first.chain(owners).collect()
+        largest.chain(owners).collect()
     }
 
-    /// The pool of the owner's piece of work.
+    /// Whether the current owner of a piece of work has this token.
     pub(crate) fn owns(&self, name: &str, token: u64) -> bool {
         self.owners.get(name).is_some_and(|owner| owner.revision.0 == token)
     }
 
-    /// The workers that may run something of a pool, as its owners have kept.
+    /// The workers that may run tasks of a pool, by its roster.
     pub(crate) fn roster(&self, name: &str) -> Vec<WorkerReport> {
         let listed = self.rosters.iter().filter(|((pool, _), _)| pool == name);
         listed.map(|(_, at)| at.value.clone()).collect()
     }
 
-    /// Whether the owners of another pool have kept that a worker may run something of theirs. No
-    /// incarnation changes its pool, so that its entry is not its own; and an owner that looked at it
-    /// would acknowledge the ends of jobs that it does not know.
+    /// Whether a worker is on the roster of another pool. No incarnation changes its pool, so its entry is
+    /// not its own; and an owner that polled it would acknowledge the ends of runs of unknown jobs.
     pub(crate) fn is_of_another(&self, name: &str, worker: &Incarnation) -> bool {
         self.rosters.keys().any(|(pool, id)| id == worker && pool != name)
     }
 
-    /// The workers that may run something of other pools than this one.
+    /// The workers on the rosters of all other pools.
     pub(crate) fn rostered_by_others(&self, name: &str) -> HashSet<&Incarnation> {
         self.rosters.keys().filter(|(pool, _)| pool != name).map(|(_, id)| id).collect()
     }
 
-    /// Takes in the changes that a source tells of, and how far it reaches by that; what they mean for
-    /// others.
+    /// Applies an answer of a source: its changes and how far it reaches. Returns the changes to act on.
     pub(crate) fn hear(
         &mut self,
         (prefix, source): (&str, SourceId),
-        asked: Asked,
+        call: Asked,
         changes: Vec<Change>,
         extent: Extent,
     ) -> Vec<Delta> {
-        let deltas = self.hear_part(asked, changes);
+        let deltas = self.hear_part(call, changes);
         self.heard.passed(source, extent.at());
-        self.ages.heard(prefix, asked, extent);
+        self.ages.heard(prefix, call, extent);
         deltas
     }
 
-    /// Takes in some of the changes that an answer tells of, before its last ones.
-    pub(crate) fn hear_part(&mut self, asked: Asked, changes: Vec<Change>) -> Vec<Delta> {
-        self.hearing = asked.sent;
+    /// Applies a part of the changes of an answer, before its last ones.
+    pub(crate) fn hear_part(&mut self, call: Asked, changes: Vec<Change>) -> Vec<Delta> {
+        self.call_sent = call.sent;
         changes.into_iter().filter_map(|change| self.apply(change)).collect()
     }
 
-    /// Takes in a change; what that means for others.
+    /// Applies a change. Returns the change to act on, if any.
     pub(crate) fn apply(&mut self, change: Change) -> Option<Delta> {
         let own = Key::parse(&change.key).filter(|key| !matches!(key, Key::Id(_)));
         let is_worker = change.key.starts_with(records::WORKER_PREFIX);
         let is_operator = change.key == records::CONFIG_KEY || records::is_wave(&change.key);
-        let is_kept = own.is_some() || is_worker || is_operator;
-        if !is_kept || !self.heard.is_news(&change) {
+        let is_relevant = own.is_some() || is_worker || is_operator;
+        if !is_relevant || !self.heard.is_news(&change) {
             return None;
         }
         match own {
@@ -339,20 +337,20 @@
             Key::Job(id) => {
                 let known = self.jobs.entry(id).or_default();
                 known.record = read(&text, value, revision, refused).map(share);
-                known.first = value.and(known.first.or(Some(revision)));
+                known.first_revision = value.and(known.first_revision.or(Some(revision)));
                 self.drop_empty(id);
                 Some(if value.is_some() { Delta::Job(id) } else { Delta::Removed(id) })
             }
             Key::Progress(id) => {
                 let known = self.jobs.entry(id).or_default();
                 let progress = read(&text, value, revision, refused).map(share);
-                let was_garbled = known.is_garbled;
-                known.is_garbled = value.is_some() && progress.is_none();
-                if !known.is_garbled {
+                let was_unreadable = known.is_unreadable;
+                known.is_unreadable = value.is_some() && progress.is_none();
+                if !known.is_unreadable {
                     known.progress = progress;
                 }
                 self.drop_empty(id);
-                was_garbled.then_some(Delta::Job(id))
+                was_unreadable.then_some(Delta::Job(id))
             }
             Key::Cancel(id) => {
                 self.jobs.entry(id).or_default().cancelled = value.is_some();
@@ -360,17 +358,19 @@
                 Some(Delta::Cancelled(id))
             }
             Key::Owner(name) => {
-                // The key is there, and its revision is what a later owner must write over.
+                // The key exists, and the next owner's write needs its revision as a condition.
                 let nobody = At { value: OwnerRecord::default(), revision };
                 let owner = value.map(|_| read(&text, value, revision, refused).unwrap_or(nobody));
                 set(&mut self.owners, name.clone(), owner);
                 Some(Delta::Owner(name))
             }
             Key::Term(name) => {
-                // As above. A count that is not known must not be less than it was: the numbers of
-                // runs begin above it, and the first owner of all waits for no worker.
-                let lost = At { value: TermRecord { count: LOST_COUNT }, revision };
-                let term = value.map(|_| read(&text, value, revision, refused).unwrap_or(lost));
+                // As above. An unknown count must not be below the real one: the numbers of runs begin
+                // above it, and an owner without a predecessor waits for no worker.
+                let unreadable =
+                    At { value: TermRecord { count: UNREADABLE_TERM_COUNT }, revision };
+                let term =
+                    value.map(|_| read(&text, value, revision, refused).unwrap_or(unreadable));
                 set(&mut self.terms, name, term);
                 None
             }
@@ -399,7 +399,7 @@
                 None
             }
             Key::Queued(name) => {
-                let heard = self.hearing;
+                let heard = self.call_sent;
                 match read(&text, value, revision, refused) {
                     Some(At { value: WordRecord { known, counts }, .. }) => {
                         self.queued.insert(name, Word { counts, revision, known, heard })
@@ -410,7 +410,9 @@
             }
             Key::Roster(name, worker) => {
                 let report = match value {
-                    Some(value) => rostered(&text, value, revision, refused, (&name, &worker)),
+                    Some(value) => {
+                        read_roster_entry(&text, value, revision, refused, (&name, &worker))
+                    }
                     None => None,
                 };
                 set(&mut self.rosters, (name, worker), report);
@@ -425,8 +427,8 @@
 
     fn drop_empty(&mut self, id: JobId) {
         let known = &self.jobs[&id];
-        let told = known.cancelled || known.is_garbled || known.first.is_some();
-        if known.record.is_none() && known.progress.is_none() && !told {
+        let is_in_use = known.cancelled || known.is_unreadable || known.first_revision.is_some();
+        if known.record.is_none() && known.progress.is_none() && !is_in_use {
             self.jobs.remove(&id);
         }
     }
@@ -441,8 +443,8 @@
             }
         };
         let Some(value) = &change.value else {
-            let was_barred = self.barred.remove(&id).is_some();
-            let was_known = self.workers.remove(&id).is_some() || was_barred;
+            let was_invalid = self.barred.remove(&id).is_some();
+            let was_known = self.workers.remove(&id).is_some() || was_invalid;
             return was_known.then_some(Delta::Unlisted(id));
         };
         let before = self.workers.get(&id).map(|at| &at.value);
@@ -454,7 +456,7 @@
             if before.id.born.is_some() && report.id.born.is_none() {
                 return Err(RecordError::Unborn);
             }
-            // Another incarnation may have another place.
+            // Only another incarnation may have another place.
             let has_moved = before.id == report.id && !before.has_place_of(&report);
             if has_moved { Err(RecordError::Place) } else { Ok(report) }
         });
@@ -463,9 +465,9 @@
                 let at = At { value: report.clone(), revision: change.revision };
                 self.barred.remove(&id);
                 let before = self.workers.insert(id, at);
-                // A prefix that is read anew, and each heartbeat, tell much that is known.
-                let news = before.is_none_or(|before| before.value != report);
-                news.then_some(Delta::Worker(report))
+                // Repeated reads of the prefix and heartbeats mostly repeat what is known.
+                let has_changed = before.is_none_or(|before| before.value != report);
+                has_changed.then_some(Delta::Worker(report))
             }
             Err(error) => {
                 self.refuse(&change.key, &error);
@@ -476,17 +478,17 @@
         }
     }
 
-    /// Tells and counts a record that another writer may have written.
+    /// Logs and counts an invalid record, which another writer may have written.
     fn refuse(&mut self, key: &str, error: &dyn std::fmt::Display) {
-        log::error!("record {key}: not used: {error}");
+        log::error!("record {key}: ignored: {error}");
         self.refused += 1;
     }
 
     fn apply_config(&mut self, change: &Change) -> Option<Delta> {
         match records::config(change.value.as_ref()?) {
             Ok(config) => {
-                let older = |held: &Arc<QueueConfig>| config.version <= held.version;
-                if self.config.as_ref().is_some_and(older) {
+                let is_old = |current: &Arc<QueueConfig>| config.version <= current.version;
+                if self.config.as_ref().is_some_and(is_old) {
                     return None;
                 }
                 log::info!("config: version {} in force, {}", config.version, change.revision);
@@ -501,7 +503,7 @@
     }
 }
 
-/// Takes in what a record says; nothing if it is removed.
+/// Sets the value of a record, or removes it if there is none.
 fn set<K: Ord, V>(map: &mut BTreeMap<K, At<V>>, key: K, value: Option<At<V>>) {
     match value {
         Some(value) => map.insert(key, value),
@@ -513,7 +515,7 @@
     At { value: Arc::new(at.value), revision: at.revision }
 }
 
-/// Reads a record of ours; one that is not understood is told, counted and left out.
+/// Reads one of the scheduler's records; `None`, logged and counted, if it cannot be read.
 fn read<T: serde::de::DeserializeOwned>(
     key: &str,
     value: Option<&Bytes>,
@@ -523,16 +525,16 @@
     match serde_json::from_slice(value?) {
         Ok(value) => Some(At { value, revision }),
         Err(error) => {
-            log::error!("record {key}: not used: {error}");
+            log::error!("record {key}: ignored: {error}");
             *refused += 1;
             None
         }
     }
 }
 
-/// Reads a worker's record in a pool's roster. Where it cannot be read something may run all the
-/// same: a later owner asks the worker once its entry tells where, or waits.
-fn rostered(
+/// Reads a worker's record in a pool's roster. Something may run on the worker even if the record
+/// cannot be read: a later owner polls the worker once its entry gives the address, or waits.
+fn read_roster_entry(
     key: &str,
     value: &Bytes,
     revision: Revision,
@@ -541,8 +543,8 @@
 ) -> Option<At<WorkerReport>> {
     read(key, Some(value), revision, refused).or_else(|| {
         let pool = name.strip_prefix("pool-").unwrap_or(name);
-        let unknown = WorkerReport::without_place(worker, pool);
-        let unknown = unknown.inspect_err(|error| log::error!("record {key}: {error}"));
-        Some(At { value: unknown.ok()?, revision })
+        let placeholder = WorkerReport::without_place(worker, pool);
+        let placeholder = placeholder.inspect_err(|error| log::error!("record {key}: {error}"));
+        Some(At { value: placeholder.ok()?, revision })
     })
 }
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -1,14 +1,13 @@
-//! How old what a node knows of each prefix of the store is.
+//! The age of a node's view of each prefix of the store.
 //!
-//! Two things are certain of an answer of the store. Its revision is none older than the call: what was
-//! written before the call was sent has no higher one. And a source that has told of everything up to
-//! a revision leaves out nothing that was written before the store was known to stand there. So a
-//! prefix is known as of the last moment at which the store was told to stand at a revision that the
-//! prefix has reached, whoever was told. Beside that, a watch that was answered tells of what was
-//! written before it was sent, unless its answer was cut short: then it ends below a revision that was
-//! known when it was sent.
+//! Two facts hold for an answer of the store. Its revision is at least that of every write before the
+//! call was sent. And a source that has reported everything up to a revision misses nothing that was
+//! written before the store was known to be at that revision. So a prefix is known as of the last
+//! moment at which any answer showed the store at a revision that the prefix has reached. Besides, an
+//! answered watch covers what was written before it was sent, unless its answer was cut short: then it
+//! ends below a revision that was known when it was sent.
 //!
-//! An answer counts once its changes were taken in. Design note 18 has the ways that were weighed.
+//! An answer counts once its changes were applied.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -21,36 +20,36 @@
     platform::kv::Heard,
 };
 
-/// The least time between two moments that are kept, in milliseconds.
-const MOMENT_PAUSE_MS: u64 = 50;
+/// The minimum time between two recorded moments, in milliseconds.
+const MOMENT_INTERVAL_MS: u64 = 50;
 
-/// Moments that are kept: with their pauses more than six seconds, longer than any view may be old
-/// that is used.
-const MOST_MOMENTS: usize = 128;
+/// Most recorded moments: at their interval more than six seconds, longer than the maximum age of any
+/// view in use.
+const MAX_MOMENTS: usize = 128;
 
-/// How old the records may be from which a node counts the jobs that wait, or by which it plans for
-/// the fleet, in milliseconds: callers may be told what is two seconds old. A view that is kept up is
-/// renewed within 1.2 s, and the store may be slow on top.
+/// The maximum age of the records from which a node counts waiting jobs or plans for the fleet, in
+/// milliseconds: answers to callers may be two seconds old. A view without failures is updated within
+/// 1.2 s, which leaves time for a slow store.
 pub(crate) const RECORDS_MS: u64 = 2_000;
 
-/// How old the records may be by which a job is said not to have ended, in milliseconds: beyond that the
-/// store is read, as by nodes that do not hear of jobs.
+/// The maximum age of the records by which a job is reported as not ended, in milliseconds: beyond that
+/// the store is read, as by nodes that do not mirror jobs.
 pub(crate) const STATE_MS: u64 = 1_000;
 
-/// How long ago an owner's word may have been heard that is added up, in milliseconds: owners renew it
-/// each second, and it is heard of within another half.
+/// The maximum age of an owner's report of waiting jobs that is counted, in milliseconds: owners renew
+/// it each second, and it is received within another half.
 pub(crate) const WORD_MS: u64 = 2_000;
 
-/// How long ago the store may have been at the revision up to which an owner knew of its jobs, as they
-/// are added up, in milliseconds: a job may take 3 s until it is shown and callers may be told what is
-/// two seconds old, less the way of a question by another node.
+/// The maximum age of the revision up to which an owner's report of waiting jobs is complete, in
+/// milliseconds: a job may take 3 s to be counted and answers to callers may be two seconds old, less
+/// the time to relay a request to another node.
 pub(crate) const COUNTED_MS: u64 = 3_500;
 
-/// What a node knows, and that is too old for what it is to be used for.
+/// Data that a node has and that is too old for its purpose.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct TooOld {
     pub(crate) what: String,
-    /// How old it is; nothing if it was never heard.
+    /// Its age; `None` if it was never received.
     pub(crate) age_ms: Option<u64>,
 }
 
@@ -59,52 +58,52 @@
         let TooOld { what, age_ms } = self;
         match age_ms {
             Some(age) => write!(f, "{what} is {age} ms old"),
-            None => write!(f, "{what} was not heard of yet"),
+            None => write!(f, "{what} has not been received yet"),
         }
     }
 }
 
-/// What a call began with.
+/// What was known when a call was sent.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Asked {
     /// When it was sent.
     pub(crate) sent: Steady,
-    /// The highest revision of the store that was known then.
+    /// The highest known revision of the store at that time.
     pub(crate) newest: Revision,
 }
 
 /// How far an answer reaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Extent {
-    /// It tells of changes up to a revision.
+    /// It has all changes up to a revision.
     Changes(Revision),
-    /// The same, and later ones may have been left out for their number: it says nothing of when.
+    /// The same, but later changes may have been left out for their number: it gives no point in time.
     Cut(Revision),
-    /// Nothing has changed up to a revision, and until a moment.
+    /// Nothing has changed up to a revision, nor until a moment.
     Quiet(Revision, Steady),
 }
 
 impl Extent {
-    /// How far a watch reaches that waited for a change, and was answered now.
+    /// How far the answer of a watch reaches that could wait for a change for `wait`.
     pub(crate) fn of_watch(
-        asked: Asked,
+        call: Asked,
         wait: Duration,
-        heard: &Heard,
+        answer: &Heard,
         answered: Steady,
     ) -> Extent {
-        if heard.may_be_cut() {
-            return Extent::Cut(heard.at);
+        if answer.may_be_cut() {
+            return Extent::Cut(answer.at);
         }
-        if !heard.changes.is_empty() {
-            return Extent::Changes(heard.at);
+        if !answer.changes.is_empty() {
+            return Extent::Changes(answer.at);
         }
-        // One that was answered early was cut.
-        let waited = wait.as_millis() as u64;
-        let whole = waited <= answered.since(asked.sent);
-        Extent::Quiet(heard.at, if whole { asked.sent.after(waited) } else { asked.sent })
+        // An answer before the end of the wait shows that the wait was cut short.
+        let wait_ms = wait.as_millis() as u64;
+        let is_complete = wait_ms <= answered.since(call.sent);
+        Extent::Quiet(answer.at, if is_complete { call.sent.after(wait_ms) } else { call.sent })
     }
 
-    /// The revision up to which it tells of everything.
+    /// The revision up to which it has all changes.
     pub(crate) fn at(self) -> Revision {
         match self {
             Extent::Changes(at) | Extent::Cut(at) | Extent::Quiet(at, _) => at,
@@ -112,46 +111,45 @@
     }
 }
 
-/// How far a prefix is known.
+/// How far the view of a prefix reaches.
 #[derive(Debug, Clone, Copy, Default)]
 struct Reached {
     at: Revision,
-    /// All that was written before is known, if any moment is.
+    /// The moment before which all writes are known, if there is one.
     as_of: Option<Steady>,
 }
 
-/// How old what is known of each prefix is.
+/// The ages of the view, by prefix.
 #[derive(Debug, Default)]
 pub(crate) struct Ages {
     reached: BTreeMap<Box<str>, Reached>,
-    /// Moments, and a revision that the store had reached, or was to reach, by no write before them.
+    /// Moments, each with a revision such that no write before the moment has a higher one.
     moments: VecDeque<(Steady, Revision)>,
     newest: Revision,
 }
 
 impl Ages {
-    /// A call that is sent now.
+    /// Describes a call that is sent now.
     pub(crate) fn ask(&self, sent: Steady) -> Asked {
         Asked { sent, newest: self.newest }
     }
 
-    /// Takes note that the store stands at a revision, by its answer to a call that was sent at a
-    /// moment.
+    /// Records the store's revision by its answer to a call sent at `sent`.
     pub(crate) fn told(&mut self, sent: Steady, revision: Revision) {
         self.newest = self.newest.max(revision);
-        if self.moments.back().is_some_and(|(last, _)| sent < last.after(MOMENT_PAUSE_MS)) {
+        if self.moments.back().is_some_and(|(last, _)| sent < last.after(MOMENT_INTERVAL_MS)) {
             return;
         }
         self.moments.push_back((sent, revision));
-        if MOST_MOMENTS < self.moments.len() {
+        if MAX_MOMENTS < self.moments.len() {
             self.moments.pop_front();
         }
     }
 
-    /// Takes note that all changes of a prefix up to a revision were taken in, as a call was answered.
-    pub(crate) fn heard(&mut self, prefix: &str, asked: Asked, answer: Extent) {
+    /// Records that the changes of an answer about a prefix were applied.
+    pub(crate) fn heard(&mut self, prefix: &str, call: Asked, answer: Extent) {
         let (at, until) = match answer {
-            Extent::Changes(at) => (at, (asked.newest <= at).then_some(asked.sent)),
+            Extent::Changes(at) => (at, (call.newest <= at).then_some(call.sent)),
             Extent::Cut(at) => (at, None),
             Extent::Quiet(at, until) => (at, Some(until)),
         };
@@ -163,19 +161,19 @@
         self.reached.insert(prefix.into(), reached);
     }
 
-    /// Takes over what is known of a longer prefix from a shorter one.
+    /// Adds a prefix, with what is known of it from the shorter prefix `within`.
     pub(crate) fn begin(&mut self, prefix: &str, within: &str) {
         let as_of = self.as_of(within);
         let at = self.reached.get(within).map(|reached| reached.at).unwrap_or_default();
         self.reached.insert(prefix.into(), Reached { at, as_of });
     }
 
-    /// Forgets a prefix that is not watched any more.
+    /// Removes a prefix that is no longer watched.
     pub(crate) fn end(&mut self, prefix: &str) {
         self.reached.remove(prefix);
     }
 
-    /// The moment before which all that was written is known; nothing if there is none.
+    /// The moment before which all writes are known; `None` if there is none.
     pub(crate) fn as_of(&self, prefix: &str) -> Option<Steady> {
         let reached = self.reached.get(prefix)?;
         reached.as_of.max(self.last_moment(reached.at))
@@ -186,20 +184,20 @@
         Some(now.since(self.as_of(prefix)?))
     }
 
-    /// Checks that a prefix is known as of so many milliseconds ago, or less.
-    pub(crate) fn check(&self, prefix: &str, most_ms: u64, now: Steady) -> Result<(), TooOld> {
+    /// Checks that the view of a prefix is at most `max_ms` old.
+    pub(crate) fn check(&self, prefix: &str, max_ms: u64, now: Steady) -> Result<(), TooOld> {
         match self.of(prefix, now) {
-            Some(age) if age <= most_ms => Ok(()),
+            Some(age) if age <= max_ms => Ok(()),
             age_ms => Err(TooOld { what: prefix.to_owned(), age_ms }),
         }
     }
 
-    /// Whether a prefix is known as of so many milliseconds ago, or less.
-    pub(crate) fn is_within(&self, prefix: &str, most_ms: u64, now: Steady) -> bool {
-        self.check(prefix, most_ms, now).is_ok()
+    /// Whether the view of a prefix is at most `max_ms` old.
+    pub(crate) fn is_within(&self, prefix: &str, max_ms: u64, now: Steady) -> bool {
+        self.check(prefix, max_ms, now).is_ok()
     }
 
-    /// Checks that what holds as of a revision is no older than what is added up may be.
+    /// Checks that data as of a revision is at most [`COUNTED_MS`] old.
     pub(crate) fn check_revision(
         &self,
         what: &str,
@@ -213,7 +211,7 @@
     }
 
     fn last_moment(&self, at: Revision) -> Option<Steady> {
-        let passed = self.moments.iter().rev().find(|(_, revision)| *revision <= at);
-        passed.map(|(moment, _)| *moment)
+        let newest = self.moments.iter().rev().find(|(_, revision)| *revision <= at);
+        newest.map(|(moment, _)| *moment)
     }
 }
--- a/src/scheduler/view/heard.rs
+++ b/src/scheduler/view/heard.rs
@@ -1,30 +1,30 @@
-//! What was last heard of each key, whoever told of it.
+//! The newest known revision of each key, over all sources of changes.
 //!
-//! Several sources tell of the same keys: the mirror's watches, the watch of an owner, and reads in
-//! pages, which are no snapshot. None is as far as the others, and each may repeat what was told.
-//! Of one key the news with the highest revision counts, also if that is its removal: its revision
-//! is kept until every source that tells of the key has passed it, since only then can nothing
-//! older come.
+//! Several sources report the same keys: the mirror's watches, the watch of an owner, and reads in
+//! pages, which are no snapshot. They progress at different speeds, and each may repeat a change. For
+//! each key the change with the highest revision counts, even if it is a removal: the revision of a
+//! removal is kept until every source that covers the key has passed it, since an older change may
+//! arrive until then.
 //!
-//! Memory: one entry for each key that is there, as the mirror itself keeps, and one for each key
-//! that was removed after the revision that the slowest source has reached.
+//! Memory: one entry for each existing key, as in the mirror itself, and one for each key that was
+//! removed after the revision that the slowest source has reached.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::{model::unit::Revision, platform::kv::Change};
 
-/// Names a source of changes.
+/// Identifies a source of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct SourceId(u64);
 
-/// A source of changes, and how far it has told of its prefix.
+/// A source of changes to a prefix, and the revision that it has reached.
 #[derive(Debug)]
 struct Source {
     prefix: String,
     at: Revision,
 }
 
-/// The revision up to which each key is known.
+/// The newest known revision of each key.
 #[derive(Debug, Default)]
 pub(crate) struct Heard {
     newest: HashMap<Box<str>, Revision>,
@@ -36,7 +36,7 @@
 }
 
 impl Heard {
-    /// Whether a change is news; it counts as heard from then on.
+    /// Whether a change is newer than what is known of its key; it counts as known from then on.
     pub(crate) fn is_news(&mut self, change: &Change) -> bool {
         let (key, revision) = (change.key.as_str(), change.revision);
         match self.newest.get_mut(key) {
@@ -52,7 +52,7 @@
         true
     }
 
-    /// Adds a source that tells of changes after a revision. It must be added before it reads.
+    /// Adds a source of changes after a revision. It must be added before its first call.
     pub(crate) fn open(&mut self, prefix: &str, at: Revision) -> SourceId {
         let id = SourceId(self.next_source);
         self.next_source += 1;
@@ -60,7 +60,7 @@
         id
     }
 
-    /// Takes note that a source has told of everything up to a revision.
+    /// Records that a source has reported all changes up to a revision.
     pub(crate) fn passed(&mut self, id: SourceId, at: Revision) {
         if let Some(source) = self.sources.get_mut(&id) {
             source.at = source.at.max(at);
@@ -68,23 +68,24 @@
         self.forget();
     }
 
-    /// Takes note that a source tells of nothing any more.
+    /// Removes a source.
     pub(crate) fn close(&mut self, id: SourceId) {
         self.sources.remove(&id);
         self.forget();
     }
 
-    /// How many removed keys are still known.
+    /// The number of removals that are still kept.
     #[cfg(test)]
     pub(crate) fn removals(&self) -> usize {
         self.removed.len()
     }
 
-    /// Forgets the removals of which nothing older can come, the oldest first.
+    /// Forgets the removals that all sources have passed, the oldest first.
     fn forget(&mut self) {
         while let Some((revision, key)) = self.removed.first() {
-            let late = |source: &Source| source.at < *revision && key.starts_with(&source.prefix);
-            if self.sources.values().any(late) {
+            let is_behind =
+                |source: &Source| source.at < *revision && key.starts_with(&source.prefix);
+            if self.sources.values().any(is_behind) {
                 return;
             }
             let Some((revision, key)) = self.removed.pop_first() else {
