--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -65,7 +65,7 @@
     }
 
     /// Waits until the node owns work.
-    pub(crate) async fn until_owning(&self) {
+    pub(crate) async fn wait_until_owning(&self) {
         // Cannot fail: the sender is a field of the node.
         let _ = self.owning.subscribe().wait_for(|owning| *owning).await;
     }
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -29,7 +29,7 @@
         dispatch, keys,
         lease::Lease,
         relay::{Call, RELAYED_HEADER, Relay, Relayed, Subject},
-        view::{self, KnownJob, age::STATE_MS, waiting::Counted},
+        view::{self, KnownJob, age::MAX_STATE_AGE_MS, waiting::Counted},
     },
 };
 
@@ -65,7 +65,7 @@
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
         if let Some(runners) = &self.orders
-            && request.uri().path() == dispatch::PATH
+            && request.uri().path() == dispatch::ORDERS_PATH
         {
             return Ok(dispatch::serve::upgrade(&request, runners.clone()));
         }
@@ -73,7 +73,7 @@
         let method = method_name(request.method());
         let (queue, mut response) = self.answer(request).await;
         let queue = queue.as_deref().unwrap_or("none");
-        self.node.metrics.answered(queue, method, response.status(), received.elapsed());
+        self.node.metrics.record_request(queue, method, response.status(), received.elapsed());
         if self.node.leaving.is_cancelled() {
             // Makes the caller's next request go to another node.
             http::close_after(&mut response);
@@ -94,7 +94,7 @@
     async fn call(&self, _: Request) -> poem::Result<Response> {
         let now = self.node.now().steady;
         let view = self.node.view();
-        let is_current = view.is_ready() && view.hears_operator(now);
+        let is_current = view.is_ready() && view.is_operator_current(now);
         drop(view);
         let has_lease = self.lease.held(now).is_some();
         let ready = is_current && has_lease && !self.node.leaving.is_cancelled();
@@ -150,7 +150,7 @@
                 return refusal;
             }
         };
-        let store_reachable = self.lease.is_in_touch(self.node.now().steady);
+        let store_reachable = self.lease.is_store_reachable(self.node.now().steady);
         let method = request.method().clone();
         if request.header(RELAYED_HEADER).is_some() {
             return match store_reachable {
@@ -161,10 +161,10 @@
         let subject = Subject::Job(id);
         let call = relay_call(&request, subject, config, body.clone(), deadline);
         if !store_reachable {
-            match self.relay.ask(&self.node, &call).await {
+            match self.relay.forward(&self.node, &call).await {
                 Relayed::Answered(response) => return response,
                 Relayed::Unknown if method != Method::GET => return unknown_outcome(),
-                Relayed::Unknown | Relayed::NotTaken => {}
+                Relayed::Unknown | Relayed::NotAccepted => {}
             }
             let last = self.last_known_response(id, &method);
             return match last {
@@ -178,9 +178,9 @@
         if !is_unavailable(&response) {
             return response;
         }
-        match self.relay.ask(&self.node, &call).await {
+        match self.relay.forward(&self.node, &call).await {
             Relayed::Answered(response) => response,
-            Relayed::NotTaken => self.last_known_response(id, &method).unwrap_or(response),
+            Relayed::NotAccepted => self.last_known_response(id, &method).unwrap_or(response),
             Relayed::Unknown => {
                 self.last_known_response(id, &method).unwrap_or_else(unknown_outcome)
             }
@@ -236,7 +236,7 @@
         let counted = self.node.view().pending(queue, self.node.now().steady);
         let reason = match counted {
             Ok(Counted { jobs, by }) => {
-                self.node.metrics.counted_by(by);
+                self.node.metrics.record_queue_count(by);
                 return http::json(StatusCode::OK, &PendingAnswer { pending: jobs });
             }
             Err(reason) => reason,
@@ -244,12 +244,12 @@
         if request.header(RELAYED_HEADER).is_none() {
             let subject = Subject::Queue(queue.name.clone());
             let call = relay_call(request, subject, config, Bytes::new(), deadline);
-            if let Relayed::Answered(response) = self.relay.ask(&self.node, &call).await {
-                self.node.metrics.counted_by("another node");
+            if let Relayed::Answered(response) = self.relay.forward(&self.node, &call).await {
+                self.node.metrics.record_queue_count("another node");
                 return response;
             }
         }
-        self.node.metrics.counted_by("nobody");
+        self.node.metrics.record_queue_count("nobody");
         log::info!("queue {}: number of waiting jobs unknown: {reason}", queue.name);
         unavailable("the number of waiting jobs is unknown")
     }
@@ -314,7 +314,7 @@
     /// stale.
     async fn current_state(&self, id: JobId) -> Result<Option<JobState>, StoreError> {
         let now = self.node.now().steady;
-        let is_fresh = self.node.view().ages.is_within(keys::ROOT, STATE_MS, now);
+        let is_fresh = self.node.view().ages.is_within(keys::ROOT, MAX_STATE_AGE_MS, now);
         match self.last_known_state(id).filter(|state| state.is_final() || is_fresh) {
             Some(state) => Ok(Some(state)),
             None => self.read_state(id).await,
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -12,7 +12,7 @@
 pub(crate) mod wire;
 
 /// The path at which a node accepts orders of others, on the listener for relayed requests.
-pub(crate) const PATH: &str = "/-/orders";
+pub(crate) const ORDERS_PATH: &str = "/-/orders";
 
 /// The largest message between two nodes: a thousand orders with payloads of 4,000 bytes.
 const MAX_MESSAGE_BYTES: usize = 8 << 20;
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -19,7 +19,7 @@
 use tokio_tungstenite::{WebSocketStream, client_async_with_config, tungstenite::Message};
 
 use super::{
-    PATH,
+    ORDERS_PATH,
     call::event,
     serve::config,
     wire::{self, Answer, Answers, Namer},
@@ -169,7 +169,7 @@
     let opened = async {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let url = format!("ws://{address}{PATH}");
+        let url = format!("ws://{address}{ORDERS_PATH}");
         let (link, _) = client_async_with_config(url, stream, Some(config())).await?;
         eyre::Ok(link)
     };
--- a/src/scheduler/dispatch/wire.rs
+++ b/src/scheduler/dispatch/wire.rs
@@ -28,9 +28,9 @@
     #[serde(rename = "x")]
     pub(crate) stops: Vec<StopRow>,
     #[serde(rename = "c")]
-    pub(crate) paces: Vec<PaceRow>,
+    pub(crate) throttles: Vec<ThrottleRow>,
     #[serde(rename = "l")]
-    pub(crate) looks: Vec<LookRow>,
+    pub(crate) looks: Vec<PollRow>,
 }
 
 /// A worker, to which later rows refer by its number: number, identifier, address, token.
@@ -51,19 +51,19 @@
 
 /// Order, worker, task, run, percent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct PaceRow(u32, u32, TaskRow, u32, u32);
+pub(crate) struct ThrottleRow(u32, u32, TaskRow, u32, u32);
 
 /// Order, worker, ends acknowledged, lease until, milliseconds to wait for an end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct LookRow(u32, u32, u64, Option<u64>, u64);
+pub(crate) struct PollRow(u32, u32, u64, Option<u64>, u64);
 
 /// The results of orders.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub(crate) struct Answers {
     #[serde(rename = "e")]
-    pub(crate) ends: Vec<EndRow>,
+    pub(crate) ends: Vec<OrderResultRow>,
     #[serde(rename = "f")]
-    pub(crate) found: Vec<FoundRow>,
+    pub(crate) found: Vec<PollResultRow>,
     /// For polls whose answer has it, the start time of the incarnation that answered: order, start.
     #[serde(rename = "b", default)]
     pub(crate) born: Vec<(u32, Born)>,
@@ -71,11 +71,11 @@
 
 /// Order, result (see [`refusal_code`]), the worker's clock if the answer had it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct EndRow(u32, u8, Option<u64>);
+pub(crate) struct OrderResultRow(u32, u8, Option<u64>);
 
 /// Order, the worker's clock, present runs, ended runs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct FoundRow(u32, u64, Vec<PresentRow>, Vec<EndedRow>);
+pub(crate) struct PollResultRow(u32, u64, Vec<PresentRow>, Vec<EndedRow>);
 
 /// Task, run, checkpoint, percent, gauge.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -164,12 +164,12 @@
             }
             Effect::Pace { to, task, run, percent } => {
                 let worker = namer.number(to, &mut batch);
-                batch.paces.push(PaceRow(number, worker, (*task).into(), *run, *percent));
+                batch.throttles.push(ThrottleRow(number, worker, (*task).into(), *run, *percent));
             }
             Effect::Look { to, acknowledged, until_ms, wait } => {
                 let worker = namer.number(to, &mut batch);
                 let wait = wait.as_millis() as u64;
-                batch.looks.push(LookRow(number, worker, *acknowledged, *until_ms, wait));
+                batch.looks.push(PollRow(number, worker, *acknowledged, *until_ms, wait));
             }
             Effect::Advise { step, .. } => {
                 log::error!("step {step}: a request for advice is not an order to a worker");
@@ -206,11 +206,11 @@
         let stop = known(worker).map(|to| Effect::Stop { to, task: task.into(), run });
         orders.extend(stop.map(|effect| Order { number, effect }));
     }
-    for PaceRow(number, worker, task, run, percent) in batch.paces {
+    for ThrottleRow(number, worker, task, run, percent) in batch.throttles {
         let throttle = known(worker).map(|to| Effect::Pace { to, task: task.into(), run, percent });
         orders.extend(throttle.map(|effect| Order { number, effect }));
     }
-    for LookRow(number, worker, acknowledged, until_ms, wait) in batch.looks {
+    for PollRow(number, worker, acknowledged, until_ms, wait) in batch.looks {
         let wait = Duration::from_millis(wait);
         let poll = known(worker).map(|to| Effect::Look { to, acknowledged, until_ms, wait });
         orders.extend(poll.map(|effect| Order { number, effect }));
@@ -232,29 +232,29 @@
             });
             let (present, ended) = (present.collect(), ended.collect());
             answers.born.extend(poll.born.map(|born| (number, born)));
-            answers.found.push(FoundRow(number, poll.clock_ms, present, ended));
+            answers.found.push(PollResultRow(number, poll.clock_ms, present, ended));
         }
         Answer::Look(OrderEnd::Refused { why, clock_ms }) => {
-            answers.ends.push(EndRow(number, refusal_code(why), clock_ms));
+            answers.ends.push(OrderResultRow(number, refusal_code(why), clock_ms));
         }
         Answer::Look(OrderEnd::Unknown) | Answer::End(OrderEnd::Unknown) => {
-            answers.ends.push(EndRow(number, UNKNOWN, None));
+            answers.ends.push(OrderResultRow(number, UNKNOWN, None));
         }
         Answer::Look(OrderEnd::Unsent) | Answer::End(OrderEnd::Unsent) => {
-            answers.ends.push(EndRow(number, UNSENT, None));
+            answers.ends.push(OrderResultRow(number, UNSENT, None));
         }
         Answer::End(OrderEnd::Done(clock_ms)) => {
-            answers.ends.push(EndRow(number, DONE, Some(clock_ms)));
+            answers.ends.push(OrderResultRow(number, DONE, Some(clock_ms)));
         }
         Answer::End(OrderEnd::Refused { why, clock_ms }) => {
-            answers.ends.push(EndRow(number, refusal_code(why), clock_ms));
+            answers.ends.push(OrderResultRow(number, refusal_code(why), clock_ms));
         }
     }
 }
 
 /// Decodes the results of orders, by their numbers.
 pub(crate) fn read_answers(answers: Answers) -> Vec<(u32, Answer)> {
-    let ends = answers.ends.into_iter().map(|EndRow(number, code, clock_ms)| {
+    let ends = answers.ends.into_iter().map(|OrderResultRow(number, code, clock_ms)| {
         let end = match code {
             DONE => OrderEnd::Done(clock_ms.unwrap_or(0)),
             UNSENT => OrderEnd::Unsent,
@@ -266,23 +266,29 @@
         (number, Answer::End(end))
     });
     let born: HashMap<u32, Born> = answers.born.into_iter().collect();
-    let found = answers.found.into_iter().map(move |FoundRow(number, clock_ms, present, ended)| {
-        let born = born.get(&number).copied();
-        let present = present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| {
-            Present { task: task.into(), run, saved, percent, gauge }
-        });
-        let ended = ended.into_iter().map(|EndedRow(number, task, run, how, saved)| {
-            Some(Ended { number, task: task.into(), run, how: outcome_of(how)?, saved })
+    let found =
+        answers.found.into_iter().map(move |PollResultRow(number, clock_ms, present, ended)| {
+            let born = born.get(&number).copied();
+            let present =
+                present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| Present {
+                    task: task.into(),
+                    run,
+                    saved,
+                    percent,
+                    gauge,
+                });
+            let ended = ended.into_iter().map(|EndedRow(number, task, run, how, saved)| {
+                Some(Ended { number, task: task.into(), run, how: outcome_of(how)?, saved })
+            });
+            // A run whose end is missing would count as lost.
+            let end = match ended.collect::<Option<Vec<Ended>>>() {
+                Some(ended) => {
+                    OrderEnd::Done(Look { born, clock_ms, present: present.collect(), ended })
+                }
+                None => OrderEnd::Unknown,
+            };
+            (number, Answer::Look(end))
         });
-        // A run whose end is missing would count as lost.
-        let end = match ended.collect::<Option<Vec<Ended>>>() {
-            Some(ended) => {
-                OrderEnd::Done(Look { born, clock_ms, present: present.collect(), ended })
-            }
-            None => OrderEnd::Unknown,
-        };
-        (number, Answer::Look(end))
-    });
     ends.chain(found).collect()
 }
 
--- a/src/scheduler/lateness.rs
+++ b/src/scheduler/lateness.rs
@@ -66,7 +66,7 @@
             let Some(age_ms) = node.view().ages.of(prefix, now) else {
                 continue;
             };
-            node.metrics.view_age(prefix, Duration::from_millis(age_ms));
+            node.metrics.set_view_age(prefix, Duration::from_millis(age_ms));
             match logged.entry(prefix).or_default().look(age_ms, now) {
                 Some(Turn::Late { age_ms }) => {
                     log::warn!("view of {prefix}: stale: {age_ms} ms old");
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether the lease holds and its last renewal succeeded.
-    pub(crate) fn is_in_touch(&self, now: Steady) -> bool {
+    pub(crate) fn is_store_reachable(&self, now: Steady) -> bool {
         self.held(now).is_some() && !self.state().failing
     }
 
--- a/src/scheduler/metrics.rs
+++ b/src/scheduler/metrics.rs
@@ -220,14 +220,19 @@
     }
 
     /// Records a call of the store.
-    pub(crate) fn store_call(&self, call: &'static str, outcome: &'static str, took: Duration) {
+    pub(crate) fn record_store_call(
+        &self,
+        call: &'static str,
+        outcome: &'static str,
+        took: Duration,
+    ) {
         let label = StoreCallLabels { call, outcome };
         self.store_calls.get_or_create(&label).inc();
         self.store_seconds.get_or_create(&label).observe(took.as_secs_f64());
     }
 
     /// Records an answered request of a caller.
-    pub(crate) fn answered(
+    pub(crate) fn record_request(
         &self,
         queue: &str,
         method: &'static str,
@@ -285,12 +290,12 @@
     }
 
     /// Sets the age of the view of a prefix.
-    pub(crate) fn view_age(&self, prefix: &'static str, age: Duration) {
+    pub(crate) fn set_view_age(&self, prefix: &'static str, age: Duration) {
         self.view_age_seconds.get_or_create(&PrefixLabels { prefix }).set(age.as_secs_f64());
     }
 
     /// Records by what the waiting jobs of a queue were counted.
-    pub(crate) fn counted_by(&self, by: &'static str) {
+    pub(crate) fn record_queue_count(&self, by: &'static str) {
         self.queue_counts.get_or_create(&CountLabels { by }).inc();
     }
 
@@ -317,7 +322,7 @@
     }
 
     /// The number of callers' requests so far, for the log.
-    pub(crate) fn asked_summary(&self) -> String {
+    pub(crate) fn request_summary(&self) -> String {
         let totals = self.request_totals.lock().unwrap_or_else(PoisonError::into_inner);
         let parts = totals.iter().map(|((method, status), n)| format!("{method} {status} {n}"));
         parts.collect::<Vec<_>>().join(", ")
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -272,7 +272,7 @@
     }
     tokio::select! {
         () = sleep(pause) => {}
-        () = node.until_owning() => {}
+        () = node.wait_until_owning() => {}
     }
 }
 
@@ -366,7 +366,7 @@
     while let Some(end) = end_of_slice(&changes) {
         let remaining = changes.split_off(end);
         let slice = std::mem::replace(&mut changes, remaining);
-        let deltas = node.view().hear_part(call, slice);
+        let deltas = node.view().apply_part(call, slice);
         // Cannot fail: the receiver lives as long as the process.
         let _ = inputs.send(Input::Deltas(deltas));
         yield_now().await;
--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -81,7 +81,7 @@
 pub(crate) enum Relayed {
     Answered(Response),
     /// No node carried it out, and none will.
-    NotTaken,
+    NotAccepted,
     /// A node may have carried it out, or may still do so.
     Unknown,
 }
@@ -115,14 +115,14 @@
     }
 
     /// Has another node answer a request.
-    pub(crate) async fn ask(&self, node: &Node, call: &Call) -> Relayed {
+    pub(crate) async fn forward(&self, node: &Node, call: &Call) -> Relayed {
         let (now, subject) = (node.now().steady, &call.subject);
         let not_before = match subject {
             Subject::Job(_) => &self.jobs_not_before,
             Subject::Queue(_) => &self.queues_not_before,
         };
         if now < Steady::from_millis(not_before.load(Ordering::Acquire)) {
-            return Relayed::NotTaken;
+            return Relayed::NotAccepted;
         }
         let mut unknown = false;
         let failures = self.queue_failures.load(Ordering::Relaxed);
@@ -132,7 +132,7 @@
                     log::info!("{subject}: {} answered by {peer}", call.method);
                     return Relayed::Answered(response);
                 }
-                Relayed::NotTaken => {}
+                Relayed::NotAccepted => {}
                 Relayed::Unknown => unknown = true,
             }
         }
@@ -142,7 +142,7 @@
             self.queue_failures.fetch_add(MAX_NODES, Ordering::Relaxed);
         }
         log::info!("{subject}: {} not answered by any other node", call.method);
-        if unknown { Relayed::Unknown } else { Relayed::NotTaken }
+        if unknown { Relayed::Unknown } else { Relayed::NotAccepted }
     }
 
     async fn relay_to(&self, peer: SocketAddr, call: &Call) -> Relayed {
@@ -158,7 +158,7 @@
         };
         let whole = match self.connections.call(&peer.to_string(), request).await {
             Ok(whole) => whole,
-            Err(error) if error.is_connect() => return Relayed::NotTaken,
+            Err(error) if error.is_connect() => return Relayed::NotAccepted,
             Err(error) => {
                 log::info!("{}: no complete answer from {peer}: {error}", call.subject);
                 return Relayed::Unknown;
@@ -166,7 +166,7 @@
         };
         let Whole { status, headers, body } = whole;
         match status {
-            StatusCode::SERVICE_UNAVAILABLE => return Relayed::NotTaken,
+            StatusCode::SERVICE_UNAVAILABLE => return Relayed::NotAccepted,
             StatusCode::GATEWAY_TIMEOUT => return Relayed::Unknown,
             _ => {}
         }
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -61,7 +61,7 @@
     };
     let metrics = Arc::new(Metrics::new());
     let call_metrics = metrics.clone();
-    let note = move |call, outcome, took| call_metrics.store_call(call, outcome, took);
+    let note = move |call, outcome, took| call_metrics.record_store_call(call, outcome, took);
     let kv = Kv::new(&settings.platform.store.to_string(), STORE_TIMEOUT, note);
     let (accepting, waiting) = accept::queue();
     let node = node(settings, kv, metrics.clone(), accepting);
@@ -105,7 +105,7 @@
     loop {
         sleep(SUMMARY_INTERVAL).await;
         log::info!("store: calls so far: {}", node.metrics.store_summary());
-        log::info!("callers: answers so far: {}", node.metrics.asked_summary());
+        log::info!("callers: answers so far: {}", node.metrics.request_summary());
     }
 }
 
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -235,7 +235,7 @@
 
     /// Whether the operator's records are up to date: watches may hang while other calls of the store
     /// succeed.
-    pub(crate) fn hears_operator(&self, now: Steady) -> bool {
+    pub(crate) fn is_operator_current(&self, now: Steady) -> bool {
         let last_answer = self.answered.get(OPERATOR_PREFIX);
         last_answer.is_some_and(|at| now.since(*at) < MAX_OPERATOR_SILENCE_MS)
     }
@@ -285,14 +285,14 @@
         changes: Vec<Change>,
         extent: Extent,
     ) -> Vec<Delta> {
-        let deltas = self.hear_part(call, changes);
+        let deltas = self.apply_part(call, changes);
         self.heard.passed(source, extent.at());
         self.ages.heard(prefix, call, extent);
         deltas
     }
 
     /// Applies a part of the changes of an answer, before its last ones.
-    pub(crate) fn hear_part(&mut self, call: Asked, changes: Vec<Change>) -> Vec<Delta> {
+    pub(crate) fn apply_part(&mut self, call: Asked, changes: Vec<Change>) -> Vec<Delta> {
         self.call_sent = call.sent;
         changes.into_iter().filter_map(|change| self.apply(change)).collect()
     }
@@ -303,7 +303,7 @@
         let is_worker = change.key.starts_with(records::WORKER_PREFIX);
         let is_operator = change.key == records::CONFIG_KEY || records::is_wave(&change.key);
         let is_relevant = own.is_some() || is_worker || is_operator;
-        if !is_relevant || !self.heard.is_news(&change) {
+        if !is_relevant || !self.heard.is_newer(&change) {
             return None;
         }
         match own {
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -34,7 +34,7 @@
 
 /// The maximum age of the records by which a job is reported as not ended, in milliseconds: beyond that
 /// the store is read, as by nodes that do not mirror jobs.
-pub(crate) const STATE_MS: u64 = 1_000;
+pub(crate) const MAX_STATE_AGE_MS: u64 = 1_000;
 
 /// The maximum age of an owner's report of waiting jobs that is counted, in milliseconds: owners renew
 /// it each second, and it is received within another half.
@@ -47,15 +47,15 @@
 
 /// Data that a node has and that is too old for its purpose.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct TooOld {
+pub(crate) struct StaleData {
     pub(crate) what: String,
     /// Its age; `None` if it was never received.
     pub(crate) age_ms: Option<u64>,
 }
 
-impl fmt::Display for TooOld {
+impl fmt::Display for StaleData {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let TooOld { what, age_ms } = self;
+        let StaleData { what, age_ms } = self;
         match age_ms {
             Some(age) => write!(f, "{what} is {age} ms old"),
             None => write!(f, "{what} has not been received yet"),
@@ -185,10 +185,10 @@
     }
 
     /// Checks that the view of a prefix is at most `max_ms` old.
-    pub(crate) fn check(&self, prefix: &str, max_ms: u64, now: Steady) -> Result<(), TooOld> {
+    pub(crate) fn check(&self, prefix: &str, max_ms: u64, now: Steady) -> Result<(), StaleData> {
         match self.of(prefix, now) {
             Some(age) if age <= max_ms => Ok(()),
-            age_ms => Err(TooOld { what: prefix.to_owned(), age_ms }),
+            age_ms => Err(StaleData { what: prefix.to_owned(), age_ms }),
         }
     }
 
@@ -197,16 +197,16 @@
         self.check(prefix, max_ms, now).is_ok()
     }
 
-    /// Checks that data as of a revision is at most [`COUNTED_MS`] old.
+    /// Checks that data as of a revision is recent enough to be counted.
     pub(crate) fn check_revision(
         &self,
         what: &str,
         at: Revision,
         now: Steady,
-    ) -> Result<(), TooOld> {
+    ) -> Result<(), StaleData> {
         match self.last_moment(at).map(|moment| now.since(moment)) {
             Some(age) if age <= COUNTED_MS => Ok(()),
-            age_ms => Err(TooOld { what: what.to_owned(), age_ms }),
+            age_ms => Err(StaleData { what: what.to_owned(), age_ms }),
         }
     }
 
--- a/src/scheduler/view/heard.rs
+++ b/src/scheduler/view/heard.rs
@@ -37,7 +37,7 @@
 
 impl Heard {
     /// Whether a change is newer than what is known of its key; it counts as known from then on.
-    pub(crate) fn is_news(&mut self, change: &Change) -> bool {
+    pub(crate) fn is_newer(&mut self, change: &Change) -> bool {
         let (key, revision) = (change.key.as_str(), change.revision);
         match self.newest.get_mut(key) {
             Some(newest) if revision <= *newest => return false,
--- a/src/scheduler/view/waiting.rs
+++ b/src/scheduler/view/waiting.rs
@@ -15,7 +15,7 @@
         keys::{self, ALL, ROOT},
         view::{
             KnownJob, View,
-            age::{RECORDS_MS, TooOld, WORD_MS},
+            age::{RECORDS_MS, StaleData, WORD_MS},
         },
     },
 };
@@ -54,7 +54,7 @@
 impl View {
     /// Counts the jobs of a queue none of whose tasks has begun: from their records, or else from the
     /// reports of the pools' owners.
-    pub(crate) fn pending(&self, queue: &Queue, now: Steady) -> Result<Counted, TooOld> {
+    pub(crate) fn pending(&self, queue: &Queue, now: Steady) -> Result<Counted, StaleData> {
         if self.is_whole() && self.ages.is_within(ROOT, RECORDS_MS, now) {
             return Ok(Counted { jobs: self.count(&queue.name), by: "records" });
         }
@@ -71,11 +71,11 @@
     }
 
     /// Adds up the owners' reports: of the queue's pool, and of the pools that it led to before.
-    fn add_up(&self, queue: &Queue, now: Steady) -> Result<Counted, TooOld> {
+    fn add_up(&self, queue: &Queue, now: Steady) -> Result<Counted, StaleData> {
         self.ages.check(ALL, RECORDS_MS, now)?;
         let own = keys::pool(&queue.pool);
         if !self.queued.contains_key(&own) {
-            return Err(TooOld {
+            return Err(StaleData {
                 what: format!("the report of {own} on waiting jobs"),
                 age_ms: None,
             });
@@ -88,7 +88,7 @@
             }
             let age = now.since(report.heard);
             if WORD_MS < age {
-                return Err(TooOld {
+                return Err(StaleData {
                     what: format!("the report of {name} on waiting jobs"),
                     age_ms: Some(age),
                 });
