--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! A scheduler node: callers submit jobs to any node; each pool's jobs have one owner among the
-//! nodes, which starts their tasks on the pool's workers. Nodes persist nothing themselves: accepted
-//! jobs are in the platform's store, and what runs is read from the workers.
+//! nodes, which starts their tasks on the pool's workers. Nodes persist nothing themselves:
+//! accepted jobs are in the platform's store, and what runs is read from the workers.
 
 pub(crate) mod accept;
 pub(crate) mod api;
--- a/src/scheduler/accept.rs
+++ b/src/scheduler/accept.rs
@@ -1,5 +1,5 @@
-//! Acceptance of jobs: a submitted job is written to the store before its caller gets an answer. Jobs
-//! that arrive within a few milliseconds of each other share one transaction.
+//! Acceptance of jobs: a submitted job is written to the store before its caller gets an answer.
+//! Jobs that arrive within a few milliseconds of each other share one transaction.
 
 use std::{sync::Arc, time::Duration};
 
@@ -109,7 +109,8 @@
         batch.sort_by_key(|acceptance| acceptance.id);
         batch.dedup_by(|later, earlier| later.id == earlier.id && reject_duplicate(later, earlier));
         for acceptance in &batch {
-            // The job's name is unique across pools, since its queue may lead to another pool later.
+            // The job's name is unique across pools, since its queue may lead to another pool
+            // later.
             let (id, pool) = (keys::id(acceptance.id), acceptance.pool.to_string());
             txn = txn
                 .expect(id.clone(), Revision(0))
@@ -148,8 +149,8 @@
     true
 }
 
-/// The jobs to retry after a failed write. Jobs past their deadline get their answer here, and so do
-/// all if it is certain that nothing was written.
+/// The jobs to retry after a failed write. Jobs past their deadline get their answer here, and so
+/// do all if it is certain that nothing was written.
 async fn handle_failure(mut batch: Vec<Acceptance>, error: &StoreError) -> Vec<Acceptance> {
     log::warn!("store: write of {} jobs failed: {error}", batch.len());
     if !error.is_unknown() {
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -1,5 +1,5 @@
-//! The HTTP interface for callers: submit and cancel jobs, read their states, and count the jobs that
-//! wait in a queue.
+//! The HTTP interface for callers: submit and cancel jobs, read their states, and count the jobs
+//! that wait in a queue.
 
 use std::{sync::Arc, time::Duration};
 
@@ -133,7 +133,8 @@
         (Some(queue.name.clone()), response)
     }
 
-    /// Answers here, or relays the request to another node if the store cannot be reached from here.
+    /// Answers here, or relays the request to another node if the store cannot be reached from
+    /// here.
     async fn answer_job(
         &self,
         id: JobId,
@@ -221,8 +222,9 @@
         }
     }
 
-    /// Answers how many jobs wait: from this node's view, or else by relaying to another node. A node
-    /// with a stale view refuses to answer: a count from it may be far too low without any sign of it.
+    /// Answers how many jobs wait: from this node's view, or else by relaying to another node. A
+    /// node with a stale view refuses to answer: a count from it may be far too low without any
+    /// sign of it.
     async fn pending(
         &self,
         queue: &Queue,
@@ -404,7 +406,8 @@
     millis.map(Duration::from_millis).unwrap_or(DEFAULT_TIMEOUT)
 }
 
-/// The configuration version of the node that relayed the request; `None` if it comes from a caller.
+/// The configuration version of the node that relayed the request; `None` if it comes from a
+/// caller.
 fn relayed_config(request: &Request) -> Option<u64> {
     request.header(RELAYED_HEADER)?.parse().ok()
 }
--- a/src/scheduler/clock.rs
+++ b/src/scheduler/clock.rs
@@ -10,8 +10,8 @@
 use crate::model::unit::{Now, Steady, Time};
 
 /// A gap between two readings of the clock that counts as a pause of the process, in milliseconds:
-/// the control loop reads it ten times a second, and a node short of processor time may wait a tenth
-/// of a second.
+/// the control loop reads it ten times a second, and a node short of processor time may wait a
+/// tenth of a second.
 const PAUSE_THRESHOLD_MS: u64 = 1_000;
 
 /// A clock that never jumps and that includes the time while the machine is suspended: leases and
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -17,7 +17,7 @@
     scheduler::view::{At, KnownJob, View},
 };
 
-/// The window over which arrivals are counted: a change of the rate shows fully after half of it.
+/// The window over which arrivals are counted: a change of demand shows fully after half of it.
 const ARRIVAL_WINDOW: Duration = Duration::from_millis(500);
 
 /// The current demand of each pool, computed from scratch.
@@ -87,8 +87,8 @@
     }
 }
 
-/// The share of a job's remaining declared work that is assumed certain: what callers declare is off
-/// by half in both directions.
+/// The share of a job's remaining declared work that is assumed certain: what callers declare is
+/// off by half in both directions.
 const CERTAIN_PERCENT: u64 = 60;
 
 /// The demand of a job by its current records, without what depends on the time alone.
@@ -210,7 +210,8 @@
     work.sum()
 }
 
-/// The time after which a job with so much work left cannot end in time, by what its caller declared.
+/// The time after which a job with so much work left cannot end in time, by what its caller
+/// declared.
 fn late_after(record: &JobRecord, left_ms: u64) -> Option<Time> {
     if record.is_lasting() || record.times() != 1 {
         return None;
--- a/src/scheduler/dispatch.rs
+++ b/src/scheduler/dispatch.rs
@@ -1,10 +1,10 @@
 //! Orders that other nodes, the delegates, carry out. The owner of a large pool decides alone; the
-//! calls that its decisions need go to delegates in batches over one link each, and the results come
-//! back the same way.
+//! calls that its decisions need go to delegates in batches over one link each, and the results
+//! come back the same way.
 //!
 //! This needs no agreement between nodes. An order carries its owner's token and the time on the
-//! worker's clock until which it is valid, both set when it was decided, so that an order carried out
-//! late has the effect of a call that was delayed on the network.
+//! worker's clock until which it is valid, both set when it was decided, so that an order carried
+//! out late has the effect of a call that was delayed on the network.
 
 pub(crate) mod call;
 pub(crate) mod link;
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -7,7 +7,8 @@
     platform::runner::Runners,
 };
 
-/// Makes the call of one order and returns its result. Requests for advice are not orders to workers.
+/// Makes the call of one order and returns its result. Requests for advice are not orders to
+/// workers.
 pub(crate) async fn call(runners: &Runners, effect: &Effect) -> Answer {
     match effect {
         Effect::Start { to, start } => Answer::End(runners.start(to, start).await),
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -30,7 +30,7 @@
     platform::runner::{LOOK_SLACK, ORDER_LIMIT},
 };
 
-/// How long a link may take to open. Two round trips between zones take some 6 ms.
+/// How long a link may take to open. Two crossings between zones take some 6 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long a message may take to be written before the link counts as failed.
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Ends it without an answer of the delegate, which may have carried it out. A poll changes nothing
-    /// at the worker, so that one without an answer counts as unsent.
+    /// Ends it without an answer of the delegate, which may have carried it out. For a poll it
+    /// matters only that no answer came, so it counts as unsent.
     fn give_up(self) {
         let is_poll = matches!(self.effect, Effect::Look { .. });
         self.finish(Answer::End(if is_poll { OrderEnd::Unsent } else { OrderEnd::Unknown }));
@@ -180,7 +180,7 @@
 struct Session {
     address: SocketAddr,
     backing_off: Arc<AtomicBool>,
-    namer: Namer,
+    numbering: Namer,
     next: u32,
     pending: HashMap<u32, (Outgoing, Instant)>,
     last_received: Instant,
@@ -193,7 +193,7 @@
         Session {
             address,
             backing_off,
-            namer: Namer::default(),
+            numbering: Namer::default(),
             next: 0,
             pending: HashMap::new(),
             last_received: Instant::now(),
@@ -250,7 +250,7 @@
         self.next = first.wrapping_add(batch.len() as u32);
         let numbered = || (0u32..).map(|n| first.wrapping_add(n));
         let effects = batch.iter().map(|order| &order.effect);
-        let wire = wire::batch(&mut self.namer, numbered().zip(effects));
+        let wire = wire::batch(&mut self.numbering, numbered().zip(effects));
         for (number, order) in numbered().zip(batch) {
             let due = now + order.time_limit();
             self.pending.insert(number, (order, due));
@@ -270,7 +270,8 @@
         }
     }
 
-    /// Gives up overdue orders, and if there are any sends the delegate nothing more for [`BACKOFF`].
+    /// Gives up overdue orders, and if there are any sends the delegate nothing more for
+    /// [`BACKOFF`].
     fn check(&mut self) -> eyre::Result<()> {
         let now = Instant::now();
         let number_if_overdue =
--- a/src/scheduler/dispatch/serve.rs
+++ b/src/scheduler/dispatch/serve.rs
@@ -1,5 +1,5 @@
-//! The receiving side of delegated orders: makes the call of each order to its worker, and sends the
-//! results back in batches.
+//! The receiving side of delegated orders: makes the call of each order to its worker, and sends
+//! the results back in batches.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
 const BATCH_DELAY: Duration = Duration::from_millis(5);
 
 /// How long a link may receive nothing before it is closed: an owner polls each worker that it has
-/// delegated at least once a second.
+/// delegated here at least once a second.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a message may take to be written.
@@ -82,13 +82,13 @@
     let (sink, mut stream) = link.split();
     let (done, answers) = mpsc::unbounded_channel();
     let sender = tokio::spawn(send_answers(sink, answers));
-    let mut names = Names::default();
+    let mut table = Names::default();
     while let Ok(Some(message)) = timeout(RECEIVE_TIMEOUT, stream.next()).await {
         let Message::Binary(bytes) = message? else {
             continue;
         };
         let batch: Batch = ciborium::from_reader(&bytes[..])?;
-        for order in wire::orders(&mut names, batch) {
+        for order in wire::orders(&mut table, batch) {
             let (runners, done) = (runners.clone(), done.clone());
             tokio::spawn(async move {
                 let answer = call(&runners, &order.effect).await;
--- a/src/scheduler/dispatch/wire.rs
+++ b/src/scheduler/dispatch/wire.rs
@@ -1,6 +1,6 @@
-//! Messages between an owner's node and a delegate: orders one way, their results the other way. Rows
-//! are tuples, and a worker is named once per link and numbered from then on, since an owner of a
-//! thousand workers gives thousands of orders a second.
+//! Messages between an owner's node and a delegate: orders one way, their results the other way.
+//! Rows are tuples, and a worker is named once per link and numbered from then on, since an owner
+//! of a thousand workers gives thousands of orders a second.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) struct TaskRow(u64, u32, u32, u32);
 
-/// Order, worker, task, run, payload, valid until, checkpoint, ticket.
+/// Order, worker, task, run, payload, runs may last until, checkpoint, ticket.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct StartRow(u32, u32, TaskRow, u32, u32, u64, String, String);
 
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ThrottleRow(u32, u32, TaskRow, u32, u32);
 
-/// Order, worker, ends acknowledged, lease until, milliseconds to wait for an end.
+/// Order, worker, ends acknowledged, runs may last until, milliseconds to wait for an end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PollRow(u32, u32, u64, Option<u64>, u64);
 
@@ -64,7 +64,8 @@
     pub(crate) ends: Vec<OrderResultRow>,
     #[serde(rename = "f")]
     pub(crate) found: Vec<PollResultRow>,
-    /// For polls whose answer has it, the start time of the incarnation that answered: order, start.
+    /// For polls whose answer has it, the start time of the incarnation that answered: order,
+    /// start.
     #[serde(rename = "b", default)]
     pub(crate) born: Vec<(u32, Born)>,
 }
@@ -134,7 +135,7 @@
 
 /// Encodes orders. Effects that a delegate cannot carry out are logged and left out.
 pub(crate) fn batch<'a>(
-    namer: &mut Namer,
+    numbering: &mut Namer,
     orders: impl Iterator<Item = (u32, &'a Effect)>,
 ) -> Batch {
     let mut batch = Batch::default();
@@ -142,7 +143,7 @@
     for (number, effect) in orders {
         match effect {
             Effect::Start { to, start } => {
-                let worker = namer.number(to, &mut batch);
+                let worker = numbering.number(to, &mut batch);
                 let payload = *payloads.entry(start.payload.as_ptr()).or_insert_with(|| {
                     batch.payloads.push(start.payload.to_string());
                     batch.payloads.len() as u32 - 1
@@ -159,15 +160,15 @@
                 ));
             }
             Effect::Stop { to, task, run } => {
-                let worker = namer.number(to, &mut batch);
+                let worker = numbering.number(to, &mut batch);
                 batch.stops.push(StopRow(number, worker, (*task).into(), *run));
             }
             Effect::Pace { to, task, run, percent } => {
-                let worker = namer.number(to, &mut batch);
+                let worker = numbering.number(to, &mut batch);
                 batch.throttles.push(ThrottleRow(number, worker, (*task).into(), *run, *percent));
             }
             Effect::Look { to, acknowledged, until_ms, wait } => {
-                let worker = namer.number(to, &mut batch);
+                let worker = numbering.number(to, &mut batch);
                 let wait = wait.as_millis() as u64;
                 batch.looks.push(PollRow(number, worker, *acknowledged, *until_ms, wait));
             }
@@ -179,15 +180,15 @@
     batch
 }
 
-/// Decodes orders. An order with an unknown worker or payload is logged and left out: its owner treats
-/// it as unanswered.
-pub(crate) fn orders(names: &mut Names, batch: Batch) -> Vec<Order> {
+/// Decodes orders. An order with an unknown worker or payload is logged and left out: its owner
+/// treats it as unanswered.
+pub(crate) fn orders(table: &mut Names, batch: Batch) -> Vec<Order> {
     for WorkerRow(number, worker, address, token) in batch.workers {
-        names.workers.insert(number, Addressee { worker, address, token });
+        table.workers.insert(number, Addressee { worker, address, token });
     }
     let payloads: Vec<Arc<str>> = batch.payloads.into_iter().map(Into::into).collect();
     let known = |number: u32| {
-        let to = names.workers.get(&number).cloned();
+        let to = table.workers.get(&number).cloned();
         if to.is_none() {
             log::error!("orders: unknown worker number {number}");
         }
@@ -265,10 +266,10 @@
         };
         (number, Answer::End(end))
     });
-    let born: HashMap<u32, Born> = answers.born.into_iter().collect();
+    let start_times: HashMap<u32, Born> = answers.born.into_iter().collect();
     let found =
         answers.found.into_iter().map(move |PollResultRow(number, clock_ms, present, ended)| {
-            let born = born.get(&number).copied();
+            let born = start_times.get(&number).copied();
             let present =
                 present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| Present {
                     task: task.into(),
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -29,9 +29,9 @@
 /// How often the fleet's owner decides, in milliseconds.
 const PLAN_MS: u64 = 100;
 
-/// The pause after a plan, as a multiple of the time that it took: planning takes at most a quarter of
-/// the node's time. With ten plans a second of 100 ms each, a node processed nothing else and decided
-/// from a view 6 to 9 s old.
+/// The pause after a plan, as a multiple of the time that it took: planning takes at most a quarter
+/// of the node's time. With ten plans a second of 100 ms each, a node processed nothing else and
+/// decided from a view 6 to 9 s old.
 const PLAN_PAUSE_FACTOR: u64 = 3;
 
 /// How far the clocks of two nodes may differ.
@@ -227,8 +227,8 @@
         }
     }
 
-    /// The record of a wave on which the next write builds: the one that this owner wrote last, if the
-    /// view does not have it yet.
+    /// The record of a wave on which the next write builds: the one that this owner wrote last, if
+    /// the view does not have it yet.
     fn wave_record(&self, wave: u64) -> At<WaveRecord> {
         let viewed = self.node.view().waves.get(&wave).cloned();
         let own = self.fleet.as_ref().and_then(|owned| owned.waves.get(&wave)).cloned();
@@ -248,8 +248,8 @@
         let (machines, inputs, node) = (self.machines.clone(), self.to.clone(), self.node.clone());
         let tenure = self.fleet.as_ref().map(|owned| owned.tenure.clone());
         tokio::spawn(async move {
-            // The record is written first, under the condition that there is no later owner, so that a
-            // later one does not call the host for a while.
+            // The record is written first, under the condition that there is no later owner, so
+            // that a later one does not call the host for a while.
             let now = node.now();
             let record = CalledRecord { token, at: now.wall };
             let txn = Txn::default()
--- a/src/scheduler/keys.rs
+++ b/src/scheduler/keys.rs
@@ -11,7 +11,8 @@
 /// The records of one piece of work: its owner and its submitted jobs. They share a prefix, so that
 /// one watch reports a new owner before any job accepted after it.
 const WORK: &str = "ch/work/";
-/// The records of a job besides the submitted one: one read of its prefix gives the state of the job.
+/// The records of a job besides the submitted one: one read of its prefix gives the state of the
+/// job.
 const JOB_STATE: &str = "ch/job/";
 const TERM: &str = "ch/term/";
 const LEAVE: &str = "ch/leave/";
--- a/src/scheduler/lateness.rs
+++ b/src/scheduler/lateness.rs
@@ -1,5 +1,5 @@
-//! Monitors the age of the node's view of the store: exports it as a metric, and logs when it becomes
-//! too old to be used and when it is current again.
+//! Monitors the age of the node's view of the store: exports it as a metric, and logs when it
+//! becomes too old to be used and when it is current again.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -18,8 +18,8 @@
 /// How often the ages are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The minimum time between two log lines about one prefix, in milliseconds: limits the lines about a
-/// view whose age crosses the bound again and again.
+/// The minimum time between two log lines about one prefix, in milliseconds: limits the lines about
+/// a view whose age crosses the bound again and again.
 const MIN_LOG_INTERVAL_MS: u64 = 2_000;
 
 /// A change of a prefix's view to be logged.
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -44,8 +44,8 @@
 struct Gap {
     /// Until when it held for certain.
     until: Steady,
-    /// When the renewal was known. A write sent before that may have been done before the renewal, and
-    /// confirms nothing about the gap.
+    /// When the renewal was known. A write sent before that may have been done before the renewal,
+    /// and confirms nothing about the gap.
     renewed: Steady,
 }
 
@@ -53,8 +53,8 @@
 struct State {
     /// The lease and when it may expire, unless the store has reported it as expired.
     last: Option<(LeaseId, Steady)>,
-    /// Gaps before renewals that came when the lease may have expired: another node may have acquired
-    /// the work meanwhile.
+    /// Gaps before renewals that came when the lease may have expired: another node may have
+    /// acquired the work meanwhile.
     gaps: Vec<Gap>,
     /// Ownership that was not confirmed since then is over, even if the lease is renewed: the grace
     /// period of a gap that ended there has passed.
@@ -113,24 +113,24 @@
     }
 }
 
-/// The ownership of a piece of work under one lease. It lasts as long as that lease: a lease that the
-/// node acquires later does not show whether another node has acquired the work meanwhile.
+/// The ownership of a piece of work under one lease. It lasts as long as that lease: a lease that
+/// the node acquires later does not show whether another node has acquired the work meanwhile.
 ///
 /// Three questions, from the strictest to the most lenient:
-/// - [`Tenure::confirmed`]: until when had certainly no other node acquired it? Conclusions from the
-///   time that has passed are valid up to then.
-/// - [`Tenure::holds`]: is the lease held now, by the node's clock? Calls that change hosts need this,
-///   and each follows a write of its own.
-/// - [`Tenure::allows_orders`]: may orders be sent to workers, which reject those of earlier owners by
-///   their fencing token? Later owners rely on how long that lasts.
+/// - [`Tenure::confirmed`]: until when had certainly no other node acquired it? Conclusions from
+///   the time that has passed are valid up to then.
+/// - [`Tenure::holds`]: is the lease held now, by the node's clock? Calls that change hosts need
+///   this, and each follows a write of its own.
+/// - [`Tenure::allows_orders`]: may orders be sent to workers, which reject those of earlier owners
+///   by their fencing token? Later owners rely on how long that lasts.
 #[derive(Clone)]
 pub(crate) struct Tenure {
     lease: Arc<Lease>,
     id: LeaseId,
     /// When it was acquired.
     since: Steady,
-    /// When the last successful write with this ownership as a condition was sent, in milliseconds of
-    /// the steady clock.
+    /// When the last successful write with this ownership as a condition was sent, in milliseconds
+    /// of the steady clock.
     confirmed: Arc<AtomicU64>,
     /// Whether the store has reported it as over.
     ended: Arc<AtomicBool>,
@@ -176,9 +176,9 @@
         self.lease.held(now) == Some(self.id) && !self.ended.load(Ordering::Acquire)
     }
 
-    /// Whether orders may be sent: also in the grace period after the lease may have expired, as long
-    /// as the store has not reported it as expired. A renewal after the grace period does not restore
-    /// the ownership: only a write that succeeds with the ownership as a condition does.
+    /// Whether orders may be sent: also in the grace period after the lease may have expired, as
+    /// long as the store has not reported it as expired. A renewal after the grace period does not
+    /// restore the ownership: only a write that succeeds with the ownership as a condition does.
     pub(crate) fn allows_orders(&self, now: Steady) -> bool {
         let (state, confirmed) = (self.lease.state(), self.confirmed());
         let is_last =
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -1,5 +1,5 @@
-//! Mirrors the store into the view: one read of each prefix, then a watch from its revision. An answer
-//! counts as of the time when its call was sent, not of when it arrived.
+//! Mirrors the store into the view: one read of each prefix, then a watch from its revision. An
+//! answer counts as of the time when its call was sent, not of when it arrived.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -32,11 +32,11 @@
     /// The minimum time between two answers of its watch, so that many small changes come in few
     /// answers: each has a cost.
     pause: Duration,
-    /// The same at a node that owns work: each host that changes pools takes four updates in sequence
-    /// to the owners, and work that could still end in time waits meanwhile.
+    /// The same at a node that owns work: each host that changes pools takes four updates in
+    /// sequence to the owners, and work that could still end in time waits meanwhile.
     owner_pause: Duration,
-    /// How long a watch waits for a change: while nothing changes, the view of the prefix gets as old
-    /// as this plus a pause.
+    /// How long a watch waits for a change: while nothing changes, the view of the prefix gets as
+    /// old as this plus a pause.
     wait: Duration,
     /// Whether the prefix is read again when its watch was lost. The changes meanwhile may be many
     /// versions of one large configuration, too much for a slow link within the time of a watch,
@@ -53,8 +53,8 @@
     rereads_on_loss: true,
 };
 
-/// What every node mirrors: the list of nodes, and the counts of waiting jobs, which may be two seconds
-/// old.
+/// What every node mirrors: the list of nodes, and the counts of waiting jobs, which may be two
+/// seconds old.
 const COMMON: Prefix = Prefix {
     path: keys::ALL,
     pause: Duration::from_millis(500),
@@ -88,8 +88,8 @@
 /// How often a node checks whether it has become a replica.
 const REPLICA_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a watch waits for a change. A watch that hangs because its connection is cut is detected
-/// soon after, within the time that a change of the configuration may take.
+/// How long a watch waits for a change. A watch that hangs because its connection is cut is
+/// detected soon after, within the time that a change of the configuration may take.
 const WATCH_WAIT: Duration = Duration::from_millis(800);
 
 /// The same for records from which callers are answered: an answered watch covers what was written
@@ -100,15 +100,15 @@
 /// The minimum time between two answers of an owner's own watch.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(8);
 
-/// The minimum number of changes to apply at once, about as many as the store sends in one answer. A
-/// large deployment has 10,000 and more, which at once locked the view for 25 ms on a whole core.
+/// The minimum number of changes to apply at once, about as many as the store sends in one answer.
+/// A large deployment has 10,000 and more, which at once locked the view for 25 ms on a whole core.
 pub(super) const SLICE: usize = 512;
 
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Starts to mirror the store until the node ends: the prefixes that all nodes mirror at once, and the
-/// others when the node becomes a replica. It then stays one.
+/// Starts to mirror the store until the node ends: the prefixes that all nodes mirror at once, and
+/// the others when the node becomes a replica. It then stays one.
 pub(crate) fn start(node: &Arc<Node>, inputs: &mpsc::UnboundedSender<Input>) {
     for prefix in [OPERATOR, COMMON] {
         spawn(node, prefix, inputs);
@@ -138,8 +138,8 @@
     }
 }
 
-/// Watches the records of one piece of work that this node owns, so that its new jobs are received at
-/// once. The mirror receives the same changes later.
+/// Watches the records of one piece of work that this node owns, so that its new jobs are received
+/// at once. The mirror receives the same changes later.
 pub(crate) fn follow(
     node: &Arc<Node>,
     name: &str,
@@ -276,9 +276,9 @@
     }
 }
 
-/// The pause after an answer of a prefix's watch. After an answer that may be cut there is none: with
-/// one of 120 ms a view applied at most 3,125 changes a second, and one that had fallen behind never
-/// caught up with the store.
+/// The pause after an answer of a prefix's watch. After an answer that may be cut there is none:
+/// with one of 120 ms a view applied at most 3,125 changes a second, and one that had fallen behind
+/// never caught up with the store.
 pub(super) fn pause_after(answer: &Heard, prefix: &Prefix, owns: bool) -> Duration {
     match (answer.may_be_cut(), owns) {
         (true, _) => Duration::ZERO,
@@ -384,8 +384,8 @@
     }
 }
 
-/// The end of the first of several slices, such that no transaction is split; `None` if the changes fit
-/// into one slice.
+/// The end of the first of several slices, such that no transaction is split; `None` if the changes
+/// fit into one slice.
 pub(super) fn end_of_slice(changes: &[Change]) -> Option<usize> {
     (SLICE..changes.len()).find(|at| changes[*at].revision != changes[*at - 1].revision)
 }
--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -1,6 +1,6 @@
-//! Relays requests of callers to another node, if this node cannot reach the store or its view is too
-//! old for an answer. All of these requests are idempotent, so that one whose answer was lost is sent to
-//! the next node.
+//! Relays requests of callers to another node, if this node cannot reach the store or its view is
+//! too old for an answer. All of these requests are idempotent, so that one whose answer was lost
+//! is sent to the next node.
 
 use std::{
     collections::hash_map::DefaultHasher,
@@ -32,16 +32,16 @@
 /// How long a connection to another node may take to open: some may be cut off like this one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long another node may take to answer. It writes once, in some 10 ms, or 250 ms if the store is
-/// slow.
+/// How long another node may take to answer. It writes once, in some 10 ms, or 250 ms if the store
+/// is slow.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Most nodes to try before the caller is told to retry.
 const MAX_NODES: usize = 2;
 
-/// How long nothing is relayed after no node could answer, in milliseconds: usually no node can reach
-/// the store then, and each would relay to the others. Requests about queues have a pause of their own:
-/// nodes may have a stale count although they reach the store.
+/// How long nothing is relayed after no node could answer, in milliseconds: usually no node can
+/// reach the store then, and each would relay to the others. Requests about queues have a pause of
+/// their own: nodes may have a stale count although they reach the store.
 const FAILURE_PAUSE_MS: u64 = 500;
 
 /// Headers of an answer that are passed on to the caller.
@@ -93,7 +93,7 @@
     jobs_not_before: AtomicU64,
     /// The same for requests about queues.
     queues_not_before: AtomicU64,
-    /// How many requests about queues failed, counted per node: other nodes are tried next.
+    /// How many nodes were tried in vain for requests about queues: other nodes are tried next.
     queue_failures: AtomicUsize,
 }
 
@@ -181,8 +181,8 @@
 }
 
 /// The other known nodes, in an order that depends on the subject so that they share the load. For
-/// queues, replicas come first, beginning after those that failed before: the cause of a failure is not
-/// specific to the queue and may last.
+/// queues, replicas come first, beginning after those that failed before: the cause of a failure is
+/// not specific to the queue and may last.
 fn peers(node: &Node, subject: &Subject, failures: usize) -> Vec<SocketAddr> {
     let view = node.view();
     let replicas = view.replicas(node.settings.replicas);
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -29,8 +29,8 @@
     settings::scheduler::{self, SchedulerSettings},
 };
 
-/// How long a call of the store may take: it answers in milliseconds, or in some hundred while it is
-/// slow.
+/// How long a call of the store may take: it answers in milliseconds, or in some hundred while it
+/// is slow.
 const STORE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Most open connections of callers, well below the limit of a node's file descriptors.
@@ -109,8 +109,8 @@
     }
 }
 
-/// Reads the settings again at each SIGHUP and logs the result: changes come into force with the next
-/// start.
+/// Reads the settings again at each SIGHUP and logs the result: changes come into force with the
+/// next start.
 async fn reload(node: Arc<Node>, path: PathBuf) {
     let mut hangups = match signal(SignalKind::hangup()) {
         Ok(hangups) => hangups,
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -1,7 +1,7 @@
 //! A node's view of the store: the scheduler's own records, the operator's and the workers'.
 //!
-//! Any of them may have been changed by another writer. A record that cannot be read is logged, counted
-//! and not used, and is never taken as evidence that nothing runs.
+//! Any of them may have been changed by another writer. A record that cannot be read is logged,
+//! counted and not used, and is never taken as evidence that nothing runs.
 
 pub(crate) mod age;
 pub(crate) mod heard;
@@ -57,8 +57,8 @@
     pub(crate) peers: Option<SocketAddr>,
 }
 
-/// The assumed number of owners if the record cannot be read: more than there are changes of owners,
-/// and even twice as many leave enough numbers for runs.
+/// The assumed number of owners if the record cannot be read: more than there are changes of
+/// owners, and even twice as many leave enough numbers for runs.
 const UNREADABLE_TERM_COUNT: u32 = 1_000_000;
 
 /// The maximum time since the last answer about the operator's records for a node to be ready, in
@@ -112,8 +112,8 @@
     pub(crate) cancelled: bool,
     /// Whether the newest progress cannot be read; `progress` is then the previous one.
     is_unreadable: bool,
-    /// The revision at which the record was first received: another writer may rewrite it, which does
-    /// not make the job newer than its owner.
+    /// The revision at which the record was first received: another writer may rewrite it, which
+    /// does not make the job newer than its owner.
     first_revision: Option<Revision>,
 }
 
@@ -227,14 +227,15 @@
             && self.config.is_some()
     }
 
-    /// Records that a prefix was read or that its watch was answered. Returns whether for the first time.
+    /// Records that a prefix was read or that its watch was answered. Returns whether for the first
+    /// time.
     pub(crate) fn note_answer(&mut self, prefix: &'static str, now: Steady) -> bool {
         self.answered.insert(prefix, now);
         self.ready.insert(prefix)
     }
 
-    /// Whether the operator's records are up to date: watches may hang while other calls of the store
-    /// succeed.
+    /// Whether the operator's records are up to date: watches may hang while other calls of the
+    /// store succeed.
     pub(crate) fn is_operator_current(&self, now: Steady) -> bool {
         let last_answer = self.answered.get(OPERATOR_PREFIX);
         last_answer.is_some_and(|at| now.since(*at) < MAX_OPERATOR_SILENCE_MS)
@@ -245,7 +246,8 @@
         self.is_ready() && self.ready.contains(keys::ROOT) && self.ready.contains(WORKER_PREFIX)
     }
 
-    /// The nodes that mirror every prefix: the `max` ones with the most processor time, and all owners.
+    /// The nodes that mirror every prefix: the `max` ones with the most processor time, and all
+    /// owners.
     pub(crate) fn replicas(&self, max: usize) -> BTreeSet<&str> {
         let mut nodes: Vec<(&String, u32)> =
             self.nodes.iter().map(|(name, at)| (name, at.value.cpu.0)).collect();
@@ -266,8 +268,9 @@
         listed.map(|(_, at)| at.value.clone()).collect()
     }
 
-    /// Whether a worker is on the roster of another pool. No incarnation changes its pool, so its entry is
-    /// not its own; and an owner that polled it would acknowledge the ends of runs of unknown jobs.
+    /// Whether a worker is on the roster of another pool. No incarnation changes its pool, so its
+    /// entry is not its own; and an owner that polled it would acknowledge the ends of runs of
+    /// unknown jobs.
     pub(crate) fn is_of_another(&self, name: &str, worker: &Incarnation) -> bool {
         self.rosters.keys().any(|(pool, id)| id == worker && pool != name)
     }
@@ -277,7 +280,8 @@
         self.rosters.keys().filter(|(pool, _)| pool != name).map(|(_, id)| id).collect()
     }
 
-    /// Applies an answer of a source: its changes and how far it reaches. Returns the changes to act on.
+    /// Applies an answer of a source: its changes and how far it reaches. Returns the changes to
+    /// act on.
     pub(crate) fn hear(
         &mut self,
         (prefix, source): (&str, SourceId),
@@ -365,8 +369,8 @@
                 Some(Delta::Owner(name))
             }
             Key::Term(name) => {
-                // As above. An unknown count must not be below the real one: the numbers of runs begin
-                // above it, and an owner without a predecessor waits for no worker.
+                // As above. An unknown count must not be below the real one: the numbers of runs
+                // begin above it, and an owner without a predecessor waits for no worker.
                 let unreadable =
                     At { value: TermRecord { count: UNREADABLE_TERM_COUNT }, revision };
                 let term =
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -1,11 +1,11 @@
 //! The age of a node's view of each prefix of the store.
 //!
-//! Two facts hold for an answer of the store. Its revision is at least that of every write before the
-//! call was sent. And a source that has reported everything up to a revision misses nothing that was
-//! written before the store was known to be at that revision. So a prefix is known as of the last
-//! moment at which any answer showed the store at a revision that the prefix has reached. Besides, an
-//! answered watch covers what was written before it was sent, unless its answer was cut short: then it
-//! ends below a revision that was known when it was sent.
+//! Two facts hold for an answer of the store. Its revision is at least that of every write before
+//! the call was sent. And a source that has reported everything up to a revision misses nothing
+//! that was written before the store was known to be at that revision. So a prefix is known as of
+//! the last moment at which any answer showed the store at a revision that the prefix has reached.
+//! Besides, an answered watch covers what was written before it was sent, unless its answer was cut
+//! short: then it ends below a revision that was known when it was sent.
 //!
 //! An answer counts once its changes were applied.
 
@@ -23,26 +23,26 @@
 /// The minimum time between two recorded moments, in milliseconds.
 const MOMENT_INTERVAL_MS: u64 = 50;
 
-/// Most recorded moments: at their interval more than six seconds, longer than the maximum age of any
-/// view in use.
+/// Most recorded moments: at their interval more than six seconds, longer than the maximum age of
+/// any view in use.
 const MAX_MOMENTS: usize = 128;
 
 /// The maximum age of the records from which a node counts waiting jobs or plans for the fleet, in
-/// milliseconds: answers to callers may be two seconds old. A view without failures is updated within
-/// 1.2 s, which leaves time for a slow store.
+/// milliseconds: answers to callers may be two seconds old. A view without failures is updated
+/// within 1.2 s, which leaves time for a slow store.
 pub(crate) const RECORDS_MS: u64 = 2_000;
 
-/// The maximum age of the records by which a job is reported as not ended, in milliseconds: beyond that
-/// the store is read, as by nodes that do not mirror jobs.
+/// The maximum age of the records by which a job is reported as not ended, in milliseconds: beyond
+/// that the store is read, as by nodes that do not mirror jobs.
 pub(crate) const MAX_STATE_AGE_MS: u64 = 1_000;
 
-/// The maximum age of an owner's report of waiting jobs that is counted, in milliseconds: owners renew
-/// it each second, and it is received within another half.
+/// The maximum age of an owner's report of waiting jobs that is counted, in milliseconds: owners
+/// renew it each second, and it is received within another half.
 pub(crate) const WORD_MS: u64 = 2_000;
 
 /// The maximum age of the revision up to which an owner's report of waiting jobs is complete, in
-/// milliseconds: a job may take 3 s to be counted and answers to callers may be two seconds old, less
-/// the time to relay a request to another node.
+/// milliseconds: a job may take 3 s to be counted and answers to callers may be two seconds old,
+/// less the time to relay a request to another node.
 pub(crate) const COUNTED_MS: u64 = 3_500;
 
 /// Data that a node has and that is too old for its purpose.
@@ -77,7 +77,8 @@
 pub(crate) enum Extent {
     /// It has all changes up to a revision.
     Changes(Revision),
-    /// The same, but later changes may have been left out for their number: it gives no point in time.
+    /// The same, but later changes may have been left out for their number: it gives no point in
+    /// time.
     Cut(Revision),
     /// Nothing has changed up to a revision, nor until a moment.
     Quiet(Revision, Steady),
--- a/src/scheduler/view/heard.rs
+++ b/src/scheduler/view/heard.rs
@@ -1,10 +1,10 @@
 //! The newest known revision of each key, over all sources of changes.
 //!
 //! Several sources report the same keys: the mirror's watches, the watch of an owner, and reads in
-//! pages, which are no snapshot. They progress at different speeds, and each may repeat a change. For
-//! each key the change with the highest revision counts, even if it is a removal: the revision of a
-//! removal is kept until every source that covers the key has passed it, since an older change may
-//! arrive until then.
+//! pages, which are no snapshot. They progress at different speeds, and each may repeat a change.
+//! For each key the change with the highest revision counts, even if it is a removal: the revision
+//! of a removal is kept until every source that covers the key has passed it, since an older change
+//! may arrive until then.
 //!
 //! Memory: one entry for each existing key, as in the mirror itself, and one for each key that was
 //! removed after the revision that the slowest source has reached.
--- a/src/scheduler/view/waiting.rs
+++ b/src/scheduler/view/waiting.rs
@@ -1,5 +1,5 @@
-//! Counts the waiting jobs of a queue. A node does not answer from data so old that it may lack recent
-//! jobs.
+//! Counts the waiting jobs of a queue. A node does not answer from data so old that it may lack
+//! recent jobs.
 
 use std::collections::BTreeMap;
 
@@ -23,8 +23,8 @@
 /// The record of an owner's report of how many jobs of each queue have not begun.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct WordRecord {
-    /// The revision of the store up to which the owner knew its jobs. No queue has an empty name: earlier
-    /// versions, which read the record as counts by queue, do not write this revision.
+    /// The revision of the store up to which the owner knew its jobs. No queue has an empty name:
+    /// earlier versions, which read the record as counts by queue, do not write this revision.
     #[serde(rename = "", default, skip_serializing_if = "Option::is_none")]
     pub(crate) known: Option<Revision>,
     #[serde(flatten)]
@@ -52,8 +52,8 @@
 }
 
 impl View {
-    /// Counts the jobs of a queue none of whose tasks has begun: from their records, or else from the
-    /// reports of the pools' owners.
+    /// Counts the jobs of a queue none of whose tasks has begun: from their records, or else from
+    /// the reports of the pools' owners.
     pub(crate) fn pending(&self, queue: &Queue, now: Steady) -> Result<Counted, StaleData> {
         if self.is_whole() && self.ages.is_within(ROOT, RECORDS_MS, now) {
             return Ok(Counted { jobs: self.count(&queue.name), by: "records" });
