--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what a node knows of the store.
+//! Tests of a node's view of the store, its lease and ownerships, and the orders it sends.
 
 mod age;
 mod behind;
@@ -33,20 +33,20 @@
     scheduler::{drive::json, keys, view::View},
 };
 
-/// How long anything may take before a test gives up. No test passes or fails by time otherwise.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// How long a test waits for a condition. No test passes or fails by time otherwise.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Looks until something is there.
-async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+/// Polls `check` until it returns a value.
+async fn wait_for<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
+    let end = Instant::now() + TIMEOUT;
     loop {
-        if let Some(found) = look().await {
+        if let Some(found) = check().await {
             return found;
         }
-        assert!(Instant::now() < end, "{what}: not seen in time");
-        sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < end, "timed out waiting for {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -60,10 +60,10 @@
     Change { key, revision: Revision(revision), value: Some(value.into()) }
 }
 
-/// A prefix that is read in pages is watched from the first page on: changes that a later page has
-/// shown are told once more, older ones first.
+/// A prefix that is read in pages is watched from its first page on: the watch repeats changes that
+/// a later page has shown already, older ones first.
 #[test]
-fn progress_does_not_go_back_while_older_changes_are_told_again() {
+fn repeated_older_changes_do_not_revert_progress() {
     let mut view = View::default();
     view.apply(progress(JobState::Succeeded, 120));
     view.apply(progress(JobState::Running, 110));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_record_that_is_removed_stays_so_and_one_that_is_written_later_counts() {
+fn removals_and_writes_count_in_the_order_of_their_revisions() {
     let mut view = View::default();
     let key = keys::usage("pool-a");
     let write = |revision, value: Option<&str>| {
@@ -87,22 +87,22 @@
     assert!(view.usages.contains_key("pool-a"));
 }
 
-/// What was handed in of a job goes once its end is durable; callers are told of the end all the
-/// same, also by a node that reads it all anew.
+/// The submitted record of a job is removed once its end is durable. Callers still get the end,
+/// also from a node that has read all records anew.
 #[test]
-fn a_job_of_which_only_the_end_is_kept_is_known_as_ended() {
+fn a_job_with_only_a_final_progress_record_is_known_as_ended() {
     let mut view = View::default();
     view.apply(progress(JobState::Succeeded, 120));
     let known = &view.jobs[&job()];
     assert!(known.is_accepted());
     assert_eq!(known.state(), JobState::Succeeded);
-    assert!(known.stored(job()).is_none(), "no owner is told of it");
+    assert!(known.stored(job()).is_none(), "owners do not get the job");
 }
 
-/// Progress that is read before what was handed in tells of a job that was not accepted for all
-/// that this node knows.
+/// Progress may be read before the job's record: until then the node cannot presume that the job
+/// was accepted.
 #[test]
-fn progress_alone_does_not_tell_that_a_job_was_accepted() {
+fn progress_of_a_running_job_does_not_prove_that_it_was_accepted() {
     let mut view = View::default();
     view.apply(progress(JobState::Running, 120));
     assert!(!view.jobs[&job()].is_accepted());
--- a/src/scheduler/tests/clock.rs
+++ b/src/scheduler/tests/clock.rs
@@ -3,7 +3,7 @@
 use crate::scheduler::clock::Clock;
 
 #[test]
-fn a_process_that_looks_at_its_clock_has_not_stood_still() {
+fn a_process_that_reads_its_clock_often_was_not_paused() {
     let clock = Clock::new();
     for _ in 0..20 {
         clock.stand_still(400);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_process_that_stood_still_knows_since_when_it_goes_on() {
+fn the_clock_reports_when_a_paused_process_resumed() {
     let clock = Clock::new();
     let before = clock.now().steady;
     clock.stand_still(3_000);
@@ -21,5 +21,5 @@
     assert!(before.after(3_000) <= after);
     assert_eq!(clock.woke(), after);
     clock.now();
-    assert_eq!(clock.woke(), after, "it goes on since then");
+    assert_eq!(clock.woke(), after, "a later reading does not move it");
 }
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Tests of what pools ask for.
+//! Tests of the demand of pools.
 
 use std::collections::BTreeMap;
 
@@ -22,14 +22,14 @@
     tests::{fuzz, sample},
 };
 
-/// When jobs of these tests came, in milliseconds.
-const CAME: u64 = 1_000_000;
+/// When the jobs of these tests are accepted, in milliseconds.
+const ACCEPTED_MS: u64 = 1_000_000;
 
 fn pool() -> PoolId {
     "pool".parse().unwrap()
 }
 
-/// Two steps of ten tasks on four cores each, thought to take a second: in time within 3.8 s.
+/// Two steps of ten tasks on four cores each, estimated at one second: in time within 3.8 s.
 fn record() -> JobRecord {
     let need = Room { cpu: Millicores(4_000), memory: Megabytes(1), gpus: 0 };
     let step = Step { count: 10, need, estimate_ms: 1_000, ..Step::default() };
@@ -37,8 +37,8 @@
     JobRecord { stretch: 160, ..sample::record(steps) }
 }
 
-/// What a pool with one job asks for, so many milliseconds after the job came.
-fn asked(record: &JobRecord, progress: Option<Progress>, after: u64) -> Demand {
+/// The demand of a pool with one job, `after` milliseconds after the job was accepted.
+fn demand_after(record: &JobRecord, progress: Option<Progress>, after: u64) -> Demand {
     let id = JobId::from_number(1);
     let mut view = View::default();
     let mut write = |key, value: Vec<u8>| {
@@ -50,7 +50,7 @@
     }
     let pools = BTreeMap::from([(pool(), PoolRules { off: false, guards: true })]);
     let config = QueueConfig { version: 1, queues: vec![], pools };
-    demand::of_pools(&view, &config, Time::from_millis(CAME + after))[&pool()]
+    demand::of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + after))[&pool()]
 }
 
 fn first_step_done() -> Progress {
@@ -59,40 +59,40 @@
 }
 
 #[test]
-fn a_job_asks_for_the_step_whose_turn_has_come() {
-    let demand = asked(&record(), None, 100);
+fn the_demand_of_a_job_is_that_of_its_ready_step() {
+    let demand = demand_after(&record(), None, 100);
     assert_eq!((demand.cpu, demand.late, demand.ends), (40_000, 0, true));
 }
 
-/// Eighty core-seconds of work came within half a second: 160 cores keep up with that.
+/// Eighty core-seconds of work arrived within half a second: 160 cores keep up with that.
 #[test]
-fn what_came_lately_tells_how_much_it_takes_to_keep_up() {
-    let demand = asked(&record(), None, 100);
+fn recent_arrivals_give_the_cpu_that_keeps_up_with_them() {
+    let demand = demand_after(&record(), None, 100);
     assert_eq!((demand.arriving, demand.arrivals), (160_000, 1));
-    let later = asked(&record(), None, 600);
+    let later = demand_after(&record(), None, 600);
     assert_eq!((later.arriving, later.arrivals), (0, 0));
 }
 
 #[test]
 fn a_job_that_cannot_end_in_time_is_late_work() {
-    let waiting = |after| asked(&record(), None, after).late;
-    // Of the two seconds left, 1.2 are taken as certain.
-    assert_eq!((waiting(2_500), waiting(2_700)), (0, 40_000));
-    let half_done = |after| asked(&record(), Some(first_step_done()), after).late;
+    let not_begun = |after| demand_after(&record(), None, after).late;
+    // 1.2 s of the two seconds left are assumed to be needed.
+    assert_eq!((not_begun(2_500), not_begun(2_700)), (0, 40_000));
+    let half_done = |after| demand_after(&record(), Some(first_step_done()), after).late;
     assert_eq!((half_done(2_700), half_done(3_300)), (0, 40_000));
 }
 
 #[test]
-fn work_that_lasts_is_never_late() {
+fn long_running_work_is_never_late() {
     let mut record = record();
     record.steps.truncate(1);
     record.steps[0].lasting = true;
-    let demand = asked(&record, None, 100_000);
+    let demand = demand_after(&record, None, 100_000);
     assert_eq!((demand.cpu, demand.late, demand.ends), (40_000, 0, false));
 }
 
 /// A view with so many jobs of two steps.
-fn open(jobs: u64) -> View {
+fn view_of(jobs: u64) -> View {
     let mut view = View::default();
     for number in 0..jobs {
         let key = keys::job(&pool(), JobId::from_number(number));
@@ -107,27 +107,27 @@
     QueueConfig { version: 1, queues: vec![], pools }
 }
 
-/// The owner of the fleet's work counted all jobs anew ten times a second, with the view locked:
-/// 6.7 ms of a whole core at 3,000 open jobs, on a node that has half a core.
+/// The fleet's owner counted all jobs again ten times a second, with the view locked: 6.7 ms of a
+/// whole core at 3,000 open jobs, on a node that has half a core.
 #[test]
-fn steps_of_jobs_that_have_not_changed_are_not_looked_at_again() {
-    let (mut view, config) = (open(1_000), config());
+fn unchanged_steps_are_not_visited_again() {
+    let (mut view, config) = (view_of(1_000), config());
     let mut demands = Demands::default();
-    demands.of_pools(&view, &config, Time::from_millis(CAME + 100));
+    demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 100));
     demands.take_looks();
-    demands.of_pools(&view, &config, Time::from_millis(CAME + 200));
-    assert_eq!(demands.take_looks(), 0, "nothing has changed but the time");
+    demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 200));
+    assert_eq!(demands.take_looks(), 0, "only the time has changed");
     let value = Some(json(&first_step_done()).into());
     let key = keys::progress(JobId::from_number(7));
     view.apply(Change { key, revision: Revision(5_000), value });
-    demands.of_pools(&view, &config, Time::from_millis(CAME + 300));
+    demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 300));
     assert_eq!(demands.take_looks(), 2, "the steps of one job");
 }
 
-/// What happens to a job of four, or to the clock.
+/// An event of one of four jobs, or of the clock.
 #[derive(Debug, Clone, TypeGenerator)]
-enum Happens {
-    /// It is accepted, with tasks of its own, and times of its own if `repeats` are drawn.
+enum JobEvent {
+    /// The job is accepted; it has several occurrences if `repeats` is not 0.
     Accepted {
         job: u8,
         tasks: u8,
@@ -135,14 +135,14 @@
         lasting: bool,
         other_pool: bool,
     },
-    /// So many tasks of a step are done.
+    /// The first `tasks` tasks of a step are done.
     Done {
         job: u8,
         step: u8,
-        time: u8,
+        occurrence: u8,
         tasks: u8,
     },
-    /// Its progress cannot be read.
+    /// Its progress becomes unreadable.
     Garbled {
         job: u8,
     },
@@ -152,23 +152,23 @@
     },
     Cancelled {
         job: u8,
-        taken_back: bool,
+        withdrawn: bool,
     },
     /// Its records are removed.
     Removed {
         job: u8,
     },
-    Passed {
+    TimePasses {
         millis: u16,
     },
     /// The clock is set back.
-    SetBack {
+    ClockSetBack {
         millis: u16,
     },
 }
 
-/// A job as drawn.
-fn drawn_record(tasks: u8, repeats: u8, lasting: bool) -> JobRecord {
+/// The record of a generated job.
+fn generated_record(tasks: u8, repeats: u8, lasting: bool) -> JobRecord {
     let mut record = record();
     for step in &mut record.steps {
         step.count = u32::from(tasks % 12) + 1;
@@ -177,18 +177,18 @@
         (last.lasting, last.apart) = (lasting, u32::from(lasting));
     }
     record.repeats = u32::from(repeats % 4);
-    record.first = Time::from_millis(CAME + 1_000);
+    record.first = Time::from_millis(ACCEPTED_MS + 1_000);
     record.every_ms = 900;
     record
 }
 
 #[test]
-fn what_is_counted_on_is_what_is_counted_anew() {
-    fuzz(200, 40, |happens: &[Happens]| {
+fn incremental_demand_equals_recomputed_demand() {
+    fuzz(200, 40, |events: &[JobEvent]| {
         let (mut view, config) = (View::default(), config());
-        let (mut demands, mut wall) = (Demands::default(), CAME);
+        let (mut demands, mut wall) = (Demands::default(), ACCEPTED_MS);
         let mut steps: BTreeMap<u8, BTreeMap<String, StepNote>> = BTreeMap::new();
-        for (number, event) in happens.iter().enumerate() {
+        for (number, event) in events.iter().enumerate() {
             let revision = Revision(10 + number as u64);
             let id = |job: &u8| JobId::from_number(u64::from(job % 4));
             let mut write = |key, value: Option<Vec<u8>>| {
@@ -198,46 +198,46 @@
                 Some(json(&Progress { state, steps: steps.clone(), ..Progress::default() }))
             };
             match event {
-                Happens::Accepted { job, tasks, repeats, lasting, other_pool } => {
-                    let mut record = drawn_record(*tasks, *repeats, *lasting);
+                JobEvent::Accepted { job, tasks, repeats, lasting, other_pool } => {
+                    let mut record = generated_record(*tasks, *repeats, *lasting);
                     if *other_pool {
                         record.pool = "other".parse().unwrap();
                     }
                     write(keys::job(&pool(), id(job)), Some(json(&record)));
                 }
-                Happens::Done { job, step, time, tasks } => {
+                JobEvent::Done { job, step, occurrence, tasks } => {
                     let steps = steps.entry(job % 4).or_default();
                     let done = (0..u32::from(tasks % 12)).collect();
                     let note = StepNote { done, ..StepNote::default() };
-                    steps.insert(format!("{}.{}", time % 4, step % 3), note);
+                    steps.insert(format!("{}.{}", occurrence % 4, step % 3), note);
                     let value = progress(JobState::Running, steps);
                     write(keys::progress(id(job)), value);
                 }
-                Happens::Garbled { job } => write(keys::progress(id(job)), Some(b"{".to_vec())),
-                Happens::Ended { job } => {
+                JobEvent::Garbled { job } => write(keys::progress(id(job)), Some(b"{".to_vec())),
+                JobEvent::Ended { job } => {
                     let value = progress(JobState::Succeeded, &BTreeMap::new());
                     write(keys::progress(id(job)), value);
                 }
-                Happens::Cancelled { job, taken_back } => {
-                    write(keys::cancel(id(job)), (!taken_back).then(|| b"{}".to_vec()));
+                JobEvent::Cancelled { job, withdrawn } => {
+                    write(keys::cancel(id(job)), (!withdrawn).then(|| b"{}".to_vec()));
                 }
-                Happens::Removed { job } => {
+                JobEvent::Removed { job } => {
                     steps.remove(&(job % 4));
                     write(keys::progress(id(job)), None);
                     write(keys::job(&pool(), id(job)), None);
                 }
-                Happens::Passed { millis } => wall += u64::from(millis % 2_000),
-                Happens::SetBack { millis } => wall = wall.saturating_sub(u64::from(*millis)),
+                JobEvent::TimePasses { millis } => wall += u64::from(millis % 2_000),
+                JobEvent::ClockSetBack { millis } => wall = wall.saturating_sub(u64::from(*millis)),
             }
             let at = Time::from_millis(wall);
-            let counted = demands.of_pools(&view, &config, at);
-            assert_eq!(counted, by_each_step(&view, &config, at), "after {event:?}");
+            let incremental = demands.of_pools(&view, &config, at);
+            assert_eq!(incremental, recomputed(&view, &config, at), "after {event:?}");
         }
     });
 }
 
-/// What pools ask for, by going through each step of each job.
-fn by_each_step(view: &View, config: &QueueConfig, wall: Time) -> BTreeMap<PoolId, Demand> {
+/// The demand of each pool, by going through each step of each job.
+fn recomputed(view: &View, config: &QueueConfig, wall: Time) -> BTreeMap<PoolId, Demand> {
     let mut demands: BTreeMap<PoolId, Demand> =
         config.pools.keys().map(|pool| (pool.clone(), Demand::default())).collect();
     for job in view.jobs.values().filter(|job| !job.state().is_final()) {
@@ -245,19 +245,19 @@
             continue;
         };
         let demand = demands.entry(record.pool.clone()).or_default();
-        let done = |time: u32, step: u32| {
+        let done = |occurrence: u32, step: u32| {
             let steps = job.progress.as_ref().map(|at| &at.value.steps);
-            let note = steps.and_then(|steps| steps.get(&format!("{time}.{step}")));
+            let note = steps.and_then(|steps| steps.get(&format!("{occurrence}.{step}")));
             note.map_or(0, |note| note.done.len() as u32)
         };
         let (mut cpu, mut left_ms) = (0, 0);
-        for time in (0..record.times()).filter(|time| record.due(*time) <= wall) {
+        for occurrence in (0..record.times()).filter(|occurrence| record.due(*occurrence) <= wall) {
             for (number, step) in record.steps.iter().enumerate() {
-                let left = step.count.saturating_sub(done(time, number as u32));
+                let left = step.count.saturating_sub(done(occurrence, number as u32));
                 left_ms += if left != 0 { step.estimate_ms } else { 0 };
                 let waits = |earlier: &u32| {
                     let earlier_step = record.steps.get(*earlier as usize);
-                    earlier_step.is_some_and(|step| done(time, *earlier) < step.count)
+                    earlier_step.is_some_and(|step| done(occurrence, *earlier) < step.count)
                 };
                 if step.after.iter().any(waits) {
                     continue;
@@ -272,9 +272,9 @@
         let chain: u64 = record.steps.iter().map(|step| step.estimate_ms).sum();
         let objective = chain * u64::from(record.stretch) / 100 + record.target_ms;
         let age = wall.since(record.due(0)).as_millis() as u64;
-        // Six tenths of the declared work are taken as certain to be left.
-        let cannot = objective < age + left_ms * 60 / 100;
-        if cannot && !record.is_lasting() && record.times() == 1 {
+        // 60 % of the estimated work is assumed to be needed.
+        let is_late = objective < age + left_ms * 60 / 100;
+        if is_late && !record.is_lasting() && record.times() == 1 {
             demand.late += cpu;
         } else {
             demand.cpu += cpu;
--- a/src/scheduler/tests/foreign.rs
+++ b/src/scheduler/tests/foreign.rs
@@ -1,5 +1,5 @@
-//! Tests of entries that another writer wrote over ours or the workers': they name nothing to use,
-//! the others hold, and nothing that may run is started again because of them.
+//! Tests of entries that another writer has overwritten, ours or workers': no such entry is used,
+//! the others still count, and nothing that may run is started again because of them.
 
 use serde_json::{Value, json};
 
@@ -35,13 +35,13 @@
     bytes(&entry)
 }
 
-/// What another writer may have put in the place of a worker's entry.
+/// Values with which another writer may have replaced a worker's entry.
 fn unreadable() -> Vec<(&'static str, Vec<u8>)> {
     vec![
-        ("no bytes", vec![]),
-        ("no text", vec![0xff, 0xfe, 0x00, 0x80]),
-        ("no JSON", b"ready".to_vec()),
-        ("half of it", bytes(&server("h1"))[..40].to_vec()),
+        ("empty", vec![]),
+        ("not UTF-8", vec![0xff, 0xfe, 0x00, 0x80]),
+        ("not JSON", b"ready".to_vec()),
+        ("truncated", bytes(&server("h1"))[..40].to_vec()),
         ("another type", b"[]".to_vec()),
         ("null", b"null".to_vec()),
         ("no service", without("service")),
@@ -49,17 +49,17 @@
         ("no zone", without("zone")),
         ("no state", without("state")),
         ("a number as service", with("service", json!(7))),
-        ("a service that is no name", with("service", json!("a/b"))),
+        ("a service with an invalid name", with("service", json!("a/b"))),
         ("an empty service", with("service", json!(""))),
         ("a list as address", with("address", json!(["h1:80"]))),
         ("an empty address", with("address", json!(""))),
         ("a number as zone", with("zone", json!(1))),
-        ("another state", with("state", json!("resting"))),
+        ("an unknown state", with("state", json!("resting"))),
         ("a state in capitals", with("state", json!("READY"))),
         ("a number as state", with("state", json!(0))),
         ("a number as machine", with("machine", json!(4))),
-        ("a text as capacity", with("capacity", json!("much"))),
-        ("labels that are none", with("labels", json!({ "a": 1 }))),
+        ("a string as capacity", with("capacity", json!("much"))),
+        ("an object as labels", with("labels", json!({ "a": 1 }))),
     ]
 }
 
@@ -68,26 +68,30 @@
     view.apply(Change { key: key.to_owned(), revision: Revision(revision), value })
 }
 
-/// Such an entry was logged and the report before it stayed in force: the worker got work on.
+/// Such an entry was only logged, and the report before it stayed in force: the worker was still
+/// given work.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_worker_to_use_and_the_others_hold() {
+fn an_unreadable_entry_withdraws_its_worker_and_no_other() {
     for (what, value) in unreadable() {
         let mut view = View::default();
         put(&mut view, "servers/w1", 10, bytes(&server("h1")));
         put(&mut view, "servers/w2", 11, bytes(&server("h2")));
         let delta = put(&mut view, "servers/w1", 12, value);
-        assert!(delta.is_some(), "{what}: whoever uses the worker is told");
+        assert!(delta.is_some(), "{what}: the change is reported");
         assert!(!view.workers.contains_key(&worker("w1").worker), "{what}");
-        assert!(view.workers.contains_key(&worker("w2").worker), "{what}: the others hold");
+        assert!(
+            view.workers.contains_key(&worker("w2").worker),
+            "{what}: other workers are unaffected"
+        );
         let delta = put(&mut view, "servers/w1", 13, bytes(&server("h1")));
         assert!(matches!(delta, Some(Delta::Worker(_))), "{what}: used again, {delta:?}");
     }
 }
 
-/// A worker's life keeps its host, pool and address. An entry that says otherwise is not its own:
-/// it would have another pool's owner give it orders too, and calls go to another worker.
+/// An incarnation keeps its host, pool and address. An entry with others is not its own: another
+/// pool's owner would send it orders too, and calls would go to another worker.
 #[test]
-fn an_entry_with_the_place_of_another_worker_names_no_worker_to_use() {
+fn an_entry_with_another_address_host_or_pool_withdraws_its_worker() {
     let moved = [("address", "h2:80"), ("machine", "h2"), ("service", "other")];
     for (field, value) in moved {
         let mut view = View::default();
@@ -96,14 +100,14 @@
         assert!(delta.is_some(), "{field}");
         assert!(!view.workers.contains_key(&worker("w1").worker), "{field}");
         put(&mut view, "servers/w1", 13, bytes(&server("h1")));
-        assert!(view.workers.contains_key(&worker("w1").worker), "{field}: as it was");
+        assert!(view.workers.contains_key(&worker("w1").worker), "{field}: restored");
     }
 }
 
-/// The progress of a job that had ended was overwritten, and a later owner was told of the job as
-/// one that had not begun: all of it ran twice.
+/// The progress of an ended job was overwritten, and a later owner took the job for one that had
+/// not begun: all of it ran twice.
 #[test]
-fn a_job_whose_progress_cannot_be_read_is_not_told_as_new() {
+fn a_job_with_unreadable_progress_is_not_reported_as_new() {
     let mut view = View::default();
     let (job, pool) = (super::job(), "pool".parse().unwrap());
     put(&mut view, &keys::job(&pool, job), 10, bytes(&sample::record(vec![])));
@@ -111,44 +115,44 @@
     put(&mut view, &keys::progress(job), 11, b"garbage".to_vec());
     assert!(view.jobs[&job].stored(job).is_none(), "it waits");
     let delta = view.apply(super::progress(JobState::Running, 12));
-    assert!(matches!(delta, Some(Delta::Job(_))), "it is told once it can be read: {delta:?}");
+    assert!(matches!(delta, Some(Delta::Job(_))), "it is reported once it can be read: {delta:?}");
     assert!(view.jobs[&job].stored(job).is_some());
 }
 
-/// An end that was known stays known when another writer overwrites it.
+/// A known end is kept when another writer overwrites it.
 #[test]
-fn a_job_that_ended_stays_so_when_its_progress_cannot_be_read_any_more() {
+fn an_ended_job_stays_ended_when_its_progress_becomes_unreadable() {
     let mut view = View::default();
     view.apply(super::progress(JobState::Succeeded, 120));
     put(&mut view, &keys::progress(super::job()), 121, b"{}x".to_vec());
     assert_eq!(view.jobs[&super::job()].state(), JobState::Succeeded);
 }
 
-/// A later owner that finds no record of a worker takes it that nothing can run there.
+/// A later owner that finds no record of a worker presumes that nothing runs there.
 #[test]
-fn a_worker_whose_roster_record_cannot_be_read_is_still_reckoned_with() {
+fn a_worker_with_an_unreadable_roster_record_stays_in_the_roster() {
     let mut view = View::default();
     put(&mut view, &keys::roster("pool-a", &worker("w1")), 10, vec![]);
     let roster = view.roster("pool-a");
     assert_eq!(roster.iter().map(|report| &report.id).collect::<Vec<_>>(), [&worker("w1")]);
 }
 
-/// Nobody could take the pool up: the key was there, and no revision was known to write over.
+/// No node could acquire the pool: its key existed, and the revision to overwrite was not known.
 #[test]
-fn an_owner_that_cannot_be_read_can_be_succeeded() {
+fn an_unreadable_owner_record_can_be_replaced() {
     let mut view = View::default();
     put(&mut view, &keys::owner("pool-a"), 10, b"who?".to_vec());
     let owner = view.owners.get("pool-a").map(|owner| owner.revision);
     assert_eq!(owner, Some(Revision(10)));
-    assert!(!view.owns("pool-a", 9), "the one before has lost it");
+    assert!(!view.owns("pool-a", 9), "the previous owner has lost it");
 }
 
-/// A node that had just started knew of a worker only by an entry that named its own pool, which
-/// another writer had written. Its owner would have looked at a worker that runs another pool's
-/// tasks: ends of jobs that an owner does not know are acknowledged at once, and what was done
-/// there would have been started again by the pool's own owner.
+/// A node that had just started knew a worker only by an entry, written by another writer, that
+/// named the node's own pool. Its owner would have polled a worker that runs another pool's tasks:
+/// ends of jobs that an owner does not know are acknowledged at once, and the pool's own owner
+/// would have started these tasks again.
 #[test]
-fn a_worker_that_another_pool_keeps_is_no_worker_of_the_pool_in_its_entry() {
+fn a_worker_in_the_roster_of_another_pool_does_not_join_the_pool_in_its_entry() {
     let mut view = View::default();
     put(&mut view, "servers/w1", 10, with("service", json!("other")));
     assert!(!view.is_of_another("pool-other", &worker("w1")));
@@ -160,21 +164,21 @@
     assert!(view.rostered_by_others("pool-pool").is_empty());
 }
 
-/// A worker whose room changes while it runs says so in its entry, and in nothing else.
+/// A worker whose capacity changes while it runs reports that in its entry only.
 #[test]
-fn a_change_of_a_workers_room_alone_is_told() {
+fn a_change_of_only_the_capacity_is_reported() {
     let mut view = View::default();
-    let mut tell = |revision: u64, value: Vec<u8>| {
+    let mut apply = |revision: u64, value: Vec<u8>| {
         let (key, revision) = ("servers/w1".to_owned(), Revision(revision));
         let deltas = view.apply(Change { key, revision, value: Some(value.into()) });
-        let rooms = deltas.into_iter().filter_map(|delta| match delta {
+        let capacities = deltas.into_iter().filter_map(|delta| match delta {
             Delta::Worker(report) => Some(report.room.cpu.0),
             _ => None,
         });
-        rooms.collect::<Vec<u32>>()
+        capacities.collect::<Vec<u32>>()
     };
-    assert_eq!(tell(1, bytes(&server("h1"))), [1_000]);
-    assert_eq!(tell(3, with("capacity", json!({ "cpu": 400, "mem_mb": 100 }))), [400]);
-    assert_eq!(tell(2, bytes(&server("h1"))), [] as [u32; 0], "older news tells nothing");
-    assert_eq!(tell(4, bytes(&server("h1"))), [1_000]);
+    assert_eq!(apply(1, bytes(&server("h1"))), [1_000]);
+    assert_eq!(apply(3, with("capacity", json!({ "cpu": 400, "mem_mb": 100 }))), [400]);
+    assert_eq!(apply(2, bytes(&server("h1"))), [] as [u32; 0], "an older change reports nothing");
+    assert_eq!(apply(4, bytes(&server("h1"))), [1_000]);
 }
--- a/src/scheduler/tests/incarnations.rs
+++ b/src/scheduler/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! Tests of what the store tells of workers that start again under their name.
+//! Tests of the entries of workers that restart under their name.
 
 use std::collections::BTreeSet;
 
@@ -20,11 +20,11 @@
     },
 };
 
-fn entry(born: Option<u64>) -> Value {
+fn entry(start_time: Option<u64>) -> Value {
     let mut entry = json!({ "service": "pool", "address": "h1:80", "zone": "z1", "state": "ready",
         "machine": "h1", "labels": ["a", "r1"], "capacity": { "cpu": 1000, "mem_mb": 100 } });
-    if let Some(born) = born {
-        entry["born"] = json!(born);
+    if let Some(start_time) = start_time {
+        entry["born"] = json!(start_time);
     }
     entry
 }
@@ -34,40 +34,40 @@
     view.apply(Change { key, revision: Revision(revision), value })
 }
 
-fn told(delta: Option<Delta>) -> WorkerReport {
+fn reported(delta: Option<Delta>) -> WorkerReport {
     match delta {
         Some(Delta::Worker(report)) => report,
-        other => panic!("not told of a worker: {other:?}"),
+        other => panic!("no report of a worker: {other:?}"),
     }
 }
 
 #[test]
-fn an_entry_in_which_only_the_start_differs_is_news() {
+fn an_entry_with_only_another_start_time_is_a_change() {
     let mut view = View::default();
-    let first = told(put(&mut view, 10, &entry(Some(1_000))));
+    let first = reported(put(&mut view, 10, &entry(Some(1_000))));
     assert!(put(&mut view, 11, &entry(Some(1_000))).is_none());
-    let next = told(put(&mut view, 12, &entry(Some(2_000))));
+    let next = reported(put(&mut view, 12, &entry(Some(2_000))));
     assert_eq!((first.id.born, next.id.born), (Some(Born(1_000)), Some(Born(2_000))));
     assert_eq!(first.id.worker, next.id.worker);
 }
 
 #[test]
-fn another_incarnation_may_have_another_place_and_the_same_one_may_not() {
+fn a_new_incarnation_may_change_its_address_and_the_same_one_may_not() {
     let mut view = View::default();
     put(&mut view, 10, &entry(Some(1_000)));
     let mut moved = entry(Some(2_000));
     moved["address"] = json!("h2:80");
-    assert_eq!(told(put(&mut view, 11, &moved)).address, "h2:80");
+    assert_eq!(reported(put(&mut view, 11, &moved)).address, "h2:80");
     moved["address"] = json!("h3:80");
     assert!(matches!(put(&mut view, 12, &moved), Some(Delta::Barred(_))));
 }
 
 #[test]
-fn an_entry_that_tells_no_start_any_more_names_no_worker_to_use() {
+fn an_entry_that_loses_its_start_time_withdraws_its_worker() {
     let mut view = View::default();
     put(&mut view, 10, &entry(Some(1_000)));
     assert!(matches!(put(&mut view, 11, &entry(None)), Some(Delta::Barred(_))));
-    told(put(&mut view, 12, &entry(Some(1_000))));
+    reported(put(&mut view, 12, &entry(Some(1_000))));
 }
 
 #[test]
@@ -79,21 +79,21 @@
     }
 }
 
-/// What versions have kept that knew workers by their names only.
+/// Records of earlier versions, which identified workers only by their names.
 #[test]
-fn records_without_starts_are_read() {
+fn records_without_start_times_are_read() {
     let report = json!({ "id": "w1", "host": "h1", "pool": "pool", "address": "h1:80",
         "zone": "z1", "room": { "cpu": 1000, "memory": 100, "gpus": 0 }, "labels": [],
         "leaves_ms": null });
     let report: WorkerReport = serde_json::from_value(report).unwrap();
-    let known: Incarnation = "w1".parse().unwrap();
-    assert_eq!(report.id, known);
-    let away = json!({ "s": { "w1": ["0000000000000001.0.0.0"] } });
-    let away: Away = serde_json::from_value(away).unwrap();
-    assert!(away.silent.contains_key(&known));
+    let id: Incarnation = "w1".parse().unwrap();
+    assert_eq!(report.id, id);
+    let silent_workers = json!({ "s": { "w1": ["0000000000000001.0.0.0"] } });
+    let silent_workers: Away = serde_json::from_value(silent_workers).unwrap();
+    assert!(silent_workers.silent.contains_key(&id));
     let progress =
         json!({ "s": "r", "t": { "0.0": { "t": { "0": { "c": ["w1"], "d": ["w2"] } } } } });
     let progress = serde_json::from_value::<Progress>(progress);
     let notes = progress.unwrap().steps.remove("0.0").unwrap().tasks;
-    assert_eq!(notes[&0].crashed, BTreeSet::from([known]));
+    assert_eq!(notes[&0].crashed, BTreeSet::from([id]));
 }
--- a/src/scheduler/tests/links.rs
+++ b/src/scheduler/tests/links.rs
@@ -1,4 +1,4 @@
-//! Tests of the links over which other nodes make an owner's calls.
+//! Tests of the links over which delegates make an owner's calls.
 
 use std::{sync::Arc, time::Duration};
 
@@ -28,10 +28,10 @@
     },
 };
 
-/// Largest body that the worker reads.
+/// Largest request body that the worker reads, in bytes.
 const MAX_BODY: usize = 4_096;
 
-/// A worker that obeys, and tells the tokens that it hears.
+/// A worker that accepts every order, and reports the fencing tokens that it receives.
 struct Worker(mpsc::UnboundedSender<u64>);
 
 impl Endpoint for Worker {
@@ -44,7 +44,7 @@
     }
 }
 
-/// A node that carries out orders of others.
+/// A node that carries out other nodes' orders.
 struct Peer(Runners);
 
 impl Endpoint for Peer {
@@ -55,16 +55,16 @@
     }
 }
 
-/// Orders that wait for a link to open were sent whatever had become of their ownership meanwhile:
-/// only calls that a node makes itself asked before they were sent.
+/// Orders that waited for a link to open were sent even if their ownership had ended meanwhile: it
+/// was checked before sending only for calls that a node makes itself.
 #[tokio::test]
-async fn an_order_that_waits_for_its_link_is_not_sent_once_its_ownership_is_over() {
-    let (tokens, mut heard) = mpsc::unbounded_channel();
+async fn an_order_that_waits_for_its_link_is_not_sent_once_its_ownership_has_ended() {
+    let (tokens, mut received) = mpsc::unbounded_channel();
     let (listener, worker) = http::listen("127.0.0.1:0").await.unwrap();
     tokio::spawn(http::serve(listener, 16, Worker(tokens), http::Stop::default()));
     let (listener, peer) = http::listen("127.0.0.1:0").await.unwrap();
     tokio::spawn(http::serve(listener, 16, Peer(Runners::new()), http::Stop::default()));
-    let (ends, mut ended) = mpsc::unbounded_channel();
+    let (results, mut reported) = mpsc::unbounded_channel();
     let (mut links, now) = (Links::default(), Steady::default());
     let mut send = |token: u64, lease: &Arc<Lease>| {
         lease.renewed(1, now, Duration::from_millis(LEASE_MS), now);
@@ -72,28 +72,32 @@
         let to = Addressee { worker: "w1".parse().unwrap(), address: worker.to_string(), token };
         let of = StepId { job: JobId::from_number(token), time: 0, step: 0 };
         let effect = Effect::Stop { to, task: TaskId { of, index: 0 }, run: 1 };
-        let ends = ends.clone();
+        let results = results.clone();
         let order = Outgoing {
             effect,
             sent: now,
             may_go: Box::new(move || tenure.allows_orders(now)),
-            tell: Box::new(move |event, _| ends.send((token, event)).unwrap()),
+            tell: Box::new(move |event, _| results.send((token, event)).unwrap()),
         };
         links.send(peer, vec![order]);
     };
-    let (over, lasting) = (Arc::new(Lease::default()), Arc::new(Lease::default()));
-    send(1, &over);
-    send(2, &lasting);
-    // The link is opened by a task of its own, which has not begun.
-    over.ended();
-    let end = |event| match event {
+    let (ended_lease, current_lease) = (Arc::new(Lease::default()), Arc::new(Lease::default()));
+    send(1, &ended_lease);
+    send(2, &current_lease);
+    // The link is opened by a separate task, which has not run yet.
+    ended_lease.ended();
+    let result = |event| match event {
         Event::Stopped { end, .. } => end,
         other => panic!("{other:?}"),
     };
-    let (first, first_end) = ended.recv().await.unwrap();
-    assert_eq!((first, end(first_end)), (1, OrderEnd::Unsent));
-    let (second, second_end) = ended.recv().await.unwrap();
-    assert_eq!((second, end(second_end)), (2, OrderEnd::Done(1)));
-    assert_eq!(heard.try_recv(), Ok(2), "the worker hears only the order that may go");
-    assert!(heard.try_recv().is_err());
+    let (first, first_result) = reported.recv().await.unwrap();
+    assert_eq!((first, result(first_result)), (1, OrderEnd::Unsent));
+    let (second, second_result) = reported.recv().await.unwrap();
+    assert_eq!((second, result(second_result)), (2, OrderEnd::Done(1)));
+    assert_eq!(
+        received.try_recv(),
+        Ok(2),
+        "the worker receives only the order under the current lease"
+    );
+    assert!(received.try_recv().is_err());
 }
--- a/src/scheduler/tests/moments.rs
+++ b/src/scheduler/tests/moments.rs
@@ -1,4 +1,4 @@
-//! Tests of how old a view is known to be, with all times given.
+//! Tests of the age of a view, with all times given.
 
 use std::time::Duration;
 
@@ -31,30 +31,30 @@
 }
 
 #[test]
-fn an_answer_tells_of_what_was_written_before_its_call_was_sent() {
+fn an_answer_covers_writes_before_its_call_was_sent() {
     let mut ages = Ages::default();
-    assert_eq!(ages.as_of(ROOT), None, "nothing was heard yet");
+    assert_eq!(ages.as_of(ROOT), None, "nothing was received yet");
     changes(&mut ages, 100, 7);
     assert_eq!(ages.as_of(ROOT), Some(at(100)));
     assert_eq!(ages.of(ROOT, at(2_600)), Some(2_500));
     assert!(ages.is_within(ROOT, 2_500, at(2_600)) && !ages.is_within(ROOT, 2_499, at(2_600)));
-    assert_eq!(ages.as_of(ALL), None, "of this prefix only");
+    assert_eq!(ages.as_of(ALL), None, "another prefix is not affected");
 }
 
 #[test]
-fn an_answer_that_ends_below_a_revision_known_before_was_cut_and_is_as_old_as_before() {
+fn an_answer_that_ends_below_a_known_revision_leaves_the_age_as_it_was() {
     let mut ages = Ages::default();
     changes(&mut ages, 100, 7);
     ages.told(at(200), Revision(90));
     changes(&mut ages, 300, 40);
-    assert_eq!(ages.as_of(ROOT), Some(at(100)), "changes up to 90 were written by then");
+    assert_eq!(ages.as_of(ROOT), Some(at(100)), "changes up to 90 had been written by then");
     changes(&mut ages, 400, 90);
     assert_eq!(ages.as_of(ROOT), Some(at(400)));
 }
 
-/// Each answer is cut, and the store goes on meanwhile.
+/// Each answer is truncated, and the store's revision advances meanwhile.
 #[test]
-fn a_prefix_that_is_behind_is_known_as_of_when_the_store_stood_there() {
+fn a_lagging_prefix_is_as_old_as_the_moment_of_its_revision() {
     let mut ages = Ages::default();
     for step in 1..=20 {
         ages.told(at(1_000 * step), Revision(100 * step));
@@ -65,19 +65,19 @@
     assert_eq!(ages.of(ROOT, at(21_000)), Some(7_000));
 }
 
-/// A watch waits, and the store is told to stand where the prefix is.
+/// A watch waits, and other answers show that the store is still at the revision of the prefix.
 #[test]
-fn a_prefix_in_which_nothing_changes_does_not_age_while_the_store_stands_still() {
+fn an_unchanged_prefix_does_not_age_while_the_store_has_no_writes() {
     let mut ages = Ages::default();
     changes(&mut ages, 100, 7);
     ages.told(at(900), Revision(7));
     assert_eq!(ages.as_of(ROOT), Some(at(900)));
     ages.told(at(1_800), Revision(8));
-    assert_eq!(ages.as_of(ROOT), Some(at(900)), "what changed may be below this prefix");
+    assert_eq!(ages.as_of(ROOT), Some(at(900)), "the change may be below this prefix");
 }
 
 #[test]
-fn moments_are_forgotten_and_ages_are_not() {
+fn ages_outlast_the_moments_that_they_come_from() {
     let mut ages = Ages::default();
     changes(&mut ages, 100, 7);
     for step in 1..=10_000 {
@@ -91,22 +91,22 @@
 }
 
 #[test]
-fn a_watch_that_heard_of_nothing_reaches_as_far_as_it_waited() {
+fn an_empty_answer_covers_the_time_that_the_watch_waited() {
     let (ages, wait) = (Ages::default(), Duration::from_millis(800));
     let asked = ages.ask(at(1_000));
-    let quiet = Heard { changes: Vec::new(), at: Revision(5) };
-    let until = |answered| Extent::of_watch(asked, wait, &quiet, at(answered));
-    assert_eq!(until(1_803), Extent::Quiet(Revision(5), at(1_800)));
-    assert_eq!(until(4_000), Extent::Quiet(Revision(5), at(1_800)), "its answer was late");
-    assert_eq!(until(1_200), Extent::Quiet(Revision(5), at(1_000)), "it was cut");
+    let empty = Heard { changes: Vec::new(), at: Revision(5) };
+    let extent_at = |answered| Extent::of_watch(asked, wait, &empty, at(answered));
+    assert_eq!(extent_at(1_803), Extent::Quiet(Revision(5), at(1_800)));
+    assert_eq!(extent_at(4_000), Extent::Quiet(Revision(5), at(1_800)), "the answer was late");
+    assert_eq!(extent_at(1_200), Extent::Quiet(Revision(5), at(1_000)), "the watch was cut short");
     let change = Change { key: "ch/x".to_owned(), revision: Revision(5), value: None };
-    let told = Heard { changes: vec![change], at: Revision(5) };
-    let extent = Extent::of_watch(asked, wait, &told, at(1_803));
+    let changed = Heard { changes: vec![change], at: Revision(5) };
+    let extent = Extent::of_watch(asked, wait, &changed, at(1_803));
     assert_eq!(extent, Extent::Changes(Revision(5)));
 }
 
 #[test]
-fn what_an_owner_follows_begins_as_old_as_the_records() {
+fn the_watch_of_an_owner_starts_at_the_age_of_the_records() {
     let (mut ages, own) = (Ages::default(), "ch/work/pool-a/");
     changes(&mut ages, 100, 7);
     ages.begin(own, ROOT);
@@ -129,11 +129,12 @@
     }
 }
 
-/// The watch of what all nodes hear of tells of a word, or of nothing, by a call sent at a moment.
-fn word(view: &mut View, sent: u64, told: Option<(&str, u64)>) {
+/// The watch of the records for all nodes answers a call sent at `sent`, with a waiting report or
+/// with nothing.
+fn receive(view: &mut View, sent: u64, report: Option<(&str, u64)>) {
     let source = view.heard.open(ALL, Revision(0));
     let asked = view.ages.ask(at(sent));
-    let change = told.map(|(pool, jobs)| Change {
+    let change = report.map(|(pool, jobs)| Change {
         key: keys::queued(pool),
         revision: Revision(sent),
         value: Some(bytes(&json!({ "quotes": jobs })).into()),
@@ -143,46 +144,46 @@
 }
 
 #[test]
-fn words_are_added_up_while_all_that_name_the_queue_are_renewed() {
+fn reports_are_added_up_while_all_that_name_the_queue_are_renewed() {
     let mut view = View::default();
     let jobs = |view: &View, now| view.pending(&queue(), at(now)).ok().map(|counted| counted.jobs);
-    word(&mut view, 1_000, Some(("pool-b", 3)));
-    assert_eq!(jobs(&view, 1_100), None, "the pool's own word was not heard");
-    word(&mut view, 1_200, Some(("pool-a", 4)));
+    receive(&mut view, 1_000, Some(("pool-b", 3)));
+    assert_eq!(jobs(&view, 1_100), None, "the pool's own report was not received");
+    receive(&mut view, 1_200, Some(("pool-a", 4)));
     assert_eq!(jobs(&view, 1_300), Some(7));
-    word(&mut view, 2_500, Some(("pool-a", 5)));
+    receive(&mut view, 2_500, Some(("pool-a", 5)));
     assert_eq!(jobs(&view, 1_000 + WORD_MS), Some(8));
     assert_eq!(jobs(&view, 1_001 + WORD_MS), None, "the other pool's owner is gone");
-    word(&mut view, 3_500, Some(("pool-b", 1)));
+    receive(&mut view, 3_500, Some(("pool-b", 1)));
     assert_eq!(jobs(&view, 3_600), Some(6));
     assert_eq!(jobs(&view, 2_501 + WORD_MS), None, "this pool's owner is gone");
 }
 
 #[test]
-fn words_are_not_added_up_once_their_watch_has_fallen_silent() {
+fn reports_are_not_added_up_once_their_watch_has_fallen_silent() {
     let mut view = View::default();
-    word(&mut view, 1_000, Some(("pool-a", 4)));
-    let own = |view: &View, now| view.pending(&queue(), at(now)).is_ok();
-    assert!(own(&view, 1_000 + RECORDS_MS));
-    assert!(!own(&view, 1_001 + RECORDS_MS));
-    word(&mut view, 4_000, None);
-    assert!(!own(&view, 4_100), "the watch is back, and nobody has renewed the word");
+    receive(&mut view, 1_000, Some(("pool-a", 4)));
+    let is_counted = |view: &View, now| view.pending(&queue(), at(now)).is_ok();
+    assert!(is_counted(&view, 1_000 + RECORDS_MS));
+    assert!(!is_counted(&view, 1_001 + RECORDS_MS));
+    receive(&mut view, 4_000, None);
+    assert!(!is_counted(&view, 4_100), "the watch has recovered, and the report was not renewed");
     view.ages.told(at(4_200), Revision(9_000));
-    word(&mut view, 8_000, Some(("pool-a", 4)));
-    assert!(!own(&view, 8_100), "later words, also of other pools, were left out of the answer");
-    word(&mut view, 9_000, Some(("pool-a", 4)));
-    assert!(own(&view, 9_100));
+    receive(&mut view, 8_000, Some(("pool-a", 4)));
+    assert!(!is_counted(&view, 8_100), "the answer left out later reports, also of other pools");
+    receive(&mut view, 9_000, Some(("pool-a", 4)));
+    assert!(is_counted(&view, 9_100));
 }
 
 #[test]
-fn a_late_view_is_told_of_once_and_so_is_its_return() {
+fn a_stale_view_is_logged_once_and_so_is_its_recovery() {
     let mut lateness = Lateness::default();
-    let mut look = |age, now| lateness.look(age, at(now));
-    assert_eq!(look(RECORDS_MS, 10_000), None);
-    assert_eq!(look(RECORDS_MS + 1, 10_200), Some(Turn::Late { age_ms: RECORDS_MS + 1 }));
-    assert_eq!(look(RECORDS_MS + 201, 10_400), None);
-    assert_eq!(look(100, 10_600), None, "not two lines at once");
-    assert_eq!(look(100, 12_200), Some(Turn::Back { after_ms: 2_000 }));
-    assert_eq!(look(RECORDS_MS + 1, 12_400), None);
-    assert_eq!(look(RECORDS_MS + 1, 14_200), Some(Turn::Late { age_ms: RECORDS_MS + 1 }));
+    let mut check = |age, now| lateness.look(age, at(now));
+    assert_eq!(check(RECORDS_MS, 10_000), None);
+    assert_eq!(check(RECORDS_MS + 1, 10_200), Some(Turn::Late { age_ms: RECORDS_MS + 1 }));
+    assert_eq!(check(RECORDS_MS + 201, 10_400), None);
+    assert_eq!(check(100, 10_600), None, "no second line so soon");
+    assert_eq!(check(100, 12_200), Some(Turn::Back { after_ms: 2_000 }));
+    assert_eq!(check(RECORDS_MS + 1, 12_400), None);
+    assert_eq!(check(RECORDS_MS + 1, 14_200), Some(Turn::Late { age_ms: RECORDS_MS + 1 }));
 }
--- a/src/scheduler/tests/news.rs
+++ b/src/scheduler/tests/news.rs
@@ -1,6 +1,6 @@
-//! Tests of news that overtakes other news. Two watches and reads in pages tell a node of the same
-//! keys, none of them as far as the others: whatever comes last by revision counts, however late
-//! older news is told, and also once nothing is held of the key any more.
+//! Tests of changes that arrive out of order. Two watches and reads in pages report the same keys
+//! to a node, each up to another revision. The change with the highest revision counts, however
+//! late older ones arrive, also once the key has no record any more.
 
 use serde_json::{Value, json};
 
@@ -10,23 +10,23 @@
     scheduler::{keys, view::View},
 };
 
-/// One kind of record: its key, two values, and whether the view shows it.
+/// A kind of record: its key, two values, and whether the view shows it.
 struct Kind {
     key: String,
     first: Value,
     second: Value,
-    shows: fn(&View) -> bool,
+    is_shown: fn(&View) -> bool,
 }
 
 fn server(state: &str) -> Value {
     json!({ "service": "pool", "address": "h1:80", "zone": "z1", "state": state })
 }
 
-fn kind(key: &str, first: Value, second: Value, shows: fn(&View) -> bool) -> Kind {
-    Kind { key: key.to_owned(), first, second, shows }
+fn kind(key: &str, first: Value, second: Value, is_shown: fn(&View) -> bool) -> Kind {
+    Kind { key: key.to_owned(), first, second, is_shown }
 }
 
-fn of_node(name: &str) -> Value {
+fn owner_of(name: &str) -> Value {
     json!({ "node": name, "life": 1 })
 }
 
@@ -39,7 +39,7 @@
     let (job_key, cancel) =
         (keys::job(&"pool".parse().unwrap(), super::job()), keys::cancel(super::job()));
     let (one, two) = (json!({ "count": 1 }), json!({ "count": 2 }));
-    let empty = |mark: u64| json!({ "worker": "w1", "mark": mark });
+    let drained = |mark: u64| json!({ "worker": "w1", "mark": mark });
     let called = |token: u64| json!({ "token": token, "at": 1 });
     let wave = |done: bool| json!({ "hosts": [], "reported": done });
     let report = |leaves: Option<u64>| {
@@ -54,12 +54,14 @@
         kind(&cancel, json!(1), json!(2), |view| {
             view.jobs.get(&super::job()).is_some_and(|known| known.cancelled)
         }),
-        kind("ch/work/pool-a/owner", of_node("n1"), of_node("n2"), |view| !view.owners.is_empty()),
+        kind("ch/work/pool-a/owner", owner_of("n1"), owner_of("n2"), |view| {
+            !view.owners.is_empty()
+        }),
         kind("ch/term/pool-a", one, two, |view| !view.terms.is_empty()),
         kind("ch/leave/h1", json!({ "Upkeep": 3 }), json!({ "Upkeep": 4 }), |view| {
             !view.leaves.is_empty()
         }),
-        kind("ch/empty/h1", empty(1), empty(2), |view| !view.empties.is_empty()),
+        kind("ch/empty/h1", drained(1), drained(2), |view| !view.empties.is_empty()),
         kind("ch/wave/3", wave(false), wave(true), |view| !view.waves.is_empty()),
         kind("ch/usage/pool-a", json!({}), json!({ "i": ["h1"] }), |view| !view.usages.is_empty()),
         kind("ch/called/h1", called(1), called(2), |view| !view.called.is_empty()),
@@ -90,122 +92,123 @@
     }
 }
 
-/// The kinds of which a check does not hold.
-fn failing(holds: impl Fn(&Kind) -> bool) -> Vec<String> {
-    kinds().into_iter().filter(|kind| !holds(kind)).map(|kind| kind.key).collect()
+/// The keys of the kinds for which a check fails.
+fn failing(passes: impl Fn(&Kind) -> bool) -> Vec<String> {
+    kinds().into_iter().filter(|kind| !passes(kind)).map(|kind| kind.key).collect()
 }
 
 #[test]
-fn every_kind_is_shown_once_written_and_no_more_once_removed() {
+fn every_kind_of_record_is_shown_until_it_is_removed() {
     let failing = failing(|kind| {
         let mut view = View::default();
         kind.put(&mut view, 10, &kind.first);
-        let written = (kind.shows)(&view);
+        let written = (kind.is_shown)(&view);
         kind.remove(&mut view, 20);
-        let removed = !(kind.shows)(&view);
+        let removed = !(kind.is_shown)(&view);
         kind.put(&mut view, 30, &kind.second);
-        written && removed && (kind.shows)(&view)
+        written && removed && (kind.is_shown)(&view)
     });
     assert_eq!(failing, Vec::<String>::new());
 }
 
-/// A page that was read before a removal comes after the watch that told of the removal: the record
-/// was back until the watch of the pages had come as far, and whoever asked the view meanwhile took
-/// it for true. Nothing was held of the key by which the page could be told as older.
+/// A page that was read before a removal arrived after the watch had reported the removal: the
+/// record was shown again until the watch of the pages got there, since nothing was stored for the
+/// key by which the page could be told as older.
 #[test]
-fn what_was_removed_is_not_back_when_older_news_comes() {
+fn older_writes_do_not_restore_a_removed_record() {
     let failing = failing(|kind| {
         let mut view = View::default();
         kind.put(&mut view, 10, &kind.first);
         kind.remove(&mut view, 20);
         kind.put(&mut view, 10, &kind.first);
         kind.put(&mut view, 15, &kind.second);
-        !(kind.shows)(&view)
+        !(kind.is_shown)(&view)
     });
     assert_eq!(failing, Vec::<String>::new());
 }
 
-/// The same where only the removal was told by then.
+/// The same when the removal arrives before any write.
 #[test]
-fn what_was_removed_before_it_was_known_is_not_shown_when_older_news_comes() {
+fn older_writes_are_not_shown_when_the_removal_arrives_first() {
     let failing = failing(|kind| {
         let mut view = View::default();
         kind.remove(&mut view, 20);
         kind.put(&mut view, 10, &kind.first);
-        !(kind.shows)(&view)
+        !(kind.is_shown)(&view)
     });
     assert_eq!(failing, Vec::<String>::new());
 }
 
-/// A watch that lags tells of the removal of what has been written anew since.
+/// A lagging watch reports the removal of a record that has been written again since.
 #[test]
-fn an_older_removal_does_not_take_away_what_was_written_later() {
+fn an_older_removal_does_not_undo_a_later_write() {
     let failing = failing(|kind| {
         let mut view = View::default();
         kind.put(&mut view, 10, &kind.first);
         kind.put(&mut view, 30, &kind.second);
         kind.remove(&mut view, 20);
-        (kind.shows)(&view)
+        (kind.is_shown)(&view)
     });
     assert_eq!(failing, Vec::<String>::new());
 }
 
-/// Reads in pages tell that a key is not there any more at the revision of their first page; the
-/// watch goes on from there and may tell of older writes to it once more, by another source.
+/// A read in pages finds a key removed as of the revision of its first page; the watch goes on from
+/// there, and another source may repeat older writes of the key.
 #[test]
-fn what_pages_showed_as_gone_is_not_back_when_an_older_watch_tells_of_it() {
+fn a_lagging_watch_does_not_restore_what_a_paged_read_found_removed() {
     let failing = failing(|kind| {
         let mut view = View::default();
         kind.put(&mut view, 10, &kind.first);
         kind.remove(&mut view, 40);
         kind.put(&mut view, 20, &kind.second);
-        let back = (kind.shows)(&view);
+        let restored = (kind.is_shown)(&view);
         kind.remove(&mut view, 25);
         kind.put(&mut view, 50, &kind.second);
-        !back && (kind.shows)(&view)
+        !restored && (kind.is_shown)(&view)
     });
     assert_eq!(failing, Vec::<String>::new());
 }
 
-/// A worker that is to end was shown as ready again while its watch repeated what the pages had
-/// shown already, and got work meanwhile.
+/// A draining worker was shown as ready again while its watch repeated what the pages had shown
+/// already, and got work.
 #[test]
-fn a_worker_that_leaves_is_not_ready_again_when_older_news_comes() {
+fn older_writes_do_not_make_a_draining_worker_ready() {
     let mut view = View::default();
     let key = "servers/w1".to_owned();
-    let mut tell = |revision, state: &str| {
+    let mut apply = |revision, state: &str| {
         let value = Some(serde_json::to_vec(&server(state)).unwrap().into());
         view.apply(Change { key: key.clone(), revision: Revision(revision), value });
     };
-    tell(20, "draining");
-    tell(10, "ready");
+    apply(20, "draining");
+    apply(10, "ready");
     let worker = &view.workers[&"w1".parse().unwrap()];
     assert!(worker.value.leaves_ms.is_some());
 }
 
-/// A node's ownership has passed on, its own watch has told so, and a page from before that comes
-/// last: to the node its token held again, so that it went on giving orders until the mirror had
-/// come as far, though it had been told of its successor.
+/// A node had lost its ownership and its own watch had reported that; then an older page arrived,
+/// and the view showed its token as valid again. The node went on sending orders until the mirror
+/// caught up.
 #[test]
-fn an_owner_that_was_told_of_its_end_does_not_hold_again() {
+fn older_writes_do_not_restore_an_ended_ownership() {
     let mut view = View::default();
     let key = keys::owner("pool-a");
-    let mut tell = |revision, value: Option<Value>| {
+    let mut apply = |revision, value: Option<Value>| {
         let value = value.map(|value| serde_json::to_vec(&value).unwrap().into());
         view.apply(Change { key: key.clone(), revision: Revision(revision), value });
         view.owns("pool-a", 10)
     };
-    assert!(tell(10, Some(of_node("n1"))));
-    assert!(!tell(20, None));
-    assert!(!tell(10, Some(of_node("n1"))));
+    assert!(apply(10, Some(owner_of("n1"))));
+    assert!(!apply(20, None));
+    assert!(!apply(10, Some(owner_of("n1"))));
 }
 
-/// Only a configuration of a higher version counts, whatever its revision, and none is taken away.
+/// Only a configuration of a higher version counts, whatever its revision, and a removal is
+/// ignored.
 #[test]
-fn a_configuration_goes_neither_back_nor_away() {
+fn a_configuration_is_neither_reverted_nor_removed() {
     let mut view = View::default();
     let key = crate::platform::records::CONFIG_KEY.to_owned();
-    let mut tell = |revision, version: Option<u64>| {
+    let mut apply = |revision, version: Option<u64>| {
         let value = version.map(|version| {
             let value = json!({ "version": version, "routes": [], "services": [] });
             serde_json::to_vec(&value).unwrap().into()
@@ -213,13 +216,13 @@
         view.apply(Change { key: key.clone(), revision: Revision(revision), value });
         view.config.as_ref().map(|config| config.version)
     };
-    assert_eq!(tell(10, Some(7)), Some(7));
-    assert_eq!(tell(9, Some(6)), Some(7));
-    assert_eq!(tell(20, None), Some(7));
-    assert_eq!(tell(10, Some(7)), Some(7));
+    assert_eq!(apply(10, Some(7)), Some(7));
+    assert_eq!(apply(9, Some(6)), Some(7));
+    assert_eq!(apply(20, None), Some(7));
+    assert_eq!(apply(10, Some(7)), Some(7));
 }
 
-/// A removal is known until no source can tell of anything older, and no longer.
+/// A removal is remembered until no source can report anything older, and no longer.
 #[test]
 fn removals_are_forgotten_once_every_source_of_the_key_has_passed_them() {
     let mut view = View::default();
@@ -235,13 +238,17 @@
     worker.put(&mut view, 11, &worker.first);
     worker.remove(&mut view, 21);
     view.heard.passed(mirror, at(20));
-    assert_eq!(view.heard.removals(), 2, "the owner's own watch may repeat the first");
+    assert_eq!(
+        view.heard.removals(),
+        2,
+        "the owner's own watch may repeat the removal of the owner"
+    );
     owner.put(&mut view, 10, &owner.first);
     assert!(view.owners.is_empty());
     view.heard.passed(own, at(19));
     assert_eq!(view.heard.removals(), 2);
     view.heard.close(own);
-    assert_eq!(view.heard.removals(), 1, "the workers' watch says nothing of owners");
+    assert_eq!(view.heard.removals(), 1, "the watch of workers does not cover owners");
     view.heard.passed(workers, at(30));
     assert_eq!(view.heard.removals(), 0);
     worker.put(&mut view, 40, &worker.first);
@@ -250,5 +257,8 @@
     view.heard.passed(workers, at(50));
     assert_eq!(view.heard.removals(), 0);
     worker.put(&mut view, 42, &worker.second);
-    assert!(view.workers[&"w1".parse().unwrap()].value.leaves_ms.is_none(), "it is still known");
+    assert!(
+        view.workers[&"w1".parse().unwrap()].value.leaves_ms.is_none(),
+        "the worker is still shown as first written"
+    );
 }
--- a/src/scheduler/tests/orders.rs
+++ b/src/scheduler/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Tests of what nodes say to each other of orders.
+//! Tests of the wire format of orders and answers between nodes.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
     tests::fuzz,
 };
 
-/// An order or an answer, as it is drawn.
+/// Random input from which an order or an answer is made.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
-struct Drawn {
+struct Sample {
     kind: u8,
     worker: u8,
     token: u8,
@@ -28,37 +28,37 @@
     number: u16,
 }
 
-fn addressee(drawn: &Drawn) -> Addressee {
-    let worker = drawn.worker % 5;
+fn addressee(sample: &Sample) -> Addressee {
+    let worker = sample.worker % 5;
     Addressee {
         worker: format!("w{worker}").parse().unwrap(),
         address: format!("10.0.0.{worker}:80"),
-        token: u64::from(drawn.token % 3),
+        token: u64::from(sample.token % 3),
     }
 }
 
-fn task(drawn: &Drawn) -> TaskId {
-    let job = JobId::from_number(u64::MAX - u64::from(drawn.task));
-    let of = StepId { job, time: u32::from(drawn.kind), step: u32::from(drawn.worker) };
-    TaskId { of, index: u32::from(drawn.number) }
+fn task(sample: &Sample) -> TaskId {
+    let job = JobId::from_number(u64::MAX - u64::from(sample.task));
+    let of = StepId { job, time: u32::from(sample.kind), step: u32::from(sample.worker) };
+    TaskId { of, index: u32::from(sample.number) }
 }
 
-fn effect(drawn: &Drawn) -> Effect {
-    let (to, task, run) = (addressee(drawn), task(drawn), u32::from(drawn.number));
-    match drawn.kind % 4 {
+fn effect(sample: &Sample) -> Effect {
+    let (to, task, run) = (addressee(sample), task(sample), u32::from(sample.number));
+    match sample.kind % 4 {
         0 => Effect::Start {
             to,
             start: Start {
                 task,
                 run,
-                payload: format!("payload {}", drawn.task % 3).into(),
-                until_ms: u64::from(drawn.number) << 20,
-                checkpoint: if drawn.token.is_multiple_of(2) {
+                payload: format!("payload {}", sample.task % 3).into(),
+                until_ms: u64::from(sample.number) << 20,
+                checkpoint: if sample.token.is_multiple_of(2) {
                     String::new()
                 } else {
-                    "saved".into()
+                    "checkpoint".into()
                 },
-                ticket: if drawn.worker.is_multiple_of(2) {
+                ticket: if sample.worker.is_multiple_of(2) {
                     String::new()
                 } else {
                     "ticket".into()
@@ -66,21 +66,21 @@
             },
         },
         1 => Effect::Stop { to, task, run },
-        2 => Effect::Pace { to, task, run, percent: u32::from(drawn.worker) % 101 },
+        2 => Effect::Pace { to, task, run, percent: u32::from(sample.worker) % 101 },
         _ => Effect::Look {
             to,
-            acknowledged: u64::from(drawn.number),
-            until_ms: (drawn.token.is_multiple_of(2)).then_some(u64::from(drawn.number)),
-            wait: Duration::from_millis(u64::from(drawn.number)),
+            acknowledged: u64::from(sample.number),
+            until_ms: (sample.token.is_multiple_of(2)).then_some(u64::from(sample.number)),
+            wait: Duration::from_millis(u64::from(sample.number)),
         },
     }
 }
 
-fn answer(drawn: &Drawn) -> Answer {
-    let clock = u64::from(drawn.number);
-    let whys = [Refusal::Fenced, Refusal::Old, Refusal::Late, Refusal::Room, Refusal::Ticket];
-    let why = whys[drawn.task as usize % whys.len()];
-    match drawn.kind % 5 {
+fn answer(sample: &Sample) -> Answer {
+    let clock = u64::from(sample.number);
+    let refusals = [Refusal::Fenced, Refusal::Old, Refusal::Late, Refusal::Room, Refusal::Ticket];
+    let why = refusals[sample.task as usize % refusals.len()];
+    match sample.kind % 5 {
         0 => Answer::End(OrderEnd::Done(clock)),
         1 => Answer::End(OrderEnd::Unknown),
         2 => Answer::End(OrderEnd::Unsent),
@@ -88,22 +88,22 @@
             why,
             clock_ms: (clock.is_multiple_of(2)).then_some(clock),
         }),
-        _ => Answer::Look(OrderEnd::Done(look(drawn, clock))),
+        _ => Answer::Look(OrderEnd::Done(poll_response(sample, clock))),
     }
 }
 
-fn look(drawn: &Drawn, clock_ms: u64) -> Look {
-    let (task, run) = (task(drawn), u32::from(drawn.number));
-    let saved = "saved".to_owned();
-    let present = Present { task, run, saved: saved.clone(), percent: 7, gauge: clock_ms };
-    let hows = [HowEnded::Done, HowEnded::Failed, HowEnded::Stopped, HowEnded::Alone];
-    let how = hows[drawn.token as usize % hows.len()];
-    let ended = Ended { number: clock_ms, task, run, how, saved };
+fn poll_response(sample: &Sample, clock_ms: u64) -> Look {
+    let (task, run) = (task(sample), u32::from(sample.number));
+    let checkpoint = "checkpoint".to_owned();
+    let present = Present { task, run, saved: checkpoint.clone(), percent: 7, gauge: clock_ms };
+    let outcomes = [HowEnded::Done, HowEnded::Failed, HowEnded::Stopped, HowEnded::Alone];
+    let how = outcomes[sample.token as usize % outcomes.len()];
+    let ended = Ended { number: clock_ms, task, run, how, saved: checkpoint };
     Look {
-        born: drawn.number.is_multiple_of(2).then_some(Born(clock_ms)),
+        born: sample.number.is_multiple_of(2).then_some(Born(clock_ms)),
         clock_ms,
-        present: vec![present; drawn.task as usize % 3],
-        ended: vec![ended; drawn.token as usize % 3],
+        present: vec![present; sample.task as usize % 3],
+        ended: vec![ended; sample.token as usize % 3],
     }
 }
 
@@ -113,55 +113,56 @@
     ciborium::from_reader(&bytes[..]).unwrap()
 }
 
-/// Whatever orders go out, in whichever batches, the same ones come in.
+/// All orders arrive as they were sent, in whatever batches.
 #[test]
-fn orders_come_as_they_were_given() {
-    fuzz(200, 40, |all: &[Drawn]| {
+fn orders_survive_the_wire_format() {
+    fuzz(200, 40, |all: &[Sample]| {
         let (mut namer, mut names) = (Namer::default(), Names::default());
         for part in all.chunks(7) {
-            let given: Vec<Effect> = part.iter().map(effect).collect();
-            let numbered = given.iter().enumerate().map(|(number, one)| (number as u32, one));
+            let sent: Vec<Effect> = part.iter().map(effect).collect();
+            let numbered = sent.iter().enumerate().map(|(number, one)| (number as u32, one));
             let batch: Batch = cbor(&wire::batch(&mut namer, numbered));
-            let mut come = wire::orders(&mut names, batch);
-            come.sort_by_key(|order| order.number);
-            let come: Vec<String> = come.iter().map(|o| format!("{:?}", o.effect)).collect();
-            let given: Vec<String> = given.iter().map(|one| format!("{one:?}")).collect();
-            assert_eq!(come, given);
+            let mut received = wire::orders(&mut names, batch);
+            received.sort_by_key(|order| order.number);
+            let received: Vec<String> =
+                received.iter().map(|o| format!("{:?}", o.effect)).collect();
+            let sent: Vec<String> = sent.iter().map(|one| format!("{one:?}")).collect();
+            assert_eq!(received, sent);
         }
     });
 }
 
 #[test]
-fn answers_come_as_they_were_given() {
-    fuzz(200, 20, |all: &[Drawn]| {
+fn answers_survive_the_wire_format() {
+    fuzz(200, 20, |all: &[Sample]| {
         let mut answers = Answers::default();
-        for (number, drawn) in all.iter().enumerate() {
-            add_answer(&mut answers, number as u32, answer(drawn));
+        for (number, sample) in all.iter().enumerate() {
+            add_answer(&mut answers, number as u32, answer(sample));
         }
-        let mut come = read_answers(cbor(&answers));
-        come.sort_by_key(|(number, _)| *number);
-        let come: Vec<Answer> = come.into_iter().map(|(_, answer)| answer).collect();
-        let given: Vec<Answer> = all.iter().map(answer).collect();
-        assert_eq!(come, given);
+        let mut received = read_answers(cbor(&answers));
+        received.sort_by_key(|(number, _)| *number);
+        let received: Vec<Answer> = received.into_iter().map(|(_, answer)| answer).collect();
+        let sent: Vec<Answer> = all.iter().map(answer).collect();
+        assert_eq!(received, sent);
     });
 }
 
-/// A row that names a worker which was not told is left out, and the others count.
+/// A row that names a worker which was not announced is dropped, and the others count.
 #[test]
-fn an_order_for_a_worker_that_was_not_told_is_left_out() {
-    let drawn = Drawn { kind: 1, worker: 1, token: 1, task: 1, number: 1 };
-    let mut batch = wire::batch(&mut Namer::default(), [(7, &effect(&drawn))].into_iter());
+fn an_order_that_names_an_unannounced_worker_is_dropped() {
+    let sample = Sample { kind: 1, worker: 1, token: 1, task: 1, number: 1 };
+    let mut batch = wire::batch(&mut Namer::default(), [(7, &effect(&sample))].into_iter());
     batch.workers.clear();
     assert!(wire::orders(&mut Names::default(), batch).is_empty());
 }
 
-/// A newer node may know ends that this one does not. Without such an end the run would be on no
-/// list, and would be taken for gone: the look tells nothing instead.
+/// A newer node may report outcomes that this one does not support. Without such an end the run
+/// would be on no list and presumed ended; so the whole response is discarded.
 #[test]
-fn a_look_with_an_end_that_is_not_understood_tells_nothing() {
-    let drawn = Drawn { kind: 4, worker: 1, token: 1, task: 1, number: 1 };
+fn a_poll_response_with_an_unsupported_outcome_counts_as_unknown() {
+    let sample = Sample { kind: 4, worker: 1, token: 1, task: 1, number: 1 };
     let mut answers = Answers::default();
-    add_answer(&mut answers, 7, Answer::Look(OrderEnd::Done(look(&drawn, 5))));
+    add_answer(&mut answers, 7, Answer::Look(OrderEnd::Done(poll_response(&sample, 5))));
     let mut bytes = Vec::new();
     ciborium::into_writer(&answers, &mut bytes).unwrap();
     let mut value: ciborium::Value = ciborium::from_reader(&bytes[..]).unwrap();
@@ -170,6 +171,6 @@
     ended.as_array_mut().unwrap()[3] = 99.into();
     let mut bytes = Vec::new();
     ciborium::into_writer(&value, &mut bytes).unwrap();
-    let come = read_answers(ciborium::from_reader(&bytes[..]).unwrap());
-    assert_eq!(come, vec![(7, Answer::Look(OrderEnd::Unknown))]);
+    let received = read_answers(ciborium::from_reader(&bytes[..]).unwrap());
+    assert_eq!(received, vec![(7, Answer::Look(OrderEnd::Unknown))]);
 }
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -1,5 +1,5 @@
-//! Tests of how long an ownership lasts, over real sockets: nodes' parts, the stand-in's store and
-//! workers, and a gate before one node's store.
+//! Tests of how long an ownership lasts, over real sockets: parts of nodes, the stand-in's store
+//! and workers, and a proxy before one node's store.
 
 use std::{
     sync::{
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 use tokio::sync::{mpsc, watch};
 
-use super::until;
+use super::wait_for;
 use crate::{
     http,
     model::{
@@ -43,12 +43,12 @@
     tests::sample,
 };
 
-/// How long a call of the store may take.
-const STORE_LIMIT: Duration = Duration::from_millis(700);
-/// A token above all that a test sees.
-const LAST: u64 = u64::MAX;
-/// How long a task takes that is to run on for the whole test, in milliseconds, as its payload.
-const WORK: &str = "600000";
+/// Timeout of a call of the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(700);
+/// A fencing token above all that a test sees.
+const MAX_TOKEN: u64 = u64::MAX;
+/// Payload of a task that runs for the whole test: its duration in milliseconds.
+const TASK_MS: &str = "600000";
 
 fn pool() -> PoolId {
     "work".parse().unwrap()
@@ -58,7 +58,7 @@
     "00000000000000a1".parse().unwrap()
 }
 
-/// The stand-in, with a job of one task that takes long.
+/// The stand-in, with a job of one long task.
 struct Site {
     address: String,
     client: Client,
@@ -73,7 +73,7 @@
                 .await
                 .unwrap();
         let client = Client::builder().no_proxy().build().unwrap();
-        let kv = Kv::new(&running.address, STORE_LIMIT, |_, _, _| {});
+        let kv = Kv::new(&running.address, STORE_TIMEOUT, |_, _, _| {});
         let site = Site { address: running.address, client, kv };
         let config = json!({
             "version": 1, "routes": [],
@@ -94,32 +94,33 @@
         self.client.get(url).send().await.unwrap().json().await.unwrap()
     }
 
-    async fn hand_in(&self) {
+    async fn submit(&self) {
         let need = Room { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 1, need, estimate_ms: 600_000, ..Step::default() };
         let mut record = sample::record(vec![step]);
-        (record.pool, record.payload, record.accepted) = (pool(), WORK.into(), Time::now());
+        (record.pool, record.payload, record.accepted) = (pool(), TASK_MS.into(), Time::now());
         let txn = Txn::default()
             .put(keys::id(job()), pool().to_string())
             .put(keys::job(&pool(), job()), json(&record));
         self.kv.commit(&txn).await.unwrap();
     }
 
-    /// The revision of a record; nothing if there is none.
+    /// The revision of a record; `None` if there is none.
     async fn revision(&self, key: &str) -> Option<Revision> {
         let (items, _) = self.kv.range(key).await.unwrap();
         items.iter().find(|item| item.key == key).map(|item| item.revision)
     }
 
-    /// The pool's ownership.
+    /// The fencing token of the pool's owner.
     async fn token(&self) -> Option<u64> {
         Some(self.revision(&keys::owner(&keys::pool(&pool()))).await?.0)
     }
 
-    /// Waits until the job's task runs and that is written; the token under which it does.
-    async fn until_running(&self) -> u64 {
+    /// Waits until the job's task runs and its progress is written; returns the token under which
+    /// it runs.
+    async fn wait_until_running(&self) -> u64 {
         let progress = keys::progress(job());
-        until("the job to run", async || {
+        wait_for("the job to run", async || {
             let starts = self.get("counted").await["starts"] == json!(1);
             (starts && self.revision(&progress).await.is_some()).then_some(())
         })
@@ -127,12 +128,12 @@
         self.token().await.unwrap()
     }
 
-    /// How many orders a worker has heard under a token.
-    async fn heard(&self, worker: usize, token: u64) -> u64 {
+    /// How many orders a worker has received under a token.
+    async fn orders_received(&self, worker: usize, token: u64) -> u64 {
         let all = self.get("heard").await;
         let mut all = all.as_array().unwrap().iter();
-        let mine = all.find(|one| one["worker"] == json!(worker) && one["token"] == json!(token));
-        mine.map_or(0, |one| one["orders"].as_u64().unwrap())
+        let entry = all.find(|one| one["worker"] == json!(worker) && one["token"] == json!(token));
+        entry.map_or(0, |one| one["orders"].as_u64().unwrap())
     }
 
     async fn end_lease(&self, lease: LeaseId) {
@@ -140,7 +141,7 @@
     }
 }
 
-/// A node that reaches the store at an address.
+/// Starts a node that reaches the store at an address.
 fn join(name: &str, store: &str, hosts: &str) -> Arc<Node> {
     let unused = "127.0.0.1:1";
     let settings = json!({
@@ -150,7 +151,7 @@
     });
     let settings = parse("settings", &settings.to_string()).unwrap();
     let (accepting, waiting) = accept::queue();
-    let kv = Kv::new(store, STORE_LIMIT, |_, _, _| {});
+    let kv = Kv::new(store, STORE_TIMEOUT, |_, _, _| {});
     let node = node(settings, kv, Arc::new(Metrics::new()), accepting);
     let (lease, (to, from)) = (Arc::new(Lease::default()), mpsc::unbounded_channel());
     tokio::spawn(lease::keep(node.clone(), lease.clone()));
@@ -160,132 +161,139 @@
     node
 }
 
-/// A way to the store that can hold the answers of watches, and lets all else through.
+/// A proxy before the store that can hold back the answers of watches, and forwards all others.
 #[derive(Clone)]
-struct Gate {
+struct StoreProxy {
     client: Client,
-    behind: String,
-    holds: watch::Sender<bool>,
+    store: String,
+    holds_watches: watch::Sender<bool>,
     /// The lease that was last granted or renewed.
     lease: Arc<AtomicI64>,
-    /// The last lease under which the pool was reached for.
-    reached: Arc<AtomicI64>,
+    /// The last lease under which a node tried to acquire the pool.
+    acquiring_lease: Arc<AtomicI64>,
 }
 
-impl Gate {
-    /// The gate, and its address.
-    async fn before(address: &str) -> (Gate, String) {
+impl StoreProxy {
+    /// Starts a proxy; returns it and its address.
+    async fn start(address: &str) -> (StoreProxy, String) {
         let (listener, own) = http::listen("127.0.0.1:0").await.unwrap();
-        let gate = Gate {
+        let proxy = StoreProxy {
             client: Client::builder().no_proxy().build().unwrap(),
-            behind: address.to_owned(),
-            holds: watch::Sender::new(false),
+            store: address.to_owned(),
+            holds_watches: watch::Sender::new(false),
             lease: Arc::default(),
-            reached: Arc::default(),
+            acquiring_lease: Arc::default(),
         };
-        tokio::spawn(http::serve(listener, 256, gate.clone(), http::Stop::default()));
-        (gate, own.to_string())
+        tokio::spawn(http::serve(listener, 256, proxy.clone(), http::Stop::default()));
+        (proxy, own.to_string())
     }
 
     fn lease(&self) -> LeaseId {
         self.lease.load(Ordering::Acquire)
     }
 
-    /// Takes note of what passes.
-    fn note(&self, path: &str, asked: &[u8], told: &[u8]) {
-        if let Some(kept) = path.strip_prefix("/-/kv-keep/") {
-            self.lease.store(kept.parse().unwrap(), Ordering::Release);
+    /// Records the leases in a request and its answer.
+    fn record(&self, path: &str, request: &[u8], answer: &[u8]) {
+        if let Some(lease) = path.strip_prefix("/-/kv-keep/") {
+            self.lease.store(lease.parse().unwrap(), Ordering::Release);
         }
-        let read = |bytes: &[u8]| serde_json::from_slice::<Value>(bytes).unwrap_or_default();
+        let parsed = |json: &[u8]| serde_json::from_slice::<Value>(json).unwrap_or_default();
         if path == "/-/kv-lease" {
-            self.lease.store(read(told)["lease"].as_i64().unwrap(), Ordering::Release);
+            self.lease.store(parsed(answer)["lease"].as_i64().unwrap(), Ordering::Release);
         }
         let owner = keys::owner(&keys::pool(&pool()));
-        let puts = read(asked)["put"].as_array().cloned().unwrap_or_default();
+        let puts = parsed(request)["put"].as_array().cloned().unwrap_or_default();
         if let Some(put) = puts.iter().find(|put| put["private_key"] == json!(owner)) {
-            self.reached.store(put["lease"].as_i64().unwrap_or_default(), Ordering::Release);
+            self.acquiring_lease
+                .store(put["lease"].as_i64().unwrap_or_default(), Ordering::Release);
         }
     }
 }
 
-impl Endpoint for Gate {
+impl Endpoint for StoreProxy {
     type Output = Response;
 
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
         let (path, uri) = (request.uri().path().to_owned(), request.uri().clone());
-        let url = format!("http://{}{}", self.behind, uri.path_and_query().unwrap());
+        let url = format!("http://{}{}", self.store, uri.path_and_query().unwrap());
         let body = request.take_body().into_bytes().await.unwrap();
-        let sent = match *request.method() {
+        let forwarded = match *request.method() {
             Method::POST => self.client.post(url).header("Content-Type", "application/json"),
             _ => self.client.get(url),
         };
-        let answer = sent.body(body.clone()).send().await.unwrap();
-        let (status, told) = (answer.status(), answer.bytes().await.unwrap());
+        let answer = forwarded.body(body.clone()).send().await.unwrap();
+        let (status, bytes) = (answer.status(), answer.bytes().await.unwrap());
         if status == StatusCode::OK || path.ends_with("-txn") {
-            self.note(&path, &body, &told);
+            self.record(&path, &body, &bytes);
         }
         if path.ends_with("-watch") {
-            self.holds.subscribe().wait_for(|holds| !holds).await.unwrap();
+            self.holds_watches.subscribe().wait_for(|holds_watches| !holds_watches).await.unwrap();
         }
-        Ok(Response::builder().status(status).body(told))
+        Ok(Response::builder().status(status).body(bytes))
     }
 }
 
-/// What users saw: a task that must run once ran on two hosts at a time. The store had ended the
-/// lease of the pool's owner; its watches hung, and its calls for leases were answered. It took a
-/// new lease at once, and gave orders on by what it had won under the old one. Another node won the
-/// pool and reached only hosts that the first one did not. Those that it did not reach it took for
-/// quiet once the longest time was over that an earlier owner may go on, and it started the task
-/// anew; there it still ran, since the first node went on looking at it.
+/// A task that must run once ran on two hosts at a time. The store had ended the lease of the
+/// pool's owner, whose watches hung while its calls for leases were answered. It took a new lease
+/// at once, and went on sending orders under the ownership that it had acquired under the old one.
+/// Another node acquired the pool and reached only hosts that the first one did not. It assumed
+/// that the others had stopped after the longest time for which an earlier owner may send orders,
+/// and started the task anew; it still ran there, since the first node went on polling that worker.
 #[tokio::test]
-async fn a_task_runs_once_though_the_owner_whose_lease_is_over_takes_a_new_one() {
+async fn a_task_runs_once_when_the_owner_replaces_its_ended_lease() {
     let site = Site::start(2).await;
-    site.post("unheard", &json!([{ "worker": 1, "from": 0, "to": LAST }])).await;
-    let (gate, address) = Gate::before(&site.address).await;
+    site.post("unheard", &json!([{ "worker": 1, "from": 0, "to": MAX_TOKEN }])).await;
+    let (proxy, address) = StoreProxy::start(&site.address).await;
     join("one", &address, &site.address);
-    site.hand_in().await;
-    let token = site.until_running().await;
-    let unheard = json!([
-        { "worker": 0, "from": token + 1, "to": LAST }, { "worker": 1, "from": 0, "to": token },
+    site.submit().await;
+    let token = site.wait_until_running().await;
+    let cut_off = json!([
+        { "worker": 0, "from": token + 1, "to": MAX_TOKEN }, { "worker": 1, "from": 0, "to": token },
     ]);
-    site.post("unheard", &unheard).await;
-    gate.holds.send_replace(true);
-    site.end_lease(gate.lease()).await;
+    site.post("unheard", &cut_off).await;
+    proxy.holds_watches.send_replace(true);
+    site.end_lease(proxy.lease()).await;
     join("two", &site.address, &site.address);
-    let later = until("a later owner", async || site.token().await).await;
+    let later = wait_for("a later owner", async || site.token().await).await;
     assert!(token < later);
-    until("the task to be started anew", async || {
+    wait_for("the task to be started again", async || {
         (site.get("counted").await["starts"] == json!(2)).then_some(())
     })
     .await;
-    let last = site.heard(0, token).await;
+    let last = site.orders_received(0, token).await;
     assert_eq!(site.get("counted").await["twice"], json!(0), "{last} orders under token {token}");
 }
 
-/// The same cause at one node alone: no order is given under an ownership whose lease the store has
-/// called over, whatever lease the node took after it.
+/// The same cause at a single node: no order is sent under an ownership whose lease the store has
+/// ended, whatever lease the node took after it.
 #[tokio::test]
-async fn an_ownership_ends_with_the_lease_under_which_it_was_won() {
+async fn an_ownership_ends_with_the_lease_under_which_it_was_acquired() {
     let site = Site::start(1).await;
-    let (gate, address) = Gate::before(&site.address).await;
+    let (proxy, address) = StoreProxy::start(&site.address).await;
     join("one", &address, &site.address);
-    site.hand_in().await;
-    let token = site.until_running().await;
-    gate.holds.send_replace(true);
-    let ended = gate.lease();
+    site.submit().await;
+    let token = site.wait_until_running().await;
+    proxy.holds_watches.send_replace(true);
+    let ended = proxy.lease();
     site.end_lease(ended).await;
-    let lease = until("a new lease", async || Some(gate.lease()).filter(|l| *l != ended)).await;
-    // One look may be on its way.
-    let most = site.heard(0, token).await + 1;
-    until("the pool to be reached for anew", async || {
-        let heard = site.heard(0, token).await;
-        assert!(heard <= most, "lease {ended} is over, and token {token} still gives orders");
-        (gate.reached.load(Ordering::Acquire) == lease).then_some(())
+    let lease = wait_for("a new lease", async || Some(proxy.lease()).filter(|l| *l != ended)).await;
+    // One poll may be in flight.
+    let max_orders = site.orders_received(0, token).await + 1;
+    wait_for("an attempt to acquire the pool again", async || {
+        let received = site.orders_received(0, token).await;
+        assert!(
+            received <= max_orders,
+            "lease {ended} has ended, but orders are still sent under token {token}"
+        );
+        (proxy.acquiring_lease.load(Ordering::Acquire) == lease).then_some(())
     })
     .await;
-    gate.holds.send_replace(false);
-    let later = until("a later ownership", async || site.token().await).await;
-    until("an order under it", async || (0 < site.heard(0, later).await).then_some(())).await;
-    assert!(site.heard(0, token).await <= most);
+    proxy.holds_watches.send_replace(false);
+    let later = wait_for("a later ownership", async || site.token().await).await;
+    wait_for("an order under the later ownership", async || {
+        (0 < site.orders_received(0, later).await).then_some(())
+    })
+    .await;
+    assert!(site.orders_received(0, token).await <= max_orders);
     assert_eq!(site.get("counted").await["twice"], json!(0));
 }
--- a/src/scheduler/tests/plans.rs
+++ b/src/scheduler/tests/plans.rs
@@ -1,26 +1,26 @@
-//! How often the owner of the fleet's work makes a plan.
+//! Tests of how often the fleet's owner makes a plan.
 
 use std::time::Duration;
 
 use crate::{model::unit::Steady, scheduler::fleet::next_plan};
 
-const BEGAN: Steady = Steady::from_millis(10_000);
+const PLAN_START: Steady = Steady::from_millis(10_000);
 
-/// Milliseconds from the beginning of a plan that took so many until the next.
-fn next(took: u64) -> u64 {
-    next_plan(BEGAN, Duration::from_millis(took)).since(BEGAN)
+/// Time from the start of a plan that took `took` milliseconds to the next one, in milliseconds.
+fn next_after(took: u64) -> u64 {
+    next_plan(PLAN_START, Duration::from_millis(took)).since(PLAN_START)
 }
 
-/// Plans of 100 ms were made ten times a second: nothing else was done by the node that answered
-/// callers and took in what the store told, and it fell 6 to 9 s behind.
+/// Plans that took 100 ms were made ten times a second: the node that also answered callers and
+/// applied the store's changes did nothing else, and its view fell 6 to 9 s behind.
 #[test]
-fn plans_take_a_quarter_of_the_time_at_most_whatever_one_costs() {
+fn plans_take_at_most_a_quarter_of_the_time_whatever_one_takes() {
     for took in [30, 100, 400, 3_000] {
-        assert!(took * 4 <= next(took), "{took} ms, the next after {}", next(took));
+        assert!(took * 4 <= next_after(took), "{took} ms, the next one after {}", next_after(took));
     }
 }
 
 #[test]
-fn plans_that_cost_little_are_made_ten_times_a_second() {
-    assert_eq!((next(0), next(25)), (100, 100));
+fn fast_plans_are_made_ten_times_a_second() {
+    assert_eq!((next_after(0), next_after(25)), (100, 100));
 }
--- a/src/scheduler/tests/readiness.rs
+++ b/src/scheduler/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! Tests of whether a node says that it is ready.
+//! Tests of the readiness endpoint.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,26 +15,26 @@
 
 const TTL: Duration = Duration::from_millis(LEASE_MS);
 
-/// What nobody listens at.
-const NOWHERE: &str = "127.0.0.1:1";
+/// An address at which nothing listens.
+const UNUSED: &str = "127.0.0.1:1";
 
 async fn is_ready(node: &Arc<Node>, lease: &Arc<Lease>) -> bool {
     let probe = Readiness { node: node.clone(), lease: lease.clone() };
     probe.call(Request::default()).await.unwrap().status() == StatusCode::OK
 }
 
-/// What users would see: callers are refused by queues that there are, and told old states. Open
-/// connections of a node had fallen silent; its calls for leases went out over new ones and were
-/// answered, and it said that it was ready, however long its watches had told it nothing.
+/// Callers are refused by queues that exist, and get old states. A node's open connections had
+/// fallen silent, while its calls for the lease went out over new ones and were answered: it was
+/// ready however long its watches had received nothing.
 #[tokio::test]
-async fn a_node_whose_watches_hang_does_not_say_that_it_is_ready() {
+async fn a_node_whose_watches_hang_is_not_ready() {
     let settings = json!({
         "node": "one", "zone": "hall-a",
-        "listen": { "callers": NOWHERE, "readiness": NOWHERE, "metrics": NOWHERE },
-        "platform": { "store": NOWHERE, "hosts": NOWHERE },
+        "listen": { "callers": UNUSED, "readiness": UNUSED, "metrics": UNUSED },
+        "platform": { "store": UNUSED, "hosts": UNUSED },
     });
     let settings = parse("settings", &settings.to_string()).unwrap();
-    let kv = Kv::new(NOWHERE, TTL, |_, _, _| {});
+    let kv = Kv::new(UNUSED, TTL, |_, _, _| {});
     let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
     let lease = Arc::new(Lease::default());
     let renew = || {
@@ -49,7 +49,10 @@
     assert!(is_ready(&node, &lease).await);
     node.clock.stand_still(3_600);
     renew();
-    assert!(!is_ready(&node, &lease).await, "it has heard nothing of the operator for 3.6 s");
+    assert!(
+        !is_ready(&node, &lease).await,
+        "the watch of the operator's records was last answered 3.6 s ago"
+    );
     let now = node.now().steady;
     node.view().note_answer(OPERATOR_PREFIX, now);
     assert!(is_ready(&node, &lease).await);
--- a/src/scheduler/tests/unsent.rs
+++ b/src/scheduler/tests/unsent.rs
@@ -1,5 +1,5 @@
-//! Tests of links between nodes over real sockets: an order that is told as unsent was read by
-//! nobody, and one that another node may have read is in doubt.
+//! Tests of links between nodes over real sockets: an order that is reported as unsent was read by
+//! no node, and one that another node may have read is reported as unknown.
 
 use std::time::Duration;
 
@@ -23,10 +23,10 @@
     },
 };
 
-/// What an owner was told of its orders: of a start by its run, of a look by 0.
-type Told = mpsc::UnboundedReceiver<(u32, &'static str)>;
+/// Results of orders as the owner gets them: of a start with its run, of a poll with 0.
+type Results = mpsc::UnboundedReceiver<(u32, &'static str)>;
 
-/// Tries of what depends on which of two things comes first. What must hold does so either way.
+/// Repetitions of a race between two events, in either order of which the test must hold.
 const TRIES: u32 = 30;
 
 fn to() -> Addressee {
@@ -45,12 +45,12 @@
     Effect::Start { to: to(), start }
 }
 
-fn look() -> Effect {
+fn poll() -> Effect {
     Effect::Look { to: to(), acknowledged: 0, until_ms: None, wait: Duration::ZERO }
 }
 
-fn word<T>(end: &OrderEnd<T>) -> &'static str {
-    match end {
+fn name_of<T>(result: &OrderEnd<T>) -> &'static str {
+    match result {
         OrderEnd::Done(_) => "done",
         OrderEnd::Refused { .. } => "refused",
         OrderEnd::Unknown => "unknown",
@@ -58,42 +58,42 @@
     }
 }
 
-/// The links of an owner's node to one other, and what the owner is told.
+/// The links of an owner's node to its delegate, and the results that the owner gets.
 struct Owner {
     links: Links,
-    helper: std::net::SocketAddr,
-    tell: mpsc::UnboundedSender<(u32, &'static str)>,
-    told: Told,
+    delegate: std::net::SocketAddr,
+    report: mpsc::UnboundedSender<(u32, &'static str)>,
+    results: Results,
 }
 
 impl Owner {
-    fn new(helper: std::net::SocketAddr) -> Owner {
-        let (tell, told) = mpsc::unbounded_channel();
-        Owner { links: Links::default(), helper, tell, told }
+    fn new(delegate: std::net::SocketAddr) -> Owner {
+        let (report, results) = mpsc::unbounded_channel();
+        Owner { links: Links::default(), delegate, report, results }
     }
 
     fn send(&mut self, effect: Effect) {
-        let tell = self.tell.clone();
-        let tell = move |event: Event, _| {
-            let told = match event {
-                Event::Started { run, end, .. } => (run, word(&end)),
-                Event::Looked { end, .. } => (0, word(&end)),
+        let report = self.report.clone();
+        let on_result = move |event: Event, _| {
+            let result = match event {
+                Event::Started { run, end, .. } => (run, name_of(&end)),
+                Event::Looked { end, .. } => (0, name_of(&end)),
                 other => panic!("{other:?}"),
             };
             // The test may have ended.
-            let _ = tell.send(told);
+            let _ = report.send(result);
         };
         let (sent, may_go) = (Steady::from_millis(0), Box::new(|| true));
-        let order = Outgoing { effect, sent, may_go, tell: Box::new(tell) };
-        self.links.send(self.helper, vec![order]);
+        let order = Outgoing { effect, sent, may_go, tell: Box::new(on_result) };
+        self.links.send(self.delegate, vec![order]);
     }
 
-    async fn hear(&mut self) -> (u32, &'static str) {
-        self.told.recv().await.expect("the owner keeps its side")
+    async fn next_result(&mut self) -> (u32, &'static str) {
+        self.results.recv().await.expect("the channel is open")
     }
 }
 
-async fn helper() -> (TcpListener, Owner) {
+async fn delegate() -> (TcpListener, Owner) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let owner = Owner::new(listener.local_addr().unwrap());
     (listener, owner)
@@ -103,7 +103,7 @@
     accept_async(listener.accept().await.unwrap().0).await.unwrap()
 }
 
-/// The runs whose starts come with the next message; none once the link has ended.
+/// The runs whose starts are in the next message; `None` once the link has ended.
 async fn read(link: &mut WebSocketStream<TcpStream>, names: &mut Names) -> Option<Vec<u32>> {
     let Some(Ok(Message::Binary(bytes))) = link.next().await else {
         return None;
@@ -116,12 +116,12 @@
     Some(runs.collect())
 }
 
-/// The other node has read the orders and ends without a word.
+/// The delegate reads the orders and closes the link without an answer.
 #[tokio::test]
-async fn a_start_that_another_node_has_read_is_in_doubt_once_the_link_ends() {
-    let (listener, mut owner) = helper().await;
+async fn a_start_that_the_delegate_has_read_is_unknown_once_the_link_ends() {
+    let (listener, mut owner) = delegate().await;
     owner.send(start(1));
-    owner.send(look());
+    owner.send(poll());
     let mut link = accept(&listener).await;
     let mut names = Names::default();
     let mut read_runs = read(&mut link, &mut names).await.unwrap();
@@ -130,22 +130,27 @@
     }
     assert_eq!(read_runs, vec![1]);
     drop(link);
-    let mut told = vec![owner.hear().await, owner.hear().await];
-    told.sort();
-    assert_eq!(told, vec![(0, "unsent"), (1, "unknown")], "of a look nothing was heard");
+    let mut results = vec![owner.next_result().await, owner.next_result().await];
+    results.sort();
+    assert_eq!(
+        results,
+        vec![(0, "unsent"), (1, "unknown")],
+        "a poll without an answer counts as unsent"
+    );
 }
 
-/// While a link rests, and after, no order that was told as unsent comes to the other node.
+/// While a link is backing off, and after, no order that was reported as unsent reaches the
+/// delegate.
 #[tokio::test]
-async fn a_start_over_a_link_that_rests_is_read_by_nobody() {
-    let (listener, mut owner) = helper().await;
+async fn a_start_over_a_link_that_is_backing_off_is_never_read() {
+    let (listener, mut owner) = delegate().await;
     owner.send(start(1));
     drop(accept(&listener).await);
-    assert_eq!(owner.hear().await, (1, "unknown"));
+    assert_eq!(owner.next_result().await, (1, "unknown"));
     owner.send(start(2));
-    assert_eq!(owner.hear().await, (2, "unsent"));
-    assert!(!owner.links.is_open(owner.helper));
-    while !owner.links.is_open(owner.helper) {
+    assert_eq!(owner.next_result().await, (2, "unsent"));
+    assert!(!owner.links.is_open(owner.delegate));
+    while !owner.links.is_open(owner.delegate) {
         tokio::task::yield_now().await;
     }
     owner.send(start(3));
@@ -153,43 +158,43 @@
     assert_eq!(read(&mut link, &mut Names::default()).await, Some(vec![3]));
 }
 
-/// The other node is paused after the link was opened, is given up, and goes on.
+/// The delegate is paused after the link was opened, is given up, and resumes.
 #[tokio::test]
-async fn a_start_that_a_paused_node_reads_later_is_in_doubt() {
-    let (listener, mut owner) = helper().await;
+async fn a_start_that_a_paused_delegate_reads_later_is_unknown() {
+    let (listener, mut owner) = delegate().await;
     owner.send(start(1));
     let mut link = accept(&listener).await;
     let mut names = Names::default();
     assert_eq!(read(&mut link, &mut names).await, Some(vec![1]));
     owner.send(start(2));
     owner.send(start(3));
-    let mut told = Vec::new();
+    let mut results = Vec::new();
     for _ in 0..3 {
-        told.push(owner.hear().await);
+        results.push(owner.next_result().await);
     }
-    told.sort();
-    assert_eq!(told, vec![(1, "unknown"), (2, "unknown"), (3, "unknown")]);
+    results.sort();
+    assert_eq!(results, vec![(1, "unknown"), (2, "unknown"), (3, "unknown")]);
     let mut runs = Vec::new();
     while runs.len() < 2 {
         runs.extend(read(&mut link, &mut names).await.expect("the link is still there"));
     }
-    assert_eq!(runs, vec![2, 3], "they lay in the socket");
+    assert_eq!(runs, vec![2, 3], "they were in the socket's buffer");
 }
 
-/// The other node ends the link, or its process, just as orders are written.
+/// The delegate closes the link, or its process ends, while orders are written.
 #[tokio::test]
-async fn what_is_told_as_unsent_while_a_link_ends_was_read_by_nobody() {
-    for tries in 0..TRIES {
-        let (listener, mut owner) = helper().await;
+async fn an_order_reported_unsent_while_a_link_ends_was_never_read() {
+    for attempt in 0..TRIES {
+        let (listener, mut owner) = delegate().await;
         owner.send(start(1));
         let mut link = accept(&listener).await;
         let mut names = Names::default();
         let mut runs = read(&mut link, &mut names).await.unwrap();
-        let ends = tokio::spawn(async move {
-            for _ in 0..tries % 3 {
+        let closing = tokio::spawn(async move {
+            for _ in 0..attempt % 3 {
                 tokio::task::yield_now().await;
             }
-            if tries % 2 == 0 {
+            if attempt % 2 == 0 {
                 link.get_ref().set_zero_linger().unwrap();
                 drop(link);
                 return Vec::new();
@@ -201,24 +206,27 @@
         owner.send(start(2));
         tokio::task::yield_now().await;
         owner.send(start(3));
-        runs.extend(ends.await.unwrap());
+        runs.extend(closing.await.unwrap());
         for _ in 0..3 {
-            let (run, end) = owner.hear().await;
+            let (run, result) = owner.next_result().await;
             let read = runs.contains(&run);
-            assert!(end == "unknown" || end == "unsent" && !read, "{run}: {end}, read: {read}");
+            assert!(
+                result == "unknown" || result == "unsent" && !read,
+                "{run}: {result}, read: {read}"
+            );
         }
     }
 }
 
-/// Nobody listens, or nobody answers the request for a link.
+/// No process listens, or none answers the request for a link.
 #[tokio::test]
 async fn a_start_for_which_no_link_opens_is_unsent() {
-    let (listener, mut owner) = helper().await;
+    let (listener, mut owner) = delegate().await;
     owner.send(start(1));
-    assert_eq!(owner.hear().await, (1, "unsent"), "the request for a link got no answer");
+    assert_eq!(owner.next_result().await, (1, "unsent"), "the request for a link got no answer");
     drop(listener);
-    let (listener, mut owner) = helper().await;
+    let (listener, mut owner) = delegate().await;
     drop(listener);
     owner.send(start(2));
-    assert_eq!(owner.hear().await, (2, "unsent"));
+    assert_eq!(owner.next_result().await, (2, "unsent"));
 }
