--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -76,7 +76,7 @@
 #[test]
 fn a_job_that_cannot_end_in_time_is_late_work() {
     let not_begun = |after| demand_after(&record(), None, after).late;
-    // 1.2 s of the two seconds left are assumed to be needed.
+    // At least 1.2 s of the two estimated seconds are assumed to be left.
     assert_eq!((not_begun(2_500), not_begun(2_700)), (0, 40_000));
     let half_done = |after| demand_after(&record(), Some(first_step_done()), after).late;
     assert_eq!((half_done(2_700), half_done(3_300)), (0, 40_000));
@@ -132,7 +132,7 @@
         job: u8,
         tasks: u8,
         repeats: u8,
-        lasting: bool,
+        long_running: bool,
         other_pool: bool,
     },
     /// The first `tasks` tasks of a step are done.
@@ -168,13 +168,13 @@
 }
 
 /// The record of a generated job.
-fn generated_record(tasks: u8, repeats: u8, lasting: bool) -> JobRecord {
+fn generated_record(tasks: u8, repeats: u8, long_running: bool) -> JobRecord {
     let mut record = record();
     for step in &mut record.steps {
         step.count = u32::from(tasks % 12) + 1;
     }
     if let Some(last) = record.steps.last_mut() {
-        (last.lasting, last.apart) = (lasting, u32::from(lasting));
+        (last.lasting, last.apart) = (long_running, u32::from(long_running));
     }
     record.repeats = u32::from(repeats % 4);
     record.first = Time::from_millis(ACCEPTED_MS + 1_000);
@@ -198,8 +198,8 @@
                 Some(json(&Progress { state, steps: steps.clone(), ..Progress::default() }))
             };
             match event {
-                JobEvent::Accepted { job, tasks, repeats, lasting, other_pool } => {
-                    let mut record = generated_record(*tasks, *repeats, *lasting);
+                JobEvent::Accepted { job, tasks, repeats, long_running, other_pool } => {
+                    let mut record = generated_record(*tasks, *repeats, *long_running);
                     if *other_pool {
                         record.pool = "other".parse().unwrap();
                     }
@@ -272,7 +272,7 @@
         let chain: u64 = record.steps.iter().map(|step| step.estimate_ms).sum();
         let objective = chain * u64::from(record.stretch) / 100 + record.target_ms;
         let age = wall.since(record.due(0)).as_millis() as u64;
-        // 60 % of the estimated work is assumed to be needed.
+        // At least 60 % of the estimated work is assumed to be left.
         let is_late = objective < age + left_ms * 60 / 100;
         if is_late && !record.is_lasting() && record.times() == 1 {
             demand.late += cpu;
--- a/src/scheduler/tests/lease.rs
+++ b/src/scheduler/tests/lease.rs
@@ -1,6 +1,7 @@
-//! Fuzzing of how long an ownership lasts: a node's lease and what it won under it, against a store
-//! whose answers come late or not at all, and pauses of the process at any moment. The oracle knows
-//! when the store has ended which lease: from then on another node could have won.
+//! Fuzzing of how long an ownership lasts: a node's lease and the ownerships acquired under it,
+//! with a store that answers late or not at all, and pauses of the process at any moment. The
+//! oracle knows when the store has ended which lease: from then on another node could have acquired
+//! the pool.
 
 use std::{cell::Cell, collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,78 +16,80 @@
 };
 
 /// From so many steps on a wait is a long one, of some seconds.
-const LONG: u64 = 200;
+const LONG_WAIT_STEPS: u64 = 200;
 
-/// What becomes of a call of the store.
+/// The outcome of a call of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, TypeGenerator)]
-enum Fate {
+enum CallOutcome {
     Done,
-    /// Done at once, and answered when the world gets round to it.
-    Slow,
-    /// Done and answered when the world gets round to it.
-    Late,
+    /// Done at once, and answered by a later operation.
+    LateAnswer,
+    /// Done and answered by a later operation.
+    Delayed,
     AnswerLost,
     Lost,
 }
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
-    /// Time passes, for the node too or while its process is paused: most often little.
+    /// Time passes, while the process runs or is paused: mostly a short time.
     Wait {
         steps: u8,
     },
-    /// The lease is taken or renewed, one call at a time; the store may grant more than is asked.
+    /// A call takes or renews the lease, one at a time; the store may grant a longer time than
+    /// requested.
     Renew {
-        fate: Fate,
+        outcome: CallOutcome,
         generous: bool,
     },
-    Renewed,
-    /// The pool is reached for, one call at a time.
-    Reach {
-        fate: Fate,
+    AnswerRenewal,
+    /// A call tries to acquire the pool, one at a time.
+    Acquire {
+        outcome: CallOutcome,
     },
-    Reached,
-    /// The store ends the lease before its time.
-    End,
-    /// What is over is given up, and orders are decided on under the rest.
+    AnswerAcquisition,
+    /// The store ends the lease early.
+    EndLease,
+    /// The node gives up ended ownerships, and decides on orders under the others.
     Decide,
-    /// Orders that were decided on are sent.
+    /// The node sends the orders that it has decided on.
     Send,
 }
 
-/// A call that was not answered yet.
+/// A call that was not answered yet: whether the store has executed it.
 #[derive(Clone, Copy)]
 enum Pending<T> {
-    Answered(T),
-    Waiting,
+    Executed(T),
+    NotExecuted,
 }
 
-/// The lease and the time that the store grants; nothing if it is over.
-type Told = Option<(LeaseId, u64)>;
+/// The lease and the time that the store grants; `None` if the lease has ended.
+type Grant = Option<(LeaseId, u64)>;
 
 /// A call that takes or renews a lease: when it was sent, the lease that it names, and the time
 /// that the store grants.
-type Renewing = (Steady, Option<LeaseId>, u64);
+type Renewal = (Steady, Option<LeaseId>, u64);
 
 /// The store, and one node.
 struct World {
     now: u64,
-    /// Leases that last, and until when.
+    /// Leases that are held, and when they expire.
     leases: BTreeMap<LeaseId, u64>,
-    /// Leases that are over, and since when.
+    /// Leases that have ended, and when.
     ended: BTreeMap<LeaseId, u64>,
     next_lease: LeaseId,
-    /// Whose record stands in the store: token and lease.
+    /// Token and lease of the owner's record in the store.
     owner: Option<(u64, LeaseId)>,
     next_token: u64,
-    /// The leases under which tokens were written.
+    /// The lease of each token.
     tokens: BTreeMap<u64, LeaseId>,
     lease: Arc<Lease>,
-    renewing: Option<(Renewing, Pending<Told>)>,
-    reaching: Option<(LeaseId, Steady, Pending<Option<u64>>)>,
+    renewing: Option<(Renewal, Pending<Grant>)>,
+    acquiring: Option<(LeaseId, Steady, Pending<Option<u64>>)>,
     owned: Vec<(u64, Tenure)>,
     orders: Vec<(u64, Tenure)>,
-    /// Orders that were sent, and those of them while another node could have won.
+    /// How many orders were sent, and how many of them when another node could have acquired the
+    /// pool.
     sent: (u64, u64),
 }
 
@@ -102,7 +105,7 @@
             tokens: BTreeMap::new(),
             lease: Arc::default(),
             renewing: None,
-            reaching: None,
+            acquiring: None,
             owned: Vec::new(),
             orders: Vec::new(),
             sent: (0, 0),
@@ -113,14 +116,14 @@
         Steady::from_millis(self.now)
     }
 
-    fn wait(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         self.now += millis;
-        let over = self.leases.iter().filter(|(_, end)| **end <= self.now);
-        let over: Vec<(LeaseId, u64)> = over.map(|(lease, end)| (*lease, *end)).collect();
-        over.into_iter().for_each(|(lease, end)| self.end(lease, end));
+        let expired = self.leases.iter().filter(|(_, end)| **end <= self.now);
+        let expired: Vec<(LeaseId, u64)> = expired.map(|(lease, end)| (*lease, *end)).collect();
+        expired.into_iter().for_each(|(lease, end)| self.end_lease(lease, end));
     }
 
-    fn end(&mut self, lease: LeaseId, at: u64) {
+    fn end_lease(&mut self, lease: LeaseId, at: u64) {
         self.leases.remove(&lease);
         self.ended.insert(lease, at);
         if self.owner.is_some_and(|(_, held)| held == lease) {
@@ -129,8 +132,8 @@
     }
 
     /// The store grants a lease, or renews one.
-    fn keep(&mut self, asked: Option<LeaseId>, ttl: u64) -> Told {
-        let lease = match asked {
+    fn grant(&mut self, requested: Option<LeaseId>, ttl: u64) -> Grant {
+        let lease = match requested {
             Some(lease) if self.leases.contains_key(&lease) => lease,
             Some(_) => return None,
             None => self.next_lease,
@@ -140,9 +143,9 @@
         Some((lease, ttl))
     }
 
-    /// The store writes an ownership, unless there is one or the lease is over. The node's own is
+    /// The store writes an ownership unless the lease has ended. A record of the same node is
     /// replaced, as if the node knew it.
-    fn write(&mut self, lease: LeaseId) -> Option<u64> {
+    fn write_owner(&mut self, lease: LeaseId) -> Option<u64> {
         if !self.leases.contains_key(&lease) {
             return None;
         }
@@ -153,36 +156,38 @@
         Some(token)
     }
 
-    fn renew(&mut self, fate: Fate, ttl: u64) {
+    fn renew(&mut self, outcome: CallOutcome, ttl: u64) {
         if self.renewing.is_some() {
             return;
         }
-        let (sent, asked) = (self.at(), self.lease.last());
-        let pending = match fate {
-            Fate::Lost => return self.lease.failed(),
-            Fate::Late => Pending::Waiting,
-            Fate::Done | Fate::Slow | Fate::AnswerLost => Pending::Answered(self.keep(asked, ttl)),
+        let (sent, requested) = (self.at(), self.lease.last());
+        let pending = match outcome {
+            CallOutcome::Lost => return self.lease.failed(),
+            CallOutcome::Delayed => Pending::NotExecuted,
+            CallOutcome::Done | CallOutcome::LateAnswer | CallOutcome::AnswerLost => {
+                Pending::Executed(self.grant(requested, ttl))
+            }
         };
-        self.renewing = Some(((sent, asked, ttl), pending));
-        match fate {
-            Fate::Done => self.renewed(),
-            Fate::AnswerLost => {
+        self.renewing = Some(((sent, requested, ttl), pending));
+        match outcome {
+            CallOutcome::Done => self.answer_renewal(),
+            CallOutcome::AnswerLost => {
                 self.renewing = None;
                 self.lease.failed();
             }
-            Fate::Slow | Fate::Late | Fate::Lost => {}
+            CallOutcome::LateAnswer | CallOutcome::Delayed | CallOutcome::Lost => {}
         }
     }
 
-    fn renewed(&mut self) {
-        let Some(((sent, asked, ttl), pending)) = self.renewing.take() else {
+    fn answer_renewal(&mut self) {
+        let Some(((sent, requested, ttl), pending)) = self.renewing.take() else {
             return;
         };
-        let told = match pending {
-            Pending::Answered(told) => told,
-            Pending::Waiting => self.keep(asked, ttl),
+        let grant = match pending {
+            Pending::Executed(grant) => grant,
+            Pending::NotExecuted => self.grant(requested, ttl),
         };
-        match told {
+        match grant {
             Some((lease, ttl)) => {
                 self.lease.renewed(lease, sent, Duration::from_millis(ttl), self.at())
             }
@@ -190,33 +195,35 @@
         }
     }
 
-    fn reach(&mut self, fate: Fate) {
-        let Some(lease) = self.lease.held(self.at()).filter(|_| self.reaching.is_none()) else {
+    fn acquire(&mut self, outcome: CallOutcome) {
+        let Some(lease) = self.lease.held(self.at()).filter(|_| self.acquiring.is_none()) else {
             return;
         };
-        let pending = match fate {
-            Fate::Lost => return,
-            Fate::Late => Pending::Waiting,
-            Fate::Done | Fate::Slow | Fate::AnswerLost => Pending::Answered(self.write(lease)),
+        let pending = match outcome {
+            CallOutcome::Lost => return,
+            CallOutcome::Delayed => Pending::NotExecuted,
+            CallOutcome::Done | CallOutcome::LateAnswer | CallOutcome::AnswerLost => {
+                Pending::Executed(self.write_owner(lease))
+            }
         };
-        if fate != Fate::AnswerLost {
-            self.reaching = Some((lease, self.at(), pending));
+        if outcome != CallOutcome::AnswerLost {
+            self.acquiring = Some((lease, self.at(), pending));
         }
-        if fate == Fate::Done {
-            self.reached();
+        if outcome == CallOutcome::Done {
+            self.answer_acquisition();
         }
     }
 
-    fn reached(&mut self) {
-        let Some((lease, sent, pending)) = self.reaching.take() else {
+    fn answer_acquisition(&mut self) {
+        let Some((lease, sent, pending)) = self.acquiring.take() else {
             return;
         };
-        let won = match pending {
-            Pending::Answered(won) => won,
-            Pending::Waiting => self.write(lease),
+        let written = match pending {
+            Pending::Executed(written) => written,
+            Pending::NotExecuted => self.write_owner(lease),
         };
         let tenure = Tenure::new(&self.lease, lease, sent);
-        self.owned.extend(won.map(|token| (token, tenure)));
+        self.owned.extend(written.map(|token| (token, tenure)));
     }
 
     fn decide(&mut self) {
@@ -231,25 +238,26 @@
                 continue;
             }
             self.sent.0 += 1;
-            let Some(over) = self.ended.get(&self.tokens[&token]) else {
+            let Some(ended_at) = self.ended.get(&self.tokens[&token]) else {
                 continue;
             };
             self.sent.1 += 1;
-            let late = self.now - over;
+            let late = self.now - ended_at;
             assert!(
                 late <= LEASE_MS + OVERTIME_MS,
-                "an order under token {token}, {late} ms after another node could have won"
+                "order under token {token} {late} ms after another node could have acquired it"
             );
         }
     }
 
-    /// What the fleet's owner relies on: with a lease that certainly holds, nobody else has won.
+    /// The fleet's owner relies on this: while the lease certainly holds, no other node has
+    /// acquired its ownership.
     fn check_certain(&self) {
         for (token, tenure) in &self.owned {
-            let over = self.ended.get(&self.tokens[token]);
-            // The store may end a lease before its time, and the node is not told at once.
-            let early = over.is_some_and(|at| self.now < at + LEASE_MS);
-            assert!(over.is_none() || early || !tenure.holds(self.at()), "token {token} holds");
+            let ended = self.ended.get(&self.tokens[token]);
+            // The store may end a lease early, and the node does not learn of it at once.
+            let early = ended.is_some_and(|at| self.now < at + LEASE_MS);
+            assert!(ended.is_none() || early || !tenure.holds(self.at()), "token {token} holds");
         }
     }
 
@@ -257,17 +265,21 @@
         match op {
             Op::Wait { steps } => {
                 let steps = u64::from(steps);
-                self.wait(if steps < LONG { steps * 4 } else { (steps - LONG) * 100 });
+                self.advance(if steps < LONG_WAIT_STEPS {
+                    steps * 4
+                } else {
+                    (steps - LONG_WAIT_STEPS) * 100
+                });
             }
-            Op::Renew { fate, generous } => {
-                self.renew(fate, if generous { 4 * LEASE_MS } else { LEASE_MS });
+            Op::Renew { outcome, generous } => {
+                self.renew(outcome, if generous { 4 * LEASE_MS } else { LEASE_MS });
             }
-            Op::Renewed => self.renewed(),
-            Op::Reach { fate } => self.reach(fate),
-            Op::Reached => self.reached(),
-            Op::End => {
+            Op::AnswerRenewal => self.answer_renewal(),
+            Op::Acquire { outcome } => self.acquire(outcome),
+            Op::AnswerAcquisition => self.answer_acquisition(),
+            Op::EndLease => {
                 if let Some(lease) = self.lease.last().filter(|id| self.leases.contains_key(id)) {
-                    self.end(lease, self.now);
+                    self.end_lease(lease, self.now);
                 }
             }
             Op::Decide => self.decide(),
@@ -277,9 +289,9 @@
     }
 }
 
-/// Later owners rely on it (`PREDECESSOR_MS`), and fuzzing of owners takes it as given.
+/// Later owners rely on it (`PREDECESSOR_MS`), and the fuzz tests of owners assume it.
 #[test]
-fn no_order_goes_out_longer_after_another_node_could_have_won_than_owners_rely_on() {
+fn orders_end_within_the_time_that_later_owners_rely_on() {
     let sent = Cell::new((0, 0));
     fuzz(4_000, 60, |ops: &[Op]| {
         let mut world = World::new();
@@ -288,5 +300,8 @@
         sent.set((all + world.sent.0, late + world.sent.1));
     });
     let (all, late) = sent.get();
-    assert!(1_000 < all && 100 < late, "{all} orders sent, {late} of them late: too few to tell");
+    assert!(
+        1_000 < all && 100 < late,
+        "too few orders for a valid test: {all} sent, {late} of them late"
+    );
 }
--- a/src/scheduler/tests/orders.rs
+++ b/src/scheduler/tests/orders.rs
@@ -94,11 +94,11 @@
 
 fn poll_response(sample: &Sample, clock_ms: u64) -> Look {
     let (task, run) = (task(sample), u32::from(sample.number));
-    let checkpoint = "checkpoint".to_owned();
-    let present = Present { task, run, saved: checkpoint.clone(), percent: 7, gauge: clock_ms };
+    let data = "checkpoint".to_owned();
+    let present = Present { task, run, saved: data.clone(), percent: 7, gauge: clock_ms };
     let outcomes = [HowEnded::Done, HowEnded::Failed, HowEnded::Stopped, HowEnded::Alone];
     let how = outcomes[sample.token as usize % outcomes.len()];
-    let ended = Ended { number: clock_ms, task, run, how, saved: checkpoint };
+    let ended = Ended { number: clock_ms, task, run, how, saved: data };
     Look {
         born: sample.number.is_multiple_of(2).then_some(Born(clock_ms)),
         clock_ms,
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -248,7 +248,8 @@
     site.submit().await;
     let token = site.wait_until_running().await;
     let cut_off = json!([
-        { "worker": 0, "from": token + 1, "to": MAX_TOKEN }, { "worker": 1, "from": 0, "to": token },
+        { "worker": 0, "from": token + 1, "to": MAX_TOKEN },
+        { "worker": 1, "from": 0, "to": token },
     ]);
     site.post("unheard", &cut_off).await;
     proxy.holds_watches.send_replace(true);
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -1,9 +1,9 @@
-//! Fuzzing of owners that come and go: two nodes, each with a mirror, reads in pages and a watch of
-//! its own that lag apart, one of which may be paused and still believe in its ownership; workers
-//! whose entries come, go and are overwritten; orders that are carried out long after they were
-//! given; cancels. The oracle is the workers' and the store's: no task runs twice at one time, none
-//! that was done is started again, no end is acknowledged that is not counted durably, and an owner
-//! that was told of its end gives no order.
+//! Fuzzing of changes of owners: two nodes, each with a mirror, reads in pages and a watch of its
+//! own that lag independently, one of which may be paused and resume with a stale ownership;
+//! workers whose entries are added, removed and overwritten; orders that are executed long after
+//! they were sent; cancels. The oracle is the state of the workers and of the store: no task runs
+//! twice at the same time, no task that was done is started again, no end is acknowledged before it
+//! is durable, and an owner that has received the end of its ownership sends no order.
 
 use std::{
     cell::Cell,
@@ -34,55 +34,55 @@
     tests::{fuzz, sample},
 };
 
-/// Jobs of one run at the most.
-const MOST_JOBS: u64 = 8;
+/// Most jobs of one case.
+const MAX_JOBS: u64 = 8;
 
-/// Owners of one run at the most.
-const MOST_OWNERS: u32 = 6;
+/// Most owners of one case.
+const MAX_OWNERS: u32 = 6;
 
 const WORKERS: usize = 3;
 
-/// How long a worker hears nothing after a pool was given back, in milliseconds: less than what runs
-/// there may run on.
-const DARK_MS: u64 = 2_500;
+/// How long a worker is unreachable after a handover, in milliseconds: less than the time for which
+/// its runs may go on.
+const UNREACHABLE_MS: u64 = 2_500;
 
-/// For how long an owner may stand still before it gives up what it owns, in milliseconds: its lease
-/// and the overtime.
-const GIVES_UP_MS: u64 = LEASE_MS + OVERTIME_MS;
+/// How long an owner may be paused before it gives up its ownership, in milliseconds: its lease and
+/// the grace period.
+const MAX_PAUSE_MS: u64 = LEASE_MS + OVERTIME_MS;
 
-/// A decision that is carried out at once.
-const PROMPT: Work = Work { slow: 0, unsaved: false };
+/// Orders are executed and records written at once.
+const PROMPT: Execution = Execution { delayed: 0, unsaved: false };
 
-/// What happens often: each of these is drawn as often as all of [`Rare`] together.
+/// Frequent operations: each of these is drawn as often as all of [`Rare`] together.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
-    HandIn,
-    /// A node hears of some changes by both watches and decides.
+    Submit,
+    /// A node receives some changes by both watches and decides.
     Round {
         node: bool,
-        quick: u8,
-        general: u8,
-        work: Work,
+        own: u8,
+        mirror: u8,
+        execution: Execution,
     },
-    /// The same, by its own watch only: its mirror stands still.
-    Ahead {
+    /// The same, by its own watch only: its mirror receives nothing.
+    OwnWatchOnly {
         node: bool,
-        quick: u8,
-        work: Work,
+        own: u8,
+        execution: Execution,
     },
-    /// Everything at a worker is done.
+    /// All runs at a worker end as done.
     Finish {
         worker: u8,
     },
     Rare(Rare),
 }
 
-/// How a node's decision is carried out.
+/// How a node's decisions are carried out.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
-struct Work {
-    /// Its starts are on their way for long, and get no answer; once in four.
-    slow: u8,
-    /// What is to be kept is not written yet; once in two.
+struct Execution {
+    /// Its starts are delayed and not answered: one value in four.
+    delayed: u8,
+    /// Its progress records are not written yet: one value in two.
     unsaved: bool,
 }
 
@@ -91,12 +91,12 @@
     Cancel {
         job: u8,
     },
-    /// A node begins to read all in pages; the first have the jobs' progress.
-    ReadFirst {
+    /// A node starts to read everything in pages, the first of which hold the progress of jobs.
+    ReadFirstPages {
         node: bool,
     },
-    /// The other pages come, and all counts.
-    ReadRest {
+    /// It reads the other pages, and applies all of them.
+    ReadOtherPages {
         node: bool,
     },
     Pause {
@@ -105,35 +105,35 @@
     Resume {
         node: bool,
     },
-    /// The ownership goes with its lease, and a node wins it, if it is not paused.
-    Pass {
+    /// The owner's lease ends, and a node acquires the pool unless it is paused.
+    Takeover {
         node: bool,
     },
-    /// The ownership goes with its lease.
-    Lapse,
-    /// A node gives its ownership back and wins it once more.
-    WinAgain {
+    /// The owner's lease ends.
+    EndLease,
+    /// A node releases its ownership and acquires the pool again.
+    Reacquire {
         node: bool,
     },
-    /// A node gives its ownership back with word of what may run, and another wins it, which does
+    /// A node releases its ownership with a handover record, and a node acquires the pool that does
     /// not reach one of the workers at first.
-    GiveBack {
+    HandOver {
         node: bool,
         to: bool,
-        dark: u8,
+        worker: u8,
     },
-    /// A node gives its ownership back by a write that is on its way for long.
-    GiveBackLate {
+    /// A node releases its ownership by a delayed write.
+    ReleaseLate {
         node: bool,
     },
-    /// What was on its way arrives: such a write, and starts.
-    Arrive,
-    /// What the store lists under a worker's id.
-    Entry {
+    /// Delayed messages arrive: such a write, and starts.
+    DeliverDelayed,
+    /// The entry of a worker changes.
+    ChangeEntry {
         worker: u8,
         entry: u8,
     },
-    /// Another writer overwrites what is kept of a job.
+    /// Another writer overwrites the progress of a job.
     Garble {
         job: u8,
     },
@@ -142,14 +142,14 @@
     },
 }
 
-/// A worker, as it is.
+/// A worker.
 #[derive(Default)]
 struct Runner {
     token: u64,
     until_ms: u64,
     runs: BTreeMap<TaskId, u32>,
     /// The highest run that was stopped or has ended here.
-    over: BTreeMap<TaskId, u32>,
+    ended_runs: BTreeMap<TaskId, u32>,
     ends: Vec<Ended>,
     next_end: u64,
 }
@@ -157,8 +157,8 @@
 impl Runner {
     fn end(&mut self, task: TaskId, run: u32, how: HowEnded) {
         self.next_end += 1;
-        let over = self.over.entry(task).or_default();
-        *over = run.max(*over);
+        let highest = self.ended_runs.entry(task).or_default();
+        *highest = run.max(*highest);
         self.ends.push(Ended { number: self.next_end, task, run, how, saved: String::new() });
     }
 
@@ -169,7 +169,7 @@
     }
 }
 
-/// Pages that were read and do not count yet.
+/// Pages that were read and are not applied yet.
 struct Pages {
     at: usize,
     items: Vec<Change>,
@@ -178,21 +178,21 @@
 struct Node {
     view: View,
     mirror: SourceId,
-    general_at: usize,
-    /// The keys that the mirror knows to be there.
+    mirror_position: usize,
+    /// The keys that the mirror holds.
     keys: BTreeSet<String>,
-    own: Option<SourceId>,
-    quick_at: usize,
+    own_watch: Option<SourceId>,
+    own_position: usize,
     pages: Option<Pages>,
     deltas: Vec<Delta>,
-    won: Option<(u64, u32)>,
+    acquired: Option<(u64, u32)>,
     owner: Option<Owner>,
-    /// Whether any source has told it that its ownership is over.
-    told_over: bool,
-    away_at: Revision,
+    /// Whether any source has reported the end of its ownership.
+    has_seen_end: bool,
+    silent_workers_at: Revision,
     paused: bool,
     /// When it last decided.
-    worked: u64,
+    last_tick: u64,
 }
 
 struct World {
@@ -207,17 +207,17 @@
     cancelled: BTreeSet<JobId>,
     garbled: BTreeSet<JobId>,
     progress: BTreeMap<JobId, (Revision, Progress)>,
-    away_at: Revision,
-    /// Tasks of which a run was done.
+    silent_workers_at: Revision,
+    /// Tasks with a run that ended as done.
     done: BTreeSet<TaskId>,
-    late: Vec<(Addressee, Start)>,
-    /// What gives an ownership back, by its token, with what is left.
-    leaving: Option<(u64, Option<Vec<u8>>)>,
-    accepted: usize,
-    /// A worker that hears nothing, and until when.
-    dark: Option<(usize, u64)>,
-    /// How often an owner left word of what may run.
-    handed: usize,
+    delayed_starts: Vec<(Addressee, Start)>,
+    /// A delayed write that releases an ownership: its token and the handover record.
+    delayed_release: Option<(u64, Option<Vec<u8>>)>,
+    starts: usize,
+    /// A worker that is unreachable, and until when.
+    unreachable: Option<(usize, u64)>,
+    /// How many handover records were written.
+    handovers: usize,
 }
 
 fn pool() -> PoolId {
@@ -244,36 +244,36 @@
     Node {
         view,
         mirror,
-        general_at: 0,
+        mirror_position: 0,
         keys: BTreeSet::new(),
-        own: None,
-        quick_at: 0,
+        own_watch: None,
+        own_position: 0,
         pages: None,
         deltas: Vec::new(),
-        won: None,
+        acquired: None,
         owner: None,
-        told_over: false,
-        away_at: Revision(0),
+        has_seen_end: false,
+        silent_workers_at: Revision(0),
         paused: false,
-        worked: 0,
+        last_tick: 0,
     }
 }
 
 impl Node {
-    /// Takes in changes of one source, as a node does.
-    fn hear(&mut self, changes: impl IntoIterator<Item = Change>) {
+    /// Applies changes of one source, as a node does.
+    fn receive(&mut self, changes: impl IntoIterator<Item = Change>) {
         let key = keys::owner(&pool_name());
         let token = self.owner.as_ref().map_or(u64::MAX, |owner| owner.token);
         for change in changes {
-            self.told_over |= change.key == key && token < change.revision.0;
+            self.has_seen_end |= change.key == key && token < change.revision.0;
             self.deltas.extend(self.view.apply(change));
         }
     }
 
     fn release(&mut self) {
         self.owner = None;
-        if let Some(own) = self.own.take() {
-            self.view.heard.close(own);
+        if let Some(watch) = self.own_watch.take() {
+            self.view.heard.close(watch);
         }
     }
 }
@@ -291,18 +291,18 @@
             cancelled: BTreeSet::new(),
             garbled: BTreeSet::new(),
             progress: BTreeMap::new(),
-            away_at: Revision(0),
+            silent_workers_at: Revision(0),
             done: BTreeSet::new(),
-            late: Vec::new(),
-            leaving: None,
-            accepted: 0,
-            dark: None,
-            handed: 0,
+            delayed_starts: Vec::new(),
+            delayed_release: None,
+            starts: 0,
+            unreachable: None,
+            handovers: 0,
         };
         for number in 0..WORKERS {
             world.write(format!("servers/w{number}"), Some(entry(number, number, "ready")));
         }
-        world.win(0);
+        world.acquire(0);
         world
     }
 
@@ -321,7 +321,7 @@
         revision
     }
 
-    fn tick(&mut self, ms: u64) {
+    fn advance_clock(&mut self, ms: u64) {
         self.now += ms;
         let clock_ms = self.clock_ms();
         for runner in self.runners.iter_mut().filter(|runner| runner.until_ms < clock_ms) {
@@ -329,9 +329,9 @@
         }
     }
 
-    fn hand_in(&mut self) {
+    fn submit(&mut self) {
         let number = self.jobs.len() as u64 + 1;
-        if MOST_JOBS < number {
+        if MAX_JOBS < number {
             return;
         }
         let id: JobId = format!("{number:016x}").parse().unwrap();
@@ -342,111 +342,111 @@
     }
 
     fn some_job(&self, number: u8) -> Option<JobId> {
-        let place = number as usize % self.jobs.len().max(1);
-        self.jobs.iter().nth(place).copied()
+        let position = number as usize % self.jobs.len().max(1);
+        self.jobs.iter().nth(position).copied()
     }
 
-    fn lapse(&mut self) {
+    fn end_ownership(&mut self) {
         if self.holder.take().is_some() {
             self.write(keys::owner(&pool_name()), None);
         }
     }
 
-    /// The holder gives the pool back, with what it leaves.
-    fn give_back(&mut self, number: usize) {
+    /// The holder releases the pool, with a handover record if it has one.
+    fn hand_over(&mut self, number: usize) {
         let now = self.at();
         let Some(owner) = &self.nodes[number].owner else {
             return;
         };
-        if let Some(away) = owner.parting(now) {
-            self.handed += 1;
-            self.away_at = self.write(keys::away(&pool_name()), Some(bytes(&away)));
+        if let Some(record) = owner.parting(now) {
+            self.handovers += 1;
+            self.silent_workers_at = self.write(keys::away(&pool_name()), Some(bytes(&record)));
         }
         self.nodes[number].release();
-        self.lapse();
+        self.end_ownership();
     }
 
-    /// The holder gives the pool back, and its write is on its way.
-    fn give_back_late(&mut self, number: usize) {
+    /// The holder releases the pool by a write that is delayed.
+    fn release_late(&mut self, number: usize) {
         let now = self.at();
         if let Some(owner) = &self.nodes[number].owner {
-            let left = owner.parting(now).map(|away| bytes(&away));
-            self.leaving = Some((owner.token, left));
+            let record = owner.parting(now).map(|record| bytes(&record));
+            self.delayed_release = Some((owner.token, record));
             self.nodes[number].release();
         }
     }
 
-    /// That write is done, if its condition still holds.
-    fn leave(&mut self) {
-        let Some((token, left)) = self.leaving.take() else {
+    /// The delayed write is executed, if its condition still holds.
+    fn deliver_release(&mut self) {
+        let Some((token, record)) = self.delayed_release.take() else {
             return;
         };
         if self.holder.is_some_and(|(holder, _)| holder == token) {
-            if let Some(left) = left {
-                self.handed += 1;
-                self.away_at = self.write(keys::away(&pool_name()), Some(left));
+            if let Some(record) = record {
+                self.handovers += 1;
+                self.silent_workers_at = self.write(keys::away(&pool_name()), Some(record));
             }
-            self.lapse();
+            self.end_ownership();
         }
     }
 
-    fn win(&mut self, node: usize) {
-        if self.holder.is_some() || MOST_OWNERS <= self.owners || self.nodes[node].paused {
+    fn acquire(&mut self, node: usize) {
+        if self.holder.is_some() || MAX_OWNERS <= self.owners || self.nodes[node].paused {
             return;
         }
         let record = OwnerRecord { node: format!("n{node}"), life: 1 };
         let token = self.write(keys::owner(&pool_name()), Some(bytes(&record))).0;
         self.holder = Some((token, node));
-        self.nodes[node].won = Some((token, self.owners));
+        self.nodes[node].acquired = Some((token, self.owners));
         self.owners += 1;
     }
 
-    fn quick(&mut self, node: usize, changes: usize) {
+    fn advance_own_watch(&mut self, node: usize, changes: usize) {
         let prefix = keys::work(&pool_name());
         let node = &mut self.nodes[node];
-        let Some(own) = node.own.filter(|_| !node.paused) else {
+        let Some(watch) = node.own_watch.filter(|_| !node.paused) else {
             return;
         };
-        let until = (node.quick_at + changes).min(self.history.len());
-        let heard: Vec<Change> = self.history[node.quick_at.min(until)..until].to_vec();
-        node.hear(heard.into_iter().filter(|change| change.key.starts_with(&prefix)));
-        node.quick_at = until.max(node.quick_at);
-        let at = Revision(node.quick_at as u64);
-        node.view.heard.passed(own, at);
+        let until = (node.own_position + changes).min(self.history.len());
+        let changed: Vec<Change> = self.history[node.own_position.min(until)..until].to_vec();
+        node.receive(changed.into_iter().filter(|change| change.key.starts_with(&prefix)));
+        node.own_position = until.max(node.own_position);
+        let at = Revision(node.own_position as u64);
+        node.view.heard.passed(watch, at);
     }
 
-    fn general(&mut self, node: usize, changes: usize) {
+    fn advance_mirror(&mut self, node: usize, changes: usize) {
         let node = &mut self.nodes[node];
-        // A read in pages takes the watch's place.
+        // No watch is open while pages are read.
         if node.paused || node.pages.is_some() {
             return;
         }
-        let until = (node.general_at + changes).min(self.history.len());
-        let heard: Vec<Change> = self.history[node.general_at..until].to_vec();
-        for change in &heard {
+        let until = (node.mirror_position + changes).min(self.history.len());
+        let changed: Vec<Change> = self.history[node.mirror_position..until].to_vec();
+        for change in &changed {
             match change.value {
                 Some(_) => node.keys.insert(change.key.clone()),
                 None => node.keys.remove(&change.key),
             };
         }
-        node.hear(heard);
-        node.general_at = until;
+        node.receive(changed);
+        node.mirror_position = until;
         let at = Revision(until as u64);
         node.view.known = node.view.known.max(at);
         node.view.heard.passed(node.mirror, at);
     }
 
-    /// What is there now of the keys that a page has.
+    /// The present records of the first or of the other pages.
     fn page(&self, first: bool) -> Vec<Change> {
         let mut state: BTreeMap<&str, &Change> = BTreeMap::new();
         for change in &self.history {
             state.insert(&change.key, change);
         }
-        let there = state.into_values().filter(|change| change.value.is_some());
-        there.filter(|change| change.key.starts_with("ch/job/") == first).cloned().collect()
+        let present = state.into_values().filter(|change| change.value.is_some());
+        present.filter(|change| change.key.starts_with("ch/job/") == first).cloned().collect()
     }
 
-    fn read_first(&mut self, node: usize) {
+    fn read_first_pages(&mut self, node: usize) {
         let (at, items) = (self.history.len(), self.page(true));
         let node = &mut self.nodes[node];
         if !node.paused && node.pages.is_none() {
@@ -454,7 +454,7 @@
         }
     }
 
-    fn read_rest(&mut self, node: usize) {
+    fn read_other_pages(&mut self, node: usize) {
         let rest = self.page(false);
         let node = &mut self.nodes[node];
         if node.paused {
@@ -465,21 +465,21 @@
         };
         items.extend(rest);
         items.sort_by_key(|item| item.revision);
-        let there: BTreeSet<String> = items.iter().map(|item| item.key.clone()).collect();
+        let present: BTreeSet<String> = items.iter().map(|item| item.key.clone()).collect();
         let revision = Revision(at as u64);
-        let gone = node.keys.iter().filter(|key| !there.contains(*key));
-        let gone = gone.map(|key| Change { key: key.clone(), revision, value: None });
-        let changes: Vec<Change> = gone.chain(items).collect();
-        node.keys = there;
-        node.hear(changes);
-        node.general_at = at;
+        let removed = node.keys.iter().filter(|key| !present.contains(*key));
+        let removed = removed.map(|key| Change { key: key.clone(), revision, value: None });
+        let changes: Vec<Change> = removed.chain(items).collect();
+        node.keys = present;
+        node.receive(changes);
+        node.mirror_position = at;
         node.view.known = node.view.known.max(revision);
         node.view.heard.passed(node.mirror, revision);
     }
 
-    /// A node decides, as its loop does.
-    fn work(&mut self, number: usize, work: Work) {
-        self.tick(200);
+    /// A node decides, as its control loop does.
+    fn tick(&mut self, number: usize, execution: Execution) {
+        self.advance_clock(200);
         if self.nodes[number].paused {
             return;
         }
@@ -488,49 +488,52 @@
         let node = &mut self.nodes[number];
         let deltas = std::mem::take(&mut node.deltas);
         for delta in deltas {
-            tell(node, delta, now, &mut out);
+            deliver(node, delta, now, &mut out);
         }
-        check_owner(node);
+        release_if_replaced(node);
         if node.owner.is_none() {
             out.clear();
         }
-        // An owner that has stood still gives up: it has not asked a worker that hears again meanwhile.
-        let stood_still = GIVES_UP_MS < self.now - node.worked;
-        node.worked = self.now;
-        if stood_still && node.owner.is_some() && self.dark.is_some() {
+        // An owner gives up after a pause: it has not polled a worker that has become reachable.
+        let was_paused = MAX_PAUSE_MS < self.now - node.last_tick;
+        node.last_tick = self.now;
+        if was_paused && node.owner.is_some() && self.unreachable.is_some() {
             let held = self.holds(number);
             self.nodes[number].release();
             if held {
-                self.lapse();
+                self.end_ownership();
             }
             return;
         }
-        take_up(node, now, &mut out);
+        take_over(node, now, &mut out);
         if let Some(owner) = node.owner.as_mut() {
             if self.holder.is_some_and(|(token, _)| token == owner.token) {
                 owner.set_confirmed(now.steady);
             }
             owner.work(now, &mut out);
         }
-        self.carry_out(number, out, work.slow % 4 == 3);
+        self.execute(number, out, execution.delayed % 4 == 3);
         if self.nodes[number].owner.as_ref().is_some_and(Owner::is_deposed) {
             self.nodes[number].release();
         }
-        self.write_roster(number);
-        if !work.unsaved {
-            self.save(number);
+        self.persist_roster(number);
+        if !execution.unsaved {
+            self.persist_progress(number);
         }
         self.remove_finished(number);
     }
 
-    fn carry_out(&mut self, number: usize, effects: Vec<Effect>, slow: bool) {
+    fn execute(&mut self, number: usize, effects: Vec<Effect>, delayed: bool) {
         let mut effects = effects;
         while !effects.is_empty() {
             let orders = effects.iter().any(|effect| !matches!(effect, Effect::Advise { .. }));
-            assert!(!(orders && self.nodes[number].told_over), "orders of one that is told over");
+            assert!(
+                !(orders && self.nodes[number].has_seen_end),
+                "an owner sends orders after it received the end of its ownership"
+            );
             let mut next = Vec::new();
             for effect in effects {
-                let event = self.apply(effect, slow);
+                let event = self.execute_effect(effect, delayed);
                 let now = self.at();
                 if let Some((event, owner)) = event.zip(self.nodes[number].owner.as_mut()) {
                     owner.handle(event, now, &mut next);
@@ -540,8 +543,8 @@
         }
     }
 
-    /// The worker that an order reaches, if it is the one that is meant.
-    fn reached(&mut self, to: &Addressee) -> Result<&mut Runner, Refusal> {
+    /// The worker that an order reaches, if it is the addressee.
+    fn receiver(&mut self, to: &Addressee) -> Result<&mut Runner, Refusal> {
         let runner = (0..WORKERS).find(|number| to.address == format!("h{number}:80"));
         let runner = runner.filter(|number| worker_id(*number) == to.worker);
         let runner = &mut self.runners[runner.ok_or(Refusal::OtherLife)?];
@@ -552,9 +555,9 @@
         Ok(runner)
     }
 
-    /// What is told of an order that reaches nobody.
-    fn unheard(&self, effect: &Effect) -> Option<Event> {
-        let (number, until) = self.dark?;
+    /// The unknown result of an order to the unreachable worker.
+    fn unanswered(&self, effect: &Effect) -> Option<Event> {
+        let (number, until) = self.unreachable?;
         let id = worker_id(number);
         if until <= self.now {
             return None;
@@ -575,15 +578,15 @@
         }
     }
 
-    fn apply(&mut self, effect: Effect, slow: bool) -> Option<Event> {
-        if let Some(event) = self.unheard(&effect) {
+    fn execute_effect(&mut self, effect: Effect, delayed: bool) -> Option<Event> {
+        if let Some(event) = self.unanswered(&effect) {
             return Some(event);
         }
         match effect {
             Effect::Start { to, start } => {
                 let (worker, task, run) = (to.worker.clone(), start.task, start.run);
-                if slow {
-                    self.late.push((to, start));
+                if delayed {
+                    self.delayed_starts.push((to, start));
                     return Some(Event::Started { worker, task, run, end: OrderEnd::Unknown });
                 }
                 let end = match self.start(&to, &start) {
@@ -594,14 +597,14 @@
             }
             Effect::Stop { to, task, run } => {
                 let clock_ms = self.clock_ms();
-                let end = match self.reached(&to) {
+                let end = match self.receiver(&to) {
                     Ok(runner) => {
                         if runner.runs.get(&task) == Some(&run) {
                             runner.runs.remove(&task);
                             runner.end(task, run, HowEnded::Stopped);
                         }
-                        let over = runner.over.entry(task).or_default();
-                        *over = run.max(*over);
+                        let highest = runner.ended_runs.entry(task).or_default();
+                        *highest = run.max(*highest);
                         OrderEnd::Done(clock_ms)
                     }
                     Err(why) => OrderEnd::Refused { why, clock_ms: None },
@@ -609,7 +612,7 @@
                 Some(Event::Stopped { worker: to.worker, task, run, end })
             }
             Effect::Look { to, acknowledged, until_ms, .. } => {
-                Some(self.look(&to, acknowledged, until_ms))
+                Some(self.poll(&to, acknowledged, until_ms))
             }
             Effect::Pace { .. } | Effect::Advise { .. } => None,
         }
@@ -617,11 +620,11 @@
 
     fn start(&mut self, to: &Addressee, start: &Start) -> Result<(), Refusal> {
         let (task, clock_ms) = (start.task, self.clock_ms());
-        let runner = self.reached(to)?;
+        let runner = self.receiver(to)?;
         if runner.runs.get(&task) == Some(&start.run) {
             return Ok(());
         }
-        if runner.over.get(&task).is_some_and(|over| start.run <= *over) {
+        if runner.ended_runs.get(&task).is_some_and(|ended| start.run <= *ended) {
             return Err(Refusal::Old);
         }
         if start.until_ms < clock_ms {
@@ -629,18 +632,18 @@
         }
         runner.until_ms = runner.until_ms.max(start.until_ms);
         let runs = self.runners.iter().filter(|runner| runner.runs.contains_key(&task)).count();
-        assert_eq!(runs, 0, "{task} runs already and is started at {}", to.worker);
-        assert!(!self.done.contains(&task), "{task} was done and is started at {}", to.worker);
+        assert_eq!(runs, 0, "{task} is already running and is started at {}", to.worker);
+        assert!(!self.done.contains(&task), "{task} is done and is started again at {}", to.worker);
         let number = (0..WORKERS).find(|number| worker_id(*number) == to.worker).unwrap();
         self.runners[number].runs.insert(task, start.run);
-        self.accepted += 1;
+        self.starts += 1;
         Ok(())
     }
 
-    fn look(&mut self, to: &Addressee, acknowledged: u64, until_ms: Option<u64>) -> Event {
+    fn poll(&mut self, to: &Addressee, acknowledged: u64, until_ms: Option<u64>) -> Event {
         let (worker, sent) = (to.worker.clone(), Steady::from_millis(self.now));
         let clock_ms = self.clock_ms();
-        let runner = match self.reached(to) {
+        let runner = match self.receiver(to) {
             Ok(runner) => runner,
             Err(why) => {
                 let end = OrderEnd::Refused { why, clock_ms: None };
@@ -648,7 +651,7 @@
             }
         };
         runner.until_ms = runner.until_ms.max(until_ms.unwrap_or_default());
-        let (over, left): (Vec<Ended>, Vec<Ended>) =
+        let (confirmed, left): (Vec<Ended>, Vec<Ended>) =
             std::mem::take(&mut runner.ends).into_iter().partition(|e| e.number <= acknowledged);
         runner.ends = left;
         let present = runner.runs.iter().map(|(task, run)| Present {
@@ -658,24 +661,28 @@
             percent: 50,
             gauge: 0,
         });
-        let look =
+        let response =
             Look { born: None, clock_ms, present: present.collect(), ended: runner.ends.clone() };
-        for end in over.iter().filter(|end| end.how == HowEnded::Done) {
-            assert!(self.is_counted(end.task), "{}: acknowledged, and not counted", end.task);
+        for end in confirmed.iter().filter(|end| end.how == HowEnded::Done) {
+            assert!(
+                self.is_end_durable(end.task),
+                "{}: its end is acknowledged and not durable",
+                end.task
+            );
         }
-        Event::Looked { worker, sent, end: OrderEnd::Done(look) }
+        Event::Looked { worker, sent, end: OrderEnd::Done(response) }
     }
 
-    /// Whether the store holds that a task is done, or that it need not be.
-    fn is_counted(&self, task: TaskId) -> bool {
+    /// Whether the store holds that a task is done, or that it need not be done.
+    fn is_end_durable(&self, task: TaskId) -> bool {
         let job = task.of.job;
-        let counts = |progress: &Progress| {
+        let is_recorded = |progress: &Progress| {
             let step = progress.steps.get("0.0");
             progress.state.is_final() || step.is_some_and(|step| step.done.contains(&task.index))
         };
         self.cancelled.contains(&job)
             || self.garbled.contains(&job)
-            || self.progress.get(&job).is_some_and(|(_, progress)| counts(progress))
+            || self.progress.get(&job).is_some_and(|(_, progress)| is_recorded(progress))
     }
 
     fn holds(&self, number: usize) -> bool {
@@ -683,14 +690,14 @@
         token.is_some() && token == self.holder.map(|(token, _)| token)
     }
 
-    fn save(&mut self, number: usize) {
+    fn persist_progress(&mut self, number: usize) {
         let holds = self.holds(number);
         let Some(owner) = self.nodes[number].owner.as_mut() else {
             return;
         };
         let saves = owner.saves(15);
         if !holds {
-            // The write is refused, and the owner is told that it is over.
+            // The write is refused, which reports the end of the ownership.
             if !saves.is_empty() {
                 self.nodes[number].release();
             }
@@ -711,32 +718,32 @@
         }
     }
 
-    fn write_roster(&mut self, number: usize) {
+    fn persist_roster(&mut self, number: usize) {
         let holds = self.holds(number);
         let Some(owner) = self.nodes[number].owner.as_mut() else {
             return;
         };
-        let Some(note) = owner.roster_note(29) else {
+        let Some(roster_write) = owner.roster_note(29) else {
             return;
         };
         if !holds {
             return;
         }
-        if self.nodes[number].away_at != self.away_at {
-            self.nodes[number].away_at = self.away_at;
+        if self.nodes[number].silent_workers_at != self.silent_workers_at {
+            self.nodes[number].silent_workers_at = self.silent_workers_at;
             return;
         }
         let name = pool_name();
-        for report in &note.added {
+        for report in &roster_write.added {
             self.write(keys::roster(&name, &report.id), Some(bytes(report)));
         }
-        for worker in &note.dropped {
+        for worker in &roster_write.dropped {
             self.write(keys::roster(&name, worker), None);
         }
-        self.away_at = self.write(keys::away(&name), Some(bytes(&note.away)));
-        self.nodes[number].away_at = self.away_at;
-        let kept_at = self.away_at;
-        self.nodes[number].owner.as_mut().unwrap().rostered(&note, kept_at);
+        self.silent_workers_at = self.write(keys::away(&name), Some(bytes(&roster_write.away)));
+        self.nodes[number].silent_workers_at = self.silent_workers_at;
+        let written_at = self.silent_workers_at;
+        self.nodes[number].owner.as_mut().unwrap().rostered(&roster_write, written_at);
     }
 
     fn remove_finished(&mut self, number: usize) {
@@ -761,7 +768,7 @@
         self.write(format!("servers/w{number}"), value);
     }
 
-    fn garble(&mut self, job: JobId) {
+    fn garble_progress(&mut self, job: JobId) {
         let revision = self.write(keys::progress(job), Some(b"{".to_vec()));
         let progress = self.progress.get(&job).map(|(_, progress)| progress.clone());
         self.progress.insert(job, (revision, progress.unwrap_or_default()));
@@ -774,24 +781,24 @@
         runner.end_all(HowEnded::Done);
     }
 
-    fn arrive(&mut self) {
-        for (to, start) in std::mem::take(&mut self.late) {
-            // Nobody hears the answer.
+    fn deliver_starts(&mut self) {
+        for (to, start) in std::mem::take(&mut self.delayed_starts) {
+            // The answer reaches no node.
             let _ = self.start(&to, &start);
         }
     }
 
     fn apply_op(&mut self, op: Op) {
         match op {
-            Op::HandIn => self.hand_in(),
-            Op::Round { node, quick, general, work } => {
-                self.general(node as usize, general as usize % 12);
-                self.quick(node as usize, quick as usize % 12);
-                self.work(node as usize, work);
+            Op::Submit => self.submit(),
+            Op::Round { node, own, mirror, execution } => {
+                self.advance_mirror(node as usize, mirror as usize % 12);
+                self.advance_own_watch(node as usize, own as usize % 12);
+                self.tick(node as usize, execution);
             }
-            Op::Ahead { node, quick, work } => {
-                self.quick(node as usize, quick as usize % 24);
-                self.work(node as usize, work);
+            Op::OwnWatchOnly { node, own, execution } => {
+                self.advance_own_watch(node as usize, own as usize % 24);
+                self.tick(node as usize, execution);
             }
             Op::Finish { worker } => self.finish(worker as usize % WORKERS),
             Op::Rare(rare) => self.apply_rare(rare),
@@ -806,95 +813,96 @@
                     self.cancelled.insert(job);
                 }
             }
-            Rare::ReadFirst { node } => self.read_first(node as usize),
-            Rare::ReadRest { node } => self.read_rest(node as usize),
+            Rare::ReadFirstPages { node } => self.read_first_pages(node as usize),
+            Rare::ReadOtherPages { node } => self.read_other_pages(node as usize),
             Rare::Pause { node } => self.nodes[node as usize].paused = true,
             Rare::Resume { node } => self.nodes[node as usize].paused = false,
-            Rare::Pass { node } => {
-                self.lapse();
-                self.win(node as usize);
+            Rare::Takeover { node } => {
+                self.end_ownership();
+                self.acquire(node as usize);
             }
-            Rare::Lapse => self.lapse(),
-            Rare::WinAgain { node } => {
+            Rare::EndLease => self.end_ownership(),
+            Rare::Reacquire { node } => {
                 if self.holder.is_some_and(|(_, holder)| holder == node as usize) {
                     self.nodes[node as usize].release();
-                    self.lapse();
-                    self.win(node as usize);
+                    self.end_ownership();
+                    self.acquire(node as usize);
                 }
             }
-            Rare::GiveBack { node, to, dark } => {
+            Rare::HandOver { node, to, worker } => {
                 if self.holds(node as usize) {
-                    self.dark = Some((dark as usize % WORKERS, self.now + DARK_MS));
-                    self.give_back(node as usize);
-                    self.win(to as usize);
+                    self.unreachable = Some((worker as usize % WORKERS, self.now + UNREACHABLE_MS));
+                    self.hand_over(node as usize);
+                    self.acquire(to as usize);
                 }
             }
-            Rare::GiveBackLate { node } => {
+            Rare::ReleaseLate { node } => {
                 if self.holds(node as usize) {
-                    self.give_back_late(node as usize);
+                    self.release_late(node as usize);
                 }
             }
-            Rare::Arrive => {
-                self.arrive();
-                self.leave();
+            Rare::DeliverDelayed => {
+                self.deliver_starts();
+                self.deliver_release();
             }
-            Rare::Entry { worker, entry } => self.set_entry(worker as usize % WORKERS, entry),
+            Rare::ChangeEntry { worker, entry } => self.set_entry(worker as usize % WORKERS, entry),
             Rare::Garble { job } => {
                 if let Some(job) = self.some_job(job).filter(|_| job % 8 == 0) {
-                    self.garble(job);
+                    self.garble_progress(job);
                 }
             }
-            Rare::Wait { ticks } => self.tick(u64::from(ticks % 32) * 200),
+            Rare::Wait { ticks } => self.advance_clock(u64::from(ticks % 32) * 200),
         }
     }
 
-    /// Once all is told, every job has ended as it should.
-    fn settle(&mut self) {
+    /// Delivers everything to a last owner, after which every job must have succeeded.
+    fn run_to_end(&mut self) {
         for number in 0..WORKERS {
             self.set_entry(number, 0);
         }
-        self.dark = None;
+        self.unreachable = None;
         for number in 0..2 {
             self.nodes[number].paused = false;
-            self.read_rest(number);
+            self.read_other_pages(number);
         }
-        self.lapse();
-        self.owners = self.owners.min(MOST_OWNERS - 1);
-        self.win(0);
+        self.end_ownership();
+        self.owners = self.owners.min(MAX_OWNERS - 1);
+        self.acquire(0);
         for _ in 0..80 {
             for number in 0..2 {
-                self.quick(number, usize::MAX / 2);
-                self.general(number, usize::MAX / 2);
-                self.work(number, PROMPT);
+                self.advance_own_watch(number, usize::MAX / 2);
+                self.advance_mirror(number, usize::MAX / 2);
+                self.tick(number, PROMPT);
             }
-            self.arrive();
+            self.deliver_starts();
             (0..WORKERS).for_each(|number| self.finish(number));
         }
         for id in &self.jobs {
             let state = self.nodes[1].view.jobs[id].state();
-            let over = self.cancelled.contains(id) || self.garbled.contains(id);
-            assert!(over || state == JobState::Succeeded, "{id} in the end: {state:?}");
+            let is_exempt = self.cancelled.contains(id) || self.garbled.contains(id);
+            assert!(is_exempt || state == JobState::Succeeded, "{id} at the end: {state:?}");
         }
-        assert!(self.nodes[1].view.heard.removals() == 0, "removals are forgotten");
+        assert!(self.nodes[1].view.heard.removals() == 0, "all removals must be forgotten");
     }
 }
 
-/// Tells the owner at a node of what changed.
-fn tell(node: &mut Node, delta: Delta, now: Now, out: &mut Vec<Effect>) {
+/// Passes a change on to the owner at a node.
+fn deliver(node: &mut Node, delta: Delta, now: Now, out: &mut Vec<Effect>) {
     let known = |id: &JobId| node.view.jobs.get(id);
     let event = match delta {
         Delta::Job(id) => known(&id).and_then(|known| known.stored(id)).map(Event::Job),
         Delta::Removed(id) => Some(Event::Removed(id)),
         Delta::Cancelled(id) => {
-            let told = known(&id).is_some_and(|known| known.cancelled && known.record.is_some());
-            told.then_some(Event::Cancelled(id))
+            let is_cancelled =
+                known(&id).is_some_and(|known| known.cancelled && known.record.is_some());
+            is_cancelled.then_some(Event::Cancelled(id))
         }
         Delta::Worker(report) if report.pool == pool() => Some(Event::Worker(report)),
         Delta::Worker(report) => Some(Event::Elsewhere(report)),
         Delta::Unlisted(id) => Some(Event::Unlisted(id)),
         Delta::Barred(id) => Some(Event::Barred(id)),
         Delta::Owner(_) => {
-            check_owner(node);
+            release_if_replaced(node);
             None
         }
         Delta::Leave(_) | Delta::Config => None,
@@ -904,32 +912,33 @@
     }
 }
 
-/// Gives up what the view says is another's.
-fn check_owner(node: &mut Node) {
+/// Releases an ownership that the view shows as another's.
+fn release_if_replaced(node: &mut Node) {
     let token = node.owner.as_ref().map(|owner| owner.token);
     if token.is_some_and(|token| !node.view.owns(&pool_name(), token)) {
         node.release();
     }
 }
 
-/// Starts to act on what was won, once the view has come so far.
-fn take_up(node: &mut Node, now: Now, out: &mut Vec<Effect>) {
-    let Some((token, earlier)) = node.won.filter(|(token, _)| *token <= node.view.known.0) else {
+/// Starts an acquired ownership, once the view has reached its revision.
+fn take_over(node: &mut Node, now: Now, out: &mut Vec<Effect>) {
+    let Some((token, earlier)) = node.acquired.filter(|(token, _)| *token <= node.view.known.0)
+    else {
         return;
     };
-    node.won = None;
+    node.acquired = None;
     let name = pool_name();
     if !node.view.owns(&name, token) {
         return;
     }
     node.release();
-    node.told_over = false;
+    node.has_seen_end = false;
     out.clear();
     let mut owner = Owner::new(token, earlier, now.steady);
-    let away = node.view.away.get(&name).cloned();
-    node.away_at = away.as_ref().map(|at| at.revision).unwrap_or_default();
-    let away = away.map(|at| at.value).unwrap_or_default();
-    owner.inherit(node.view.roster(&name), &away, now, out);
+    let silent_workers = node.view.away.get(&name).cloned();
+    node.silent_workers_at = silent_workers.as_ref().map(|at| at.revision).unwrap_or_default();
+    let silent_workers = silent_workers.map(|at| at.value).unwrap_or_default();
+    owner.inherit(node.view.roster(&name), &silent_workers, now, out);
     for at in node.view.workers.values() {
         owner.handle(Event::Worker(at.value.clone()), now, out);
     }
@@ -942,25 +951,25 @@
         }
     }
     let since = node.view.known;
-    node.own = Some(node.view.heard.open(&keys::work(&name), since));
-    node.quick_at = since.0 as usize;
+    node.own_watch = Some(node.view.heard.open(&keys::work(&name), since));
+    node.own_position = since.0 as usize;
     node.owner = Some(owner);
 }
 
 #[test]
-fn nothing_runs_twice_however_owners_come_and_go() {
-    let handed = Cell::new(0);
+fn nothing_runs_twice_however_owners_change() {
+    let handovers = Cell::new(0);
     fuzz(600, 120, |ops: &[Op]| {
         let mut world = World::new();
-        world.hand_in();
-        world.general(0, usize::MAX / 2);
-        (0..3).for_each(|_| world.work(0, PROMPT));
+        world.submit();
+        world.advance_mirror(0, usize::MAX / 2);
+        (0..3).for_each(|_| world.tick(0, PROMPT));
         for op in ops {
             world.apply_op(*op);
         }
-        world.settle();
-        assert!(0 < world.accepted, "the plays start tasks");
-        handed.set(handed.get() + world.handed);
+        world.run_to_end();
+        assert!(0 < world.starts, "every case must start tasks");
+        handovers.set(handovers.get() + world.handovers);
     });
-    assert!(0 < handed.get(), "some owner leaves word of what may run");
+    assert!(0 < handovers.get(), "some case must write a handover record");
 }
--- a/src/scheduler/tests/watches.rs
+++ b/src/scheduler/tests/watches.rs
@@ -1,6 +1,6 @@
-//! Fuzzing of what an owner hears through two watches that lag apart, repeat what was told, and are
-//! read anew in pages. The oracle knows which tasks ended, and that their ends are durable: none of
-//! them may be started again, by this owner or a later one.
+//! Fuzzing of what an owner receives through two watches that lag independently, repeat changes,
+//! and are read anew in pages. The oracle knows which tasks have a durable end: none of them may be
+//! started again, by this owner or a later one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,42 +27,44 @@
     tests::{fuzz, sample},
 };
 
-/// Jobs of one run at the most.
-const MOST_JOBS: u64 = 6;
+/// Most jobs of one case.
+const MAX_JOBS: u64 = 6;
 
-/// Owners of one run at the most.
-const MOST_OWNERS: u32 = 4;
+/// Most owners of one case.
+const MAX_OWNERS: u32 = 4;
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
-    HandIn,
-    /// The owner works, its orders are carried out, and what it wants written is written.
-    Work {
+    Submit,
+    /// The owner decides, its orders are executed, and its records are written.
+    Tick {
         rounds: u8,
     },
-    /// The owner's own watch tells of some changes.
-    Quick {
+    /// The owner's own watch reports some changes.
+    OwnWatch {
         changes: u8,
     },
-    /// The mirror's watch tells of some changes.
-    General {
+    /// The mirror's watch reports some changes.
+    MirrorWatch {
         changes: u8,
     },
-    /// The mirror reads all anew, and watches on from the first page, which is older than the last.
+    /// The mirror reads everything anew, and watches from the revision of the first page, which is
+    /// older than that of the last.
     Reread {
         older: u8,
     },
-    Replace,
+    /// A later owner acquires the pool.
+    ReplaceOwner,
 }
 
-/// The truth, and the view of one node.
+/// The store, the worker, and the view and owner of one node.
 struct World {
     now: u64,
     /// All changes, in their order. The first one's revision is 1.
     history: Vec<Change>,
     view: View,
-    quick_at: usize,
-    general_at: usize,
+    owner_position: usize,
+    mirror_position: usize,
     owner: Owner,
     owners: u32,
     jobs: BTreeMap<JobId, Step>,
@@ -70,7 +72,7 @@
     ends: Vec<Ended>,
     next_end: u64,
     /// Tasks whose end was acknowledged.
-    noted: BTreeSet<TaskId>,
+    acknowledged_tasks: BTreeSet<TaskId>,
     progress_at: BTreeMap<JobId, Revision>,
 }
 
@@ -97,18 +99,18 @@
             now: 1_000,
             history: Vec::new(),
             view: View::default(),
-            quick_at: 0,
-            general_at: 0,
+            owner_position: 0,
+            mirror_position: 0,
             owner: Owner::new(0, 0, Steady::from_millis(0)),
             owners: 0,
             jobs: BTreeMap::new(),
             runs: BTreeMap::new(),
             ends: Vec::new(),
             next_end: 1,
-            noted: BTreeSet::new(),
+            acknowledged_tasks: BTreeSet::new(),
             progress_at: BTreeMap::new(),
         };
-        world.replace();
+        world.replace_owner();
         world
     }
 
@@ -123,16 +125,16 @@
         revision
     }
 
-    /// A node takes the pool up once its mirror has come as far as the ownership.
-    fn replace(&mut self) {
-        if MOST_OWNERS <= self.owners {
+    /// A later owner starts once the mirror has reached the revision of its ownership.
+    fn replace_owner(&mut self) {
+        if MAX_OWNERS <= self.owners {
             return;
         }
         let token = self.write(keys::owner(&keys::pool(&pool())), Some(Vec::new()));
-        self.general(self.history.len());
+        self.advance_mirror(self.history.len());
         self.owner = Owner::new(token.0, self.owners, Steady::from_millis(self.now));
         self.owners += 1;
-        self.quick_at = token.0 as usize;
+        self.owner_position = token.0 as usize;
         let (now, mut out) = (self.at(), Vec::new());
         self.owner.inherit(vec![report()], &Away::default(), now, &mut out);
         self.owner.handle(Event::Worker(report()), now, &mut out);
@@ -141,12 +143,12 @@
                 self.owner.handle(Event::Job(stored), now, &mut out);
             }
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn hand_in(&mut self) {
+    fn submit(&mut self) {
         let number = self.jobs.len() as u64 + 1;
-        if MOST_JOBS < number {
+        if MAX_JOBS < number {
             return;
         }
         let id: JobId = format!("{number:016x}").parse().unwrap();
@@ -156,8 +158,8 @@
         self.write(keys::job(&pool(), id), Some(json(&sample::record(vec![step]))));
     }
 
-    /// Takes in a change, as a node does.
-    fn take_in(&mut self, change: Change) {
+    /// Applies a change as a node does.
+    fn apply_change(&mut self, change: Change) {
         let now = self.at();
         let event = match self.view.apply(change) {
             Some(Delta::Job(id)) => {
@@ -170,51 +172,51 @@
         if let Some(event) = event {
             self.owner.handle(event, now, &mut out);
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn quick(&mut self, changes: usize) {
-        let until = (self.quick_at + changes).min(self.history.len());
+    fn advance_owner_watch(&mut self, changes: usize) {
+        let until = (self.owner_position + changes).min(self.history.len());
         let prefix = keys::work(&keys::pool(&pool()));
-        for place in self.quick_at..until {
-            let change = self.history[place].clone();
+        for position in self.owner_position..until {
+            let change = self.history[position].clone();
             if change.key.starts_with(&prefix) {
-                self.take_in(change);
+                self.apply_change(change);
             }
         }
-        self.quick_at = until;
+        self.owner_position = until;
     }
 
-    fn general(&mut self, changes: usize) {
-        let until = (self.general_at + changes).min(self.history.len());
-        for place in self.general_at..until {
-            self.take_in(self.history[place].clone());
+    fn advance_mirror(&mut self, changes: usize) {
+        let until = (self.mirror_position + changes).min(self.history.len());
+        for position in self.mirror_position..until {
+            self.apply_change(self.history[position].clone());
         }
-        self.general_at = until;
+        self.mirror_position = until;
     }
 
-    /// All is read as it is now, and the watch goes on from an earlier revision, but from none
-    /// before the one that it had reached.
+    /// Everything is read as it is now, and the watch continues from an earlier revision, but from
+    /// none before the one that it had reached.
     fn reread(&mut self, older: usize) {
         let mut state: BTreeMap<String, Change> = BTreeMap::new();
         for change in &self.history {
             state.insert(change.key.clone(), change.clone());
         }
-        let mut there: Vec<Change> =
+        let mut present: Vec<Change> =
             state.into_values().filter(|change| change.value.is_some()).collect();
-        there.sort_by_key(|change| change.revision);
-        for change in there {
-            self.take_in(change);
+        present.sort_by_key(|change| change.revision);
+        for change in present {
+            self.apply_change(change);
         }
-        self.general_at = self.history.len().saturating_sub(older).max(self.general_at);
+        self.mirror_position = self.history.len().saturating_sub(older).max(self.mirror_position);
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn execute(&mut self, effects: Vec<Effect>) {
         let mut effects = effects;
         while !effects.is_empty() {
             let mut next = Vec::new();
             for effect in effects {
-                if let Some(event) = self.apply(effect) {
+                if let Some(event) = self.execute_effect(effect) {
                     let now = self.at();
                     self.owner.handle(event, now, &mut next);
                 }
@@ -223,13 +225,16 @@
         }
     }
 
-    /// What the worker does with an order, and answers.
-    fn apply(&mut self, effect: Effect) -> Option<Event> {
+    /// The worker's reaction to an order, and its answer.
+    fn execute_effect(&mut self, effect: Effect) -> Option<Event> {
         let clock_ms = 500 + self.now;
         match effect {
             Effect::Start { to, start } => {
                 let (task, run) = (start.task, start.run);
-                assert!(!self.noted.contains(&task), "{task} is started after its end was noted");
+                assert!(
+                    !self.acknowledged_tasks.contains(&task),
+                    "{task} is started after its end was acknowledged"
+                );
                 self.runs.insert(task, run);
                 Some(Event::Started { worker: to.worker, task, run, end: OrderEnd::Done(clock_ms) })
             }
@@ -238,16 +243,16 @@
                 Some(Event::Stopped { worker: to.worker, task, run, end: OrderEnd::Done(clock_ms) })
             }
             Effect::Look { to, acknowledged, .. } => {
-                Some(self.look(to.worker, acknowledged, clock_ms))
+                Some(self.poll(to.worker, acknowledged, clock_ms))
             }
             Effect::Pace { .. } | Effect::Advise { .. } => None,
         }
     }
 
-    fn look(&mut self, worker: Incarnation, acknowledged: u64, clock_ms: u64) -> Event {
+    fn poll(&mut self, worker: Incarnation, acknowledged: u64, clock_ms: u64) -> Event {
         for end in &self.ends {
             if end.number <= acknowledged {
-                self.noted.insert(end.task);
+                self.acknowledged_tasks.insert(end.task);
             }
         }
         self.ends.retain(|end| acknowledged < end.number);
@@ -258,33 +263,33 @@
             percent: 50,
             gauge: 0,
         });
-        let look =
+        let response =
             Look { born: None, clock_ms, present: present.collect(), ended: self.ends.clone() };
         let sent = Steady::from_millis(self.now);
-        Event::Looked { worker, sent, end: OrderEnd::Done(look) }
+        Event::Looked { worker, sent, end: OrderEnd::Done(response) }
     }
 
-    fn work(&mut self) {
+    fn tick(&mut self) {
         self.now += 200;
         let (now, mut out) = (self.at(), Vec::new());
         self.owner.set_confirmed(now.steady);
         self.owner.work(now, &mut out);
-        self.carry_out(out);
+        self.execute(out);
         for (task, run) in std::mem::take(&mut self.runs) {
-            let (number, saved) = (self.next_end, String::new());
+            let (number, data) = (self.next_end, String::new());
             self.next_end += 1;
-            self.ends.push(Ended { number, task, run, how: HowEnded::Done, saved });
+            self.ends.push(Ended { number, task, run, how: HowEnded::Done, saved: data });
         }
-        self.save();
-        if let Some(note) = self.owner.roster_note(29) {
-            self.owner.rostered(&note, Revision(self.history.len() as u64));
+        self.persist_progress();
+        if let Some(roster_write) = self.owner.roster_note(29) {
+            self.owner.rostered(&roster_write, Revision(self.history.len() as u64));
         }
         for id in self.owner.take_finished(32) {
             self.write(keys::job(&pool(), id), None);
         }
     }
 
-    fn save(&mut self) {
+    fn persist_progress(&mut self) {
         let saves = self.owner.saves(15);
         for save in saves {
             let at = self.progress_at.get(&save.job).copied().unwrap_or_default();
@@ -301,52 +306,52 @@
 
     fn apply_op(&mut self, op: Op) {
         match op {
-            Op::HandIn => self.hand_in(),
-            Op::Work { rounds } => (0..rounds % 8).for_each(|_| self.work()),
-            Op::Quick { changes } => self.quick(changes as usize % 12),
-            Op::General { changes } => self.general(changes as usize % 12),
+            Op::Submit => self.submit(),
+            Op::Tick { rounds } => (0..rounds % 8).for_each(|_| self.tick()),
+            Op::OwnWatch { changes } => self.advance_owner_watch(changes as usize % 12),
+            Op::MirrorWatch { changes } => self.advance_mirror(changes as usize % 12),
             Op::Reread { older } => self.reread(older as usize % 16),
-            Op::Replace => self.replace(),
+            Op::ReplaceOwner => self.replace_owner(),
         }
     }
 
-    /// Once all is told, every job has ended as it should.
-    fn settle(&mut self) {
+    /// Delivers all changes, after which every job must have succeeded.
+    fn run_to_end(&mut self) {
         for _ in 0..60 {
-            self.quick(usize::MAX / 2);
-            self.general(usize::MAX / 2);
-            self.work();
+            self.advance_owner_watch(usize::MAX / 2);
+            self.advance_mirror(usize::MAX / 2);
+            self.tick();
         }
         for id in self.jobs.keys() {
             let known = &self.view.jobs[id];
-            assert_eq!(known.state(), JobState::Succeeded, "{id} in the end");
+            assert_eq!(known.state(), JobState::Succeeded, "state of {id} at the end");
         }
         assert_eq!(self.owner.summary().jobs, 0);
     }
 }
 
 #[test]
-fn what_ended_stays_so_however_far_two_watches_lag_apart() {
+fn ended_tasks_stay_ended_however_far_two_watches_lag_apart() {
     fuzz(400, 60, |ops: &[Op]| {
         let mut world = World::new();
-        world.hand_in();
+        world.submit();
         for op in ops {
             world.apply_op(*op);
         }
-        world.settle();
+        world.run_to_end();
     });
 }
 
-/// The owner's own watch is ahead of the mirror: it tells of a job's removal before the mirror has
-/// told of the job.
+/// The owner's own watch is ahead of the mirror: it reports the removal of a job before the mirror
+/// has reported the job.
 #[test]
-fn a_removed_job_is_not_taken_for_new_when_the_other_watch_tells_of_it() {
+fn a_removed_job_does_not_start_anew_when_the_other_watch_reports_it() {
     let mut world = World::new();
-    world.hand_in();
-    world.quick(9);
-    (0..8).for_each(|_| world.work());
-    world.quick(9);
-    world.general(1);
-    (0..3).for_each(|_| world.work());
+    world.submit();
+    world.advance_owner_watch(9);
+    (0..8).for_each(|_| world.tick());
+    world.advance_owner_watch(9);
+    world.advance_mirror(1);
+    (0..3).for_each(|_| world.tick());
     assert_eq!(world.owner.summary().jobs, 0, "the job has ended");
 }
