--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -88,7 +88,7 @@
 }
 
 /// The submitted record of a job is removed once its end is durable. Callers still get the end,
-/// also from a node that has read all records anew.
+/// also from a node that has read all records again.
 #[test]
 fn a_job_with_only_a_final_progress_record_is_known_as_ended() {
     let mut view = View::default();
--- a/src/scheduler/tests/age.rs
+++ b/src/scheduler/tests/age.rs
@@ -305,7 +305,7 @@
         .await;
 }
 
-/// The same at a node that adds up the reports of owners: the pool's owner is gone or stalled, and
+/// The same at a node that adds up the reports of owners: the pool's owner has ended or stalled, and
 /// its last report stays in the store.
 #[tokio::test]
 async fn a_report_that_is_not_renewed_is_not_counted() {
--- a/src/scheduler/tests/cold.rs
+++ b/src/scheduler/tests/cold.rs
@@ -49,7 +49,7 @@
     assert_eq!(allowed.iter().find(overdue), None, "another node acquired it 2 s after the start");
 }
 
-/// The jobs of a pool wait for ever. Another writer overwrote the pool's count of owners; every
+/// The jobs of a pool wait forever. Another writer overwrote the pool's count of owners; every
 /// node took the record for absent and tried to acquire the pool under the condition that there is
 /// none, which the store refuses. The record of the owner itself is replaced at its revision when
 /// it cannot be read.
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -54,8 +54,8 @@
 }
 
 fn first_step_done() -> Progress {
-    let note = StepNote { done: (0..10).collect(), ..StepNote::default() };
-    Progress { steps: BTreeMap::from([("0.0".to_owned(), note)]), ..Progress::default() }
+    let step_progress = StepNote { done: (0..10).collect(), ..StepNote::default() };
+    Progress { steps: BTreeMap::from([("0.0".to_owned(), step_progress)]), ..Progress::default() }
 }
 
 #[test]
@@ -208,8 +208,8 @@
                 JobEvent::Done { job, step, occurrence, tasks } => {
                     let steps = steps.entry(job % 4).or_default();
                     let done = (0..u32::from(tasks % 12)).collect();
-                    let note = StepNote { done, ..StepNote::default() };
-                    steps.insert(format!("{}.{}", occurrence % 4, step % 3), note);
+                    let step_progress = StepNote { done, ..StepNote::default() };
+                    steps.insert(format!("{}.{}", occurrence % 4, step % 3), step_progress);
                     let value = progress(JobState::Running, steps);
                     write(keys::progress(id(job)), value);
                 }
@@ -247,8 +247,8 @@
         let demand = demands.entry(record.pool.clone()).or_default();
         let done = |occurrence: u32, step: u32| {
             let steps = job.progress.as_ref().map(|at| &at.value.steps);
-            let note = steps.and_then(|steps| steps.get(&format!("{occurrence}.{step}")));
-            note.map_or(0, |note| note.done.len() as u32)
+            let step_progress = steps.and_then(|steps| steps.get(&format!("{occurrence}.{step}")));
+            step_progress.map_or(0, |step_progress| step_progress.done.len() as u32)
         };
         let (mut cpu, mut left_ms) = (0, 0);
         for occurrence in (0..record.times()).filter(|occurrence| record.due(*occurrence) <= wall) {
--- a/src/scheduler/tests/incarnations.rs
+++ b/src/scheduler/tests/incarnations.rs
@@ -94,6 +94,6 @@
     let progress =
         json!({ "s": "r", "t": { "0.0": { "t": { "0": { "c": ["w1"], "d": ["w2"] } } } } });
     let progress = serde_json::from_value::<Progress>(progress);
-    let notes = progress.unwrap().steps.remove("0.0").unwrap().tasks;
-    assert_eq!(notes[&0].crashed, BTreeSet::from([id]));
+    let task_progress = progress.unwrap().steps.remove("0.0").unwrap().tasks;
+    assert_eq!(task_progress[&0].crashed, BTreeSet::from([id]));
 }
--- a/src/scheduler/tests/moments.rs
+++ b/src/scheduler/tests/moments.rs
@@ -25,9 +25,9 @@
     Steady::from_millis(millis)
 }
 
-fn changes(ages: &mut Ages, sent: u64, reached: u64) {
+fn changes(ages: &mut Ages, sent: u64, up_to: u64) {
     let asked = ages.ask(at(sent));
-    ages.heard(ROOT, asked, Extent::Changes(Revision(reached)));
+    ages.heard(ROOT, asked, Extent::Changes(Revision(up_to)));
 }
 
 #[test]
@@ -153,10 +153,10 @@
     assert_eq!(jobs(&view, 1_300), Some(7));
     receive(&mut view, 2_500, Some(("pool-a", 5)));
     assert_eq!(jobs(&view, 1_000 + WORD_MS), Some(8));
-    assert_eq!(jobs(&view, 1_001 + WORD_MS), None, "the other pool's owner is gone");
+    assert_eq!(jobs(&view, 1_001 + WORD_MS), None, "the other pool's report is too old");
     receive(&mut view, 3_500, Some(("pool-b", 1)));
     assert_eq!(jobs(&view, 3_600), Some(6));
-    assert_eq!(jobs(&view, 2_501 + WORD_MS), None, "this pool's owner is gone");
+    assert_eq!(jobs(&view, 2_501 + WORD_MS), None, "this pool's report is too old");
 }
 
 #[test]
--- a/src/scheduler/tests/news.rs
+++ b/src/scheduler/tests/news.rs
@@ -1,5 +1,5 @@
 //! Tests of changes that arrive out of order. Two watches and reads in pages report the same keys
-//! to a node, each up to another revision. The change with the highest revision counts, however
+//! to a node, each as of another revision. The change with the highest revision counts, however
 //! late older ones arrive, also once the key has no record any more.
 
 use serde_json::{Value, json};
@@ -113,7 +113,7 @@
 
 /// A page that was read before a removal arrived after the watch had reported the removal: the
 /// record was shown again until the watch of the pages got there, since nothing was stored for the
-/// key by which the page could be told as older.
+/// key by which the page could be recognized as older.
 #[test]
 fn older_writes_do_not_restore_a_removed_record() {
     let failing = failing(|kind| {
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -238,7 +238,7 @@
 /// at once, and went on sending orders under the ownership that it had acquired under the old one.
 /// Another node acquired the pool and reached only hosts that the first one did not. It assumed
 /// that the others had stopped after the longest time for which an earlier owner may send orders,
-/// and started the task anew; it still ran there, since the first node went on polling that worker.
+/// and started the task again; it still ran there, since the first node went on polling that worker.
 #[tokio::test]
 async fn a_task_runs_once_when_the_owner_replaces_its_ended_lease() {
     let site = Site::start(2).await;
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -91,7 +91,7 @@
     Cancel {
         job: u8,
     },
-    /// A node starts to read everything in pages, the first of which hold the progress of jobs.
+    /// A node starts to reread everything in pages, the first of which hold the progress of jobs.
     ReadFirstPages {
         node: bool,
     },
@@ -120,7 +120,7 @@
     HandOver {
         node: bool,
         to: bool,
-        worker: u8,
+        cut_off: u8,
     },
     /// A node releases its ownership by a delayed write.
     ReleaseLate {
@@ -233,9 +233,9 @@
 }
 
 fn entry(number: usize, address: usize, state: &str) -> Vec<u8> {
-    let room = json!({ "cpu": 2000, "mem_mb": 8000 });
+    let resources = json!({ "cpu": 2000, "mem_mb": 8000 });
     bytes(&json!({ "service": "pool", "address": format!("h{address}:80"), "zone": "z",
-        "state": state, "machine": format!("h{number}"), "capacity": room, "labels": ["a", "r"] }))
+        "state": state, "machine": format!("h{number}"), "capacity": resources, "labels": ["a", "r"] }))
 }
 
 fn node() -> Node {
@@ -370,8 +370,8 @@
     fn release_late(&mut self, number: usize) {
         let now = self.at();
         if let Some(owner) = &self.nodes[number].owner {
-            let record = owner.parting(now).map(|record| bytes(&record));
-            self.delayed_release = Some((owner.token, record));
+            let value = owner.parting(now).map(|record| bytes(&record));
+            self.delayed_release = Some((owner.token, value));
             self.nodes[number].release();
         }
     }
@@ -829,9 +829,10 @@
                     self.acquire(node as usize);
                 }
             }
-            Rare::HandOver { node, to, worker } => {
+            Rare::HandOver { node, to, cut_off } => {
                 if self.holds(node as usize) {
-                    self.unreachable = Some((worker as usize % WORKERS, self.now + UNREACHABLE_MS));
+                    self.unreachable =
+                        Some((cut_off as usize % WORKERS, self.now + UNREACHABLE_MS));
                     self.hand_over(node as usize);
                     self.acquire(to as usize);
                 }
--- a/src/scheduler/tests/unsent.rs
+++ b/src/scheduler/tests/unsent.rs
@@ -176,7 +176,7 @@
     assert_eq!(results, vec![(1, "unknown"), (2, "unknown"), (3, "unknown")]);
     let mut runs = Vec::new();
     while runs.len() < 2 {
-        runs.extend(read(&mut link, &mut names).await.expect("the link is still there"));
+        runs.extend(read(&mut link, &mut names).await.expect("the link is open"));
     }
     assert_eq!(runs, vec![2, 3], "they were in the socket's buffer");
 }
--- a/src/scheduler/tests/watches.rs
+++ b/src/scheduler/tests/watches.rs
@@ -1,5 +1,5 @@
 //! Fuzzing of what an owner receives through two watches that lag independently, repeat changes,
-//! and are read anew in pages. The oracle knows which tasks have a durable end: none of them may be
+//! and are reread in pages. The oracle knows which tasks have a durable end: none of them may be
 //! started again, by this owner or a later one.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
     MirrorWatch {
         changes: u8,
     },
-    /// The mirror reads everything anew, and watches from the revision of the first page, which is
+    /// The mirror rereads everything, and watches from the revision of the first page, which is
     /// older than that of the last.
     Reread {
         older: u8,
@@ -276,9 +276,9 @@
         self.owner.work(now, &mut out);
         self.execute(out);
         for (task, run) in std::mem::take(&mut self.runs) {
-            let (number, data) = (self.next_end, String::new());
+            let (number, saved) = (self.next_end, String::new());
             self.next_end += 1;
-            self.ends.push(Ended { number, task, run, how: HowEnded::Done, saved: data });
+            self.ends.push(Ended { number, task, run, how: HowEnded::Done, saved });
         }
         self.persist_progress();
         if let Some(roster_write) = self.owner.roster_note(29) {
