--- a/src/scheduler/tests/age.rs
+++ b/src/scheduler/tests/age.rs
@@ -122,20 +122,19 @@
 }
 
 impl Harness {
-    /// A node that receives all records.
+    /// A node that mirrors all records.
     async fn with_records() -> Harness {
         let harness = Harness::start(&json!(12)).await;
         let record = json!({ "cpu": 500 });
         harness.put(keys::node("one"), json(&record)).await;
-        wait_for("the node to receive all records", async || {
+        wait_for("the node to mirror all records", async || {
             harness.node.view().is_whole().then_some(())
         })
         .await;
         harness
     }
 
-    /// A node that adds up the reports of owners: the larger other node receives the records of
-    /// jobs.
+    /// A node that adds up the reports of owners, since another, larger node is the replica.
     async fn with_reports() -> Harness {
         let harness = Harness::start(&json!(1)).await;
         harness.put(keys::node("large"), json(&json!({ "cpu": 9_000 }))).await;
@@ -176,13 +175,13 @@
         self.kv.commit(&Txn::default().put(key, value)).await.unwrap();
     }
 
-    /// Adds another node that receives all records, past the proxy, and answers relayed requests.
+    /// Adds another node that mirrors all records, past the proxy, and answers relayed requests.
     async fn add_peer(&self) {
         let (listener, peers) = http::listen("127.0.0.1:0").await.unwrap();
         let (node, _, api) = join("two", &self.store, &json!(12));
         tokio::spawn(http::serve(listener, 16, api, http::Stop::default()));
         self.put(keys::node("two"), json(&json!({ "cpu": 500, "peers": peers }))).await;
-        wait_for("the peer to receive all records", async || node.view().is_whole().then_some(()))
+        wait_for("the peer to mirror all records", async || node.view().is_whole().then_some(()))
             .await;
         wait_for("the peer to be known", async || {
             self.node.view().nodes.contains_key("two").then_some(())
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -110,7 +110,7 @@
 /// The fleet's owner counted all jobs again ten times a second, with the view locked: 6.7 ms of a
 /// whole core at 3,000 open jobs, on a node that has half a core.
 #[test]
-fn unchanged_steps_are_not_visited_again() {
+fn unchanged_steps_are_not_evaluated_again() {
     let (mut view, config) = (view_of(1_000), config());
     let mut demands = Demands::default();
     demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 100));
--- a/src/scheduler/tests/foreign.rs
+++ b/src/scheduler/tests/foreign.rs
@@ -1,5 +1,6 @@
-//! Tests of entries that another writer has overwritten, ours or workers': no such entry is used,
-//! the others still count, and nothing that may run is started again because of them.
+//! Tests of records of the scheduler and entries of workers that another writer has overwritten:
+//! none of these is used, the others still count, and nothing that may run is started again because
+//! of them.
 
 use serde_json::{Value, json};
 
