--- a/src/scheduler/tests/moments.rs
+++ b/src/scheduler/tests/moments.rs
@@ -26,8 +26,8 @@
 }
 
 fn changes(ages: &mut Ages, sent: u64, up_to: u64) {
-    let asked = ages.ask(at(sent));
-    ages.heard(ROOT, asked, Extent::Changes(Revision(up_to)));
+    let call = ages.ask(at(sent));
+    ages.heard(ROOT, call, Extent::Changes(Revision(up_to)));
 }
 
 #[test]
@@ -59,8 +59,8 @@
     for step in 1..=20 {
         ages.told(at(1_000 * step), Revision(100 * step));
     }
-    let asked = ages.ask(at(20_500));
-    ages.heard(ROOT, asked, Extent::Changes(Revision(1_450)));
+    let call = ages.ask(at(20_500));
+    ages.heard(ROOT, call, Extent::Changes(Revision(1_450)));
     assert_eq!(ages.as_of(ROOT), Some(at(14_000)));
     assert_eq!(ages.of(ROOT, at(21_000)), Some(7_000));
 }
@@ -93,15 +93,15 @@
 #[test]
 fn an_empty_answer_covers_the_time_that_the_watch_waited() {
     let (ages, wait) = (Ages::default(), Duration::from_millis(800));
-    let asked = ages.ask(at(1_000));
+    let call = ages.ask(at(1_000));
     let empty = Heard { changes: Vec::new(), at: Revision(5) };
-    let extent_at = |answered| Extent::of_watch(asked, wait, &empty, at(answered));
+    let extent_at = |answered| Extent::of_watch(call, wait, &empty, at(answered));
     assert_eq!(extent_at(1_803), Extent::Quiet(Revision(5), at(1_800)));
     assert_eq!(extent_at(4_000), Extent::Quiet(Revision(5), at(1_800)), "the answer was late");
     assert_eq!(extent_at(1_200), Extent::Quiet(Revision(5), at(1_000)), "the watch was cut short");
     let change = Change { key: "ch/x".to_owned(), revision: Revision(5), value: None };
     let changed = Heard { changes: vec![change], at: Revision(5) };
-    let extent = Extent::of_watch(asked, wait, &changed, at(1_803));
+    let extent = Extent::of_watch(call, wait, &changed, at(1_803));
     assert_eq!(extent, Extent::Changes(Revision(5)));
 }
 
@@ -133,14 +133,14 @@
 /// with nothing.
 fn receive(view: &mut View, sent: u64, report: Option<(&str, u64)>) {
     let source = view.heard.open(ALL, Revision(0));
-    let asked = view.ages.ask(at(sent));
+    let call = view.ages.ask(at(sent));
     let change = report.map(|(pool, jobs)| Change {
         key: keys::queued(pool),
         revision: Revision(sent),
         value: Some(bytes(&json!({ "quotes": jobs })).into()),
     });
     let extent = Extent::Changes(Revision(sent));
-    view.hear((ALL, source), asked, change.into_iter().collect(), extent);
+    view.hear((ALL, source), call, change.into_iter().collect(), extent);
 }
 
 #[test]
