--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,5 @@
-//! What every HTTP server of the program shares: listening with a bound on connections, answers
-//! in JSON, and an end that cuts no request off.
+//! Common parts of the program's HTTP servers: a listener with a bound on connections, JSON answers,
+//! and graceful shutdown.
 
 use std::{
     future::Future,
@@ -29,40 +29,40 @@
 };
 use tokio_util::sync::{CancellationToken, WaitForCancellationFutureOwned};
 
-/// How long a server that ends waits for requests that run.
-pub(crate) const END_LIMIT: Duration = Duration::from_secs(60);
+/// How long a server that shuts down waits for requests in flight.
+pub(crate) const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Accepts connections up to a bound; those above it are closed at once.
-struct Bounded {
+/// Accepts connections up to a bound and closes further ones immediately.
+struct BoundedListener {
     listener: TcpListener,
     open: Arc<AtomicUsize>,
-    most: usize,
+    max_connections: usize,
     kill: CancellationToken,
 }
 
-/// A connection that counts itself, and breaks when its server is killed.
-pub(crate) struct Counted {
+/// A connection that is counted while open and is reset when its server is stopped immediately.
+pub(crate) struct CountedStream {
     stream: TcpStream,
     open: Arc<AtomicUsize>,
     killed: Pin<Box<WaitForCancellationFutureOwned>>,
 }
 
-/// How a server ends.
+/// Tokens that stop a server.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Stop {
-    /// Accepts nothing new, and ends when the requests that run have ended.
+    /// Accepts no new connections and stops once the requests in flight have finished.
     pub(crate) gently: CancellationToken,
-    /// Breaks every connection.
+    /// Resets every connection.
     pub(crate) at_once: CancellationToken,
 }
 
-impl Drop for Counted {
+impl Drop for CountedStream {
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -75,7 +75,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -105,58 +105,60 @@
     }
 }
 
-impl Acceptor for Bounded {
-    type Io = Counted;
+impl Acceptor for BoundedListener {
+    type Io = CountedStream;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         let address = self.listener.local_addr();
         address.into_iter().map(|address| LocalAddr(address.into())).collect()
     }
 
-    async fn accept(&mut self) -> io::Result<(Counted, LocalAddr, RemoteAddr, Scheme)> {
+    async fn accept(&mut self) -> io::Result<(CountedStream, LocalAddr, RemoteAddr, Scheme)> {
         loop {
             let (stream, remote) = self.listener.accept().await?;
-            if self.most <= self.open.load(Ordering::Acquire) {
+            if self.max_connections <= self.open.load(Ordering::Acquire) {
                 continue;
             }
-            // Answers are whole writes: waiting to fill a packet only delays them.
+            // Answers are written whole, so that Nagle's algorithm would only delay them.
             stream.set_nodelay(true)?;
             let local = LocalAddr(stream.local_addr()?.into());
             self.open.fetch_add(1, Ordering::AcqRel);
             let killed = Box::pin(self.kill.clone().cancelled_owned());
-            let counted = Counted { stream, open: self.open.clone(), killed };
+            let counted = CountedStream { stream, open: self.open.clone(), killed };
             return Ok((counted, local, RemoteAddr(remote.into()), Scheme::HTTP));
         }
     }
 }
 
-/// Serves an endpoint, with at most so many connections, until it is stopped.
-pub(crate) async fn serve<E>(listener: TcpListener, most: usize, endpoint: E, stop: Stop)
+/// Serves an endpoint, with at most `max_connections` connections, until it is stopped.
+pub(crate) async fn serve<E>(listener: TcpListener, max_connections: usize, endpoint: E, stop: Stop)
 where
     E: IntoEndpoint,
     E::Endpoint: 'static,
 {
     let Stop { gently, at_once } = stop;
-    let bounded = Bounded { listener, open: Arc::default(), most, kill: at_once.clone() };
+    let bounded =
+        BoundedListener { listener, open: Arc::default(), max_connections, kill: at_once.clone() };
     let server = Server::new_with_acceptor(bounded);
-    let served = server.run_with_graceful_shutdown(endpoint, gently.cancelled(), Some(END_LIMIT));
-    let ended = tokio::select! {
-        ended = served => ended,
+    let served =
+        server.run_with_graceful_shutdown(endpoint, gently.cancelled(), Some(SHUTDOWN_TIMEOUT));
+    let result = tokio::select! {
+        result = served => result,
         () = at_once.cancelled() => Ok(()),
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::error!("server: {error}");
     }
 }
 
-/// Listens at an address; port 0 takes a free port.
+/// Listens at an address; port 0 selects a free port.
 pub(crate) async fn listen(address: &str) -> io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// An answer in JSON.
+/// Creates a JSON response.
 pub(crate) fn json(status: StatusCode, value: &impl Serialize) -> Response {
     match serde_json::to_vec(value) {
         Ok(body) => Response::builder()
@@ -167,7 +169,7 @@
     }
 }
 
-/// An answer in plain text.
+/// Creates a plain text response.
 pub(crate) fn text(status: StatusCode, text: impl Into<String>) -> Response {
     Response::builder()
         .status(status)
@@ -175,49 +177,49 @@
         .body(text.into())
 }
 
-/// Why a body was not read.
+/// Why a body could not be read.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BodyError {
     #[error("the body is larger than {0} bytes")]
     TooLarge(usize),
-    #[error("the body broke off: {0}")]
+    #[error("the body was cut off: {0}")]
     Broken(String),
-    #[error("the body is not understood: {0}")]
+    #[error("the body is invalid: {0}")]
     Garbled(#[from] serde_json::Error),
 }
 
-/// Whether a request bears a body.
+/// Whether a request has a body.
 pub(crate) fn has_body(request: &Request) -> bool {
     let length = request.header(header::CONTENT_LENGTH);
     length.is_some_and(|length| length != "0")
         || request.header(header::TRANSFER_ENCODING).is_some()
 }
 
-/// Tells the caller that its connection ends with this answer. It does if the request's body was not
-/// read to its end, and a caller that is not told may have sent its next request there.
+/// Adds `Connection: close` to a response. Required if the request's body was not read completely: the
+/// connection is closed then, and the caller might otherwise send its next request on it.
 pub(crate) fn close_after(response: &mut Response) {
     response.headers_mut().insert(header::CONNECTION, header::HeaderValue::from_static("close"));
 }
 
-/// Reads a whole body of at most `most` bytes.
-pub(crate) async fn read_body(body: Body, most: usize) -> Result<Bytes, BodyError> {
+/// Reads a whole body of at most `max_bytes` bytes.
+pub(crate) async fn read_body(body: Body, max_bytes: usize) -> Result<Bytes, BodyError> {
     let mut stream = Box::pin(body.into_bytes_stream());
     let mut whole = bytes::BytesMut::new();
     while let Some(chunk) = stream.next().await {
         let chunk = chunk.map_err(|error| BodyError::Broken(error.to_string()))?;
-        if most < whole.len() + chunk.len() {
-            return Err(BodyError::TooLarge(most));
+        if max_bytes < whole.len() + chunk.len() {
+            return Err(BodyError::TooLarge(max_bytes));
         }
         whole.extend_from_slice(&chunk);
     }
     Ok(whole.freeze())
 }
 
-/// Reads a body of JSON of at most `most` bytes.
+/// Reads a JSON body of at most `max_bytes` bytes.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<T, BodyError> {
-    let body = read_body(request.take_body(), most).await?;
+    let body = read_body(request.take_body(), max_bytes).await?;
     Ok(serde_json::from_slice(&body)?)
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what is spoken to the platform, over real sockets, and of what is read of its answers.
+//! Tests of the platform's clients over real sockets, and of the parsing of the platform's answers.
 
 mod peer;
 mod silence;
@@ -9,10 +9,11 @@
 use super::machines::listed;
 use crate::model::worker::HostPhase;
 
-/// One row that could not be read hid the whole list, and one with a pool that is no name had its
-/// host taken for gone for good: its mark was removed, and it counted as back from upkeep.
+/// Guards against two faults: one invalid row made the whole list fail, and a host whose pool was no
+/// valid name counted as removed, so that its drain mark was deleted and its maintenance counted as
+/// finished.
 #[test]
-fn a_host_whose_row_is_not_understood_is_there_and_left_alone() {
+fn a_host_with_an_invalid_row_is_listed_as_down() {
     let good = json!({ "machine": "h1", "pool": "p", "state": "up", "id": "w1" });
     assert_eq!(listed(good).map(|host| host.phase), Some(HostPhase::Up));
     let rows = [
--- a/src/platform/tests/peer.rs
+++ b/src/platform/tests/peer.rs
@@ -1,4 +1,4 @@
-//! A server that answers, ends or resets connections as a test says, and keeps what it has read.
+//! A scripted server: answers requests, closes or resets connections, and records what it has read.
 
 use std::sync::{
     Arc, Mutex,
@@ -10,78 +10,80 @@
     net::{TcpListener, TcpStream},
 };
 
-/// What becomes of a request that was read whole.
+/// What the server does after it has read a whole request.
 #[derive(Debug, Clone)]
-pub(super) enum Then {
-    /// It is answered, and the connection stays open.
+pub(super) enum Action {
+    /// Answers and keeps the connection open.
     Answer(&'static str),
-    /// It is answered, and the connection is closed without a word of that.
+    /// Answers and closes the connection, without announcing that in the answer.
     AnswerAndClose(&'static str),
-    /// The connection is closed.
+    /// Closes the connection.
     Close,
-    /// The connection is reset.
+    /// Resets the connection.
     Reset,
-    /// No more connections are taken, then this one is reset.
-    Vanish,
+    /// Stops listening, then resets the connection.
+    StopListening,
 }
 
-/// The server.
-pub(super) struct Peer {
+/// A scripted server.
+pub(super) struct ScriptedServer {
     pub(super) address: String,
-    /// The bodies of the requests that were read whole.
+    /// The bodies of the requests that were read completely.
     received: Arc<Mutex<Vec<String>>>,
-    /// Connections that were taken.
+    /// Number of accepted connections.
     opened: Arc<AtomicUsize>,
 }
 
-impl Peer {
-    /// A server that does with its requests, counted from 0, as it is told.
-    pub(super) async fn new(then: impl Fn(usize) -> Then + Send + Sync + 'static) -> Peer {
+impl ScriptedServer {
+    /// Starts a server. `script` gives the action for each request, numbered from 0.
+    pub(super) async fn new(
+        script: impl Fn(usize) -> Action + Send + Sync + 'static,
+    ) -> ScriptedServer {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        Peer::on(listener, then)
+        ScriptedServer::on(listener, script)
     }
 
-    /// As above, on a socket that may have taken connections already.
+    /// Starts a server on a socket that may already have pending connections.
     pub(super) fn on(
         listener: TcpListener,
-        then: impl Fn(usize) -> Then + Send + Sync + 'static,
-    ) -> Peer {
+        script: impl Fn(usize) -> Action + Send + Sync + 'static,
+    ) -> ScriptedServer {
         let address = listener.local_addr().unwrap().to_string();
         let received = Arc::new(Mutex::new(Vec::new()));
         let opened = Arc::new(AtomicUsize::new(0));
-        let peer = Peer { address, received: received.clone(), opened: opened.clone() };
-        tokio::spawn(take(listener, received, opened, Arc::new(then)));
-        peer
+        let server = ScriptedServer { address, received: received.clone(), opened: opened.clone() };
+        tokio::spawn(accept_loop(listener, received, opened, Arc::new(script)));
+        server
     }
 
-    /// How many connections were taken.
+    /// Number of accepted connections.
     pub(super) fn opened(&self) -> usize {
         self.opened.load(Ordering::Acquire)
     }
 
-    /// How many requests were read whole whose body has a text.
-    pub(super) fn count(&self, text: &str) -> usize {
+    /// Number of completely read requests whose body contains a text.
+    pub(super) fn count_containing(&self, text: &str) -> usize {
         self.received.lock().unwrap().iter().filter(|body| body.contains(text)).count()
     }
 }
 
-type Script = Arc<dyn Fn(usize) -> Then + Send + Sync>;
+type Script = Arc<dyn Fn(usize) -> Action + Send + Sync>;
 
-async fn take(
+async fn accept_loop(
     listener: TcpListener,
     received: Arc<Mutex<Vec<String>>>,
     opened: Arc<AtomicUsize>,
-    then: Script,
+    script: Script,
 ) {
-    let (vanish, mut vanished) = tokio::sync::mpsc::channel::<TcpStream>(1);
+    let (stop_listening, mut last_streams) = tokio::sync::mpsc::channel::<TcpStream>(1);
     loop {
         tokio::select! {
             taken = listener.accept() => {
                 let (stream, _) = taken.unwrap();
                 opened.fetch_add(1, Ordering::AcqRel);
-                tokio::spawn(serve(stream, received.clone(), then.clone(), vanish.clone()));
+                tokio::spawn(serve(stream, received.clone(), script.clone(), stop_listening.clone()));
             }
-            Some(last) = vanished.recv() => {
+            Some(last) = last_streams.recv() => {
                 drop(listener);
                 last.set_zero_linger().unwrap();
                 return;
@@ -93,8 +95,8 @@
 async fn serve(
     mut stream: TcpStream,
     received: Arc<Mutex<Vec<String>>>,
-    then: Script,
-    vanish: tokio::sync::mpsc::Sender<TcpStream>,
+    script: Script,
+    stop_listening: tokio::sync::mpsc::Sender<TcpStream>,
 ) {
     while let Some(body) = read(&mut stream).await {
         let number = {
@@ -102,14 +104,14 @@
             received.push(body);
             received.len() - 1
         };
-        match then(number) {
-            Then::Answer(body) => answer(&mut stream, body).await,
-            Then::AnswerAndClose(body) => return answer(&mut stream, body).await,
-            Then::Close => return,
-            Then::Reset => return stream.set_zero_linger().unwrap(),
-            Then::Vanish => {
-                // The listener is there until it is told.
-                let _ = vanish.send(stream).await;
+        match script(number) {
+            Action::Answer(body) => answer(&mut stream, body).await,
+            Action::AnswerAndClose(body) => return answer(&mut stream, body).await,
+            Action::Close => return,
+            Action::Reset => return stream.set_zero_linger().unwrap(),
+            Action::StopListening => {
+                // The receiver exists as long as the server listens.
+                let _ = stop_listening.send(stream).await;
                 return;
             }
         }
@@ -118,11 +120,11 @@
 
 async fn answer(stream: &mut TcpStream, body: &str) {
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-    // The caller may have gone.
+    // The client may have closed the connection.
     let _ = stream.write_all(head.as_bytes()).await;
 }
 
-/// The body of the next request; none once the connection has ended.
+/// Reads the body of the next request; `None` once the connection is closed.
 async fn read(stream: &mut TcpStream) -> Option<String> {
     let mut bytes = Vec::new();
     loop {
--- a/src/platform/tests/silence.rs
+++ b/src/platform/tests/silence.rs
@@ -1,5 +1,5 @@
-//! Open connections that go silent for good, without a reset, while new ones work. Only a time limit
-//! shows it, and by then the other connections that are open are as silent.
+//! Tests with open connections that stop responding for good, without a reset, while new ones work.
+//! Only a timeout shows this, and by then the other open connections do not respond either.
 
 use std::{
     sync::{
@@ -19,20 +19,21 @@
     platform::{kv::Kv, machines::Machines, runner::Runners},
 };
 
-/// No call that is answered takes so long, whatever else the machine does.
-const LIMIT: Duration = Duration::from_secs(60);
+/// Timeout of the calls, longer than any answered call takes on a busy machine.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Connections that are open when all fall silent: as many as a burst of calls has opened.
-const OPEN: usize = 6;
+/// Number of open connections when all of them stop responding, as after a burst of calls.
+const OPEN_CONNECTIONS: usize = 6;
 
-/// A server that gives one answer on all its connections, and falls silent on those that are open.
+/// A server that gives the same answer on all connections until its open ones stop responding.
 #[derive(Clone, Default)]
 struct Server {
     opened: Arc<AtomicUsize>,
-    /// Connections below this number are silent.
-    silent: Arc<AtomicUsize>,
-    /// Requests that wait until there are enough of them, so that each has a connection of its own.
-    together: Arc<AtomicUsize>,
+    /// Connections with a number below this one do not respond.
+    unresponsive: Arc<AtomicUsize>,
+    /// Number of requests read. The first `OPEN_CONNECTIONS` requests wait for each other, so that each
+    /// has a connection of its own.
+    requests: Arc<AtomicUsize>,
 }
 
 impl Server {
@@ -53,11 +54,11 @@
     async fn answer(self, number: usize, mut stream: TcpStream, body: &'static str) {
         let mut bytes = vec![0; 4_096];
         while stream.read(&mut bytes).await.is_ok_and(|count| count != 0) {
-            self.together.fetch_add(1, Ordering::AcqRel);
-            while self.together.load(Ordering::Acquire) < OPEN {
+            self.requests.fetch_add(1, Ordering::AcqRel);
+            while self.requests.load(Ordering::Acquire) < OPEN_CONNECTIONS {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            if number < self.silent.load(Ordering::Acquire) {
+            if number < self.unresponsive.load(Ordering::Acquire) {
                 continue;
             }
             let length = body.len();
@@ -68,81 +69,88 @@
         }
     }
 
-    /// Lets the time run out of a call that the server has read and leaves unanswered.
-    async fn outlast<T>(&self, call: impl Future<Output = T>) -> T {
-        let read = self.together.load(Ordering::Acquire);
-        let run_out = async {
-            while self.together.load(Ordering::Acquire) == read {
+    /// Lets a call time out that the server has read and does not answer.
+    async fn run_until_timeout<T>(&self, call: impl Future<Output = T>) -> T {
+        let before = self.requests.load(Ordering::Acquire);
+        let expire = async {
+            while self.requests.load(Ordering::Acquire) == before {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             tokio::time::pause();
-            tokio::time::advance(LIMIT).await;
+            tokio::time::advance(CALL_TIMEOUT).await;
             tokio::time::resume();
         };
-        tokio::join!(call, run_out).0
+        tokio::join!(call, expire).0
     }
 
-    /// All connections that are open fall silent.
-    fn fall_silent(&self) {
+    /// Stops responding on all open connections.
+    fn stop_responding(&self) {
         let opened = self.opened.load(Ordering::Acquire);
-        assert!(OPEN <= opened, "{opened} are open");
-        self.silent.store(opened, Ordering::Release);
+        assert!(OPEN_CONNECTIONS <= opened, "{opened} connections are open");
+        self.unresponsive.store(opened, Ordering::Release);
     }
 }
 
 #[tokio::test]
-async fn a_call_of_the_store_after_one_without_an_answer_has_a_new_connection() {
+async fn a_store_call_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"ttl_ms":2000}"#).await;
-    let kv = Kv::new(&address, LIMIT, |_, _, _| {});
-    let calls = (0..OPEN).map(|_| kv.keep(1));
+    let kv = Kv::new(&address, CALL_TIMEOUT, |_, _, _| {});
+    let calls = (0..OPEN_CONNECTIONS).map(|_| kv.keep(1));
     for end in futures_util::future::join_all(calls).await {
         assert!(end.is_ok(), "{end:?}");
     }
-    server.fall_silent();
-    assert!(server.outlast(kv.keep(1)).await.is_err(), "nobody can know yet");
+    server.stop_responding();
+    assert!(
+        server.run_until_timeout(kv.keep(1)).await.is_err(),
+        "the call on the old connection times out"
+    );
     assert!(kv.keep(1).await.is_ok());
 }
 
 #[tokio::test]
-async fn a_watch_after_one_that_fell_silent_has_a_new_connection() {
+async fn a_watch_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"events":[],"at":7}"#).await;
-    let kv = Kv::new(&address, LIMIT, |_, _, _| {});
+    let kv = Kv::new(&address, CALL_TIMEOUT, |_, _, _| {});
     let wait = Duration::from_millis(10);
-    let calls = (0..OPEN).map(|_| kv.watch("ch/", Revision(1), wait));
+    let calls = (0..OPEN_CONNECTIONS).map(|_| kv.watch("ch/", Revision(1), wait));
     for end in futures_util::future::join_all(calls).await {
         assert!(end.is_ok(), "{end:?}");
     }
-    server.fall_silent();
-    let unanswered = server.outlast(kv.watch("ch/", Revision(1), wait)).await;
-    assert!(unanswered.is_err(), "nobody can know yet");
+    server.stop_responding();
+    let timed_out = server.run_until_timeout(kv.watch("ch/", Revision(1), wait)).await;
+    assert!(timed_out.is_err(), "the call on the old connection times out");
     assert!(kv.watch("ch/", Revision(1), wait).await.is_ok());
 }
 
 #[tokio::test]
-async fn an_order_after_one_without_an_answer_has_a_new_connection() {
+async fn an_order_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"clock_ms":5}"#).await;
-    let runners = Runners::with_timeout(LIMIT);
+    let runners = Runners::with_timeout(CALL_TIMEOUT);
     let to = Addressee { worker: "w1".parse().unwrap(), address, token: 7 };
     let task = "00e0f5a2b4c6d801.0.0.0".parse().unwrap();
-    let calls = (0..OPEN).map(|_| runners.stop(&to, task, 1));
+    let calls = (0..OPEN_CONNECTIONS).map(|_| runners.stop(&to, task, 1));
     for end in futures_util::future::join_all(calls).await {
         assert_eq!(end, OrderEnd::Done(5));
     }
-    server.fall_silent();
-    let unanswered = server.outlast(runners.stop(&to, task, 1)).await;
-    assert_eq!(unanswered, OrderEnd::Unknown, "nobody can know yet");
+    server.stop_responding();
+    let timed_out = server.run_until_timeout(runners.stop(&to, task, 1)).await;
+    assert_eq!(timed_out, OrderEnd::Unknown, "the call on the old connection times out");
     assert_eq!(runners.stop(&to, task, 1).await, OrderEnd::Done(5));
 }
 
 #[tokio::test]
-async fn a_list_of_hosts_after_one_without_an_answer_comes_over_a_new_connection() {
+async fn a_host_list_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"machines":[]}"#).await;
-    let hosts = Machines::with_timeout(&address, "n1".parse().unwrap(), LIMIT);
-    let calls = (0..OPEN).map(|_| hosts.list());
+    let hosts = Machines::with_timeout(&address, "n1".parse().unwrap(), CALL_TIMEOUT);
+    let calls = (0..OPEN_CONNECTIONS).map(|_| hosts.list());
     for list in futures_util::future::join_all(calls).await {
         assert_eq!(list, Some(Vec::new()));
     }
-    server.fall_silent();
-    assert_eq!(server.outlast(hosts.list()).await, None, "nobody can know yet");
+    server.stop_responding();
+    assert_eq!(
+        server.run_until_timeout(hosts.list()).await,
+        None,
+        "the call on the old connection times out"
+    );
     assert_eq!(hosts.list().await, Some(Vec::new()));
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Files that operators write: a node's settings and the fleet's configuration, in JSON with
-//! comments. All that is wrong with a file is told at once, each with its line and column.
+//! Files written by operators: node settings and the fleet's configuration, in JSON with comments. All
+//! problems of a file are reported together, each with its line and column.
 
 pub(crate) mod fleet;
 pub(crate) mod node;
--- a/src/settings/fleet.rs
+++ b/src/settings/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet's configuration as operators write it: pools, services with budgets, and teams.
+//! The fleet's configuration file: pools, services with budgets, and teams.
 
 use std::path::Path;
 
@@ -15,14 +15,14 @@
     },
 };
 
-/// Reads the configuration in a file.
+/// Loads the configuration from a file.
 pub(crate) fn load(path: &Path) -> Result<Config, Problems> {
     let file = path.display().to_string();
     let text = read_file(path, &file)?;
     parse(&file, &text)
 }
 
-/// Reads a configuration from text.
+/// Parses a configuration.
 pub(crate) fn parse(file: &str, text: &str) -> Result<Config, Problems> {
     reader::read(file, text, |section| {
         let pools = section.entries("pools", pool);
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -17,14 +17,14 @@
     },
 };
 
-/// All that a node is told when it starts.
+/// The settings of a node.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct NodeSettings {
     pub(crate) node: NodeId,
     pub(crate) zone: ZoneId,
     pub(crate) listen: Listen,
     pub(crate) platform: PlatformSettings,
-    /// Addresses at which other nodes listen for peers, for when the store is down.
+    /// Peer addresses of other nodes, for use while the store is down.
     pub(crate) peers: Vec<SocketAddr>,
     pub(crate) limits: Limits,
     pub(crate) timing: Timing,
@@ -32,7 +32,7 @@
     pub(crate) rules: Rules,
 }
 
-/// Where a node listens.
+/// The addresses at which a node listens.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Listen {
     pub(crate) callers: SocketAddr,
@@ -40,55 +40,55 @@
     pub(crate) peers: SocketAddr,
 }
 
-/// Where the platform is.
+/// The addresses of the platform's services, and the write budget of its store.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct PlatformSettings {
     pub(crate) store: Url,
     pub(crate) hosts: Url,
-    /// Writes a second that all nodes together may spend.
+    /// Maximum number of store writes per second of all nodes together.
     pub(crate) writes: PerSecond,
 }
 
-/// Bounds on what callers may ask of a node.
+/// Limits on the requests of callers.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Limits {
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub(crate) request: usize,
-    /// Bytes of an answer.
+    /// Maximum size of an answer, in bytes.
     pub(crate) answer: usize,
-    /// Bytes of all bodies and answers that are held at one time.
+    /// Maximum size of all bodies and answers in memory, in bytes.
     pub(crate) held: usize,
-    /// Requests that wait for an endpoint, for each service.
+    /// Maximum number of requests of a service that wait for an endpoint.
     pub(crate) queue: usize,
-    /// Connections of callers.
+    /// Maximum number of callers' connections.
     pub(crate) connections: usize,
-    /// The deadline of a request that names none.
+    /// Deadline of requests without one.
     pub(crate) deadline: Duration,
 }
 
-/// How often things are done, and how long they may take.
+/// Intervals, timeouts and leases.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Timing {
-    /// Between two looks at plans, pools and tasks.
+    /// Interval of the control loop over plans, pools and tasks.
     pub(crate) control: Duration,
-    /// Between two heartbeats to peers.
+    /// Interval of heartbeats to peers.
     pub(crate) heartbeat: Duration,
-    /// Between two reads of the list of hosts.
+    /// Interval of reads of the host list.
     pub(crate) hosts: Duration,
-    /// Between two comparisons of the view with the store.
+    /// Interval of checks of the view against the store.
     pub(crate) verify: Duration,
-    /// How long a call of the store may take.
+    /// Timeout of a store call.
     pub(crate) store: Duration,
-    /// How long a registration lasts without renewal.
+    /// How long a registration is valid without renewal.
     pub(crate) lease: Duration,
-    /// How long tasks run without a command.
+    /// How long tasks run without a new command.
     pub(crate) task_lease: Duration,
 }
 
-/// How claims of requests that are not repeatable are kept.
+/// Storage of claims of non-repeatable requests.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Claims {
-    /// Values of the store that claims are spread over.
+    /// Number of store keys over which claims are distributed.
     pub(crate) buckets: u32,
     pub(crate) keep: Keep,
 }
@@ -98,7 +98,7 @@
 pub(crate) struct Url(String);
 
 impl Url {
-    /// The address as text, without a slash at its end.
+    /// The address as text, without a trailing slash.
     pub(crate) fn as_str(&self) -> &str {
         &self.0
     }
@@ -116,7 +116,7 @@
     }
 }
 
-/// An IP address and port, with an error that tells what is allowed.
+/// An IP address and port, with an error that says what is allowed.
 struct Address(SocketAddr);
 
 impl FromStr for Address {
@@ -128,7 +128,7 @@
     }
 }
 
-/// The policies that weights can be taken from by name.
+/// Policies with predefined weights, selected by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
     BufferFirst,
@@ -156,14 +156,14 @@
     }
 }
 
-/// Reads the settings in a file.
+/// Loads the settings from a file.
 pub(crate) fn load(path: &Path) -> Result<NodeSettings, Problems> {
     let file = path.display().to_string();
     let text = read_file(path, &file)?;
     parse(&file, &text)
 }
 
-/// Reads a file's text.
+/// Reads the text of a file.
 pub(super) fn read_file(path: &Path, file: &str) -> Result<String, Problems> {
     std::fs::read_to_string(path).map_err(|error| {
         let message = format!("it cannot be read: {error}");
@@ -172,18 +172,18 @@
     })
 }
 
-/// Reads settings from text.
+/// Parses settings.
 pub(crate) fn parse(file: &str, text: &str) -> Result<NodeSettings, Problems> {
     reader::read(file, text, node)
 }
 
 fn node(section: &Section<'_>) -> Option<NodeSettings> {
-    // Every field is read before any is missed, so that all problems are told at once.
+    // All fields are read before the first `?`, so that all problems are reported together.
     let node = section.text("node");
     let zone = section.text("zone");
     let listen = section.section("listen", listen);
     let platform = section.section("platform", platform);
-    let peers = section.texts::<Address>("peers");
+    let peers = section.text_list::<Address>("peers");
     let limits = section.section_or_default("limits", limits);
     let timing = section.section_or_default("timing", timing);
     let claims = section.section_or_default("claims", claims);
@@ -255,10 +255,13 @@
 
 fn claims(section: &Section<'_>) -> Option<Claims> {
     let buckets = section.number_or("buckets", 1..=1024, 8);
-    let span =
+    let max_age =
         section.millis_or("keep_ms", 60_000..=30 * 86_400_000, Duration::from_secs(24 * 3600));
-    let most = section.number_or("most", 100..=5_000, 5_000);
-    Some(Claims { buckets: buckets? as u32, keep: Keep { span: span?, most: most? as usize } })
+    let max_claims = section.number_or("most", 100..=5_000, 5_000);
+    Some(Claims {
+        buckets: buckets? as u32,
+        keep: Keep { span: max_age?, most: max_claims? as usize },
+    })
 }
 
 fn rules(section: &Section<'_>) -> Option<Rules> {
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads JSON with comments field by field, and collects all that is wrong.
+//! Reads JSON with comments field by field and collects all problems.
 
 use std::{cell::RefCell, fmt, ops::RangeInclusive, str::FromStr, time::Duration};
 
@@ -9,21 +9,21 @@
     parse_to_ast,
 };
 
-/// How near a known name must be to be suggested, from 0 to 1.
-const NEAR: f64 = 0.6;
+/// Minimum similarity of a known name to be suggested, from 0 to 1.
+const MIN_SIMILARITY: f64 = 0.6;
 
-/// One thing that is wrong with a file.
+/// A problem of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Problem {
     pub(crate) line: usize,
     pub(crate) column: usize,
-    /// The field, with the names of those around it; empty for the whole file.
+    /// The path of the field; empty for the whole file.
     pub(crate) field: String,
-    /// What was found, and what is allowed.
+    /// The value found and the values allowed.
     pub(crate) message: String,
 }
 
-/// All that is wrong with a file.
+/// All problems of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Problems {
     pub(crate) file: String,
@@ -48,15 +48,15 @@
 
 impl std::error::Error for Problems {}
 
-/// Reads a file's text by `read`, which gets its outermost object.
+/// Parses a file's text with `read`, which receives its outermost object.
 pub(super) fn read<T>(
     file: &str,
     text: &str,
     read: impl FnOnce(&Section<'_>) -> Option<T>,
 ) -> Result<T, Problems> {
-    let found = RefCell::new(Vec::new());
-    let value = read_text(text, &found, read);
-    let mut list = found.into_inner();
+    let problems = RefCell::new(Vec::new());
+    let value = read_text(text, &problems, read);
+    let mut list = problems.into_inner();
     list.sort_by_key(|problem| (problem.line, problem.column));
     match value {
         Some(value) if list.is_empty() => Ok(value),
@@ -66,13 +66,13 @@
 
 fn read_text<T>(
     text: &str,
-    found: &RefCell<Vec<Problem>>,
+    problems: &RefCell<Vec<Problem>>,
     read: impl FnOnce(&Section<'_>) -> Option<T>,
 ) -> Option<T> {
-    let whole = |line, column, message: String| {
-        found.borrow_mut().push(Problem { line, column, field: String::new(), message });
+    let report = |line, column, message: String| {
+        problems.borrow_mut().push(Problem { line, column, field: String::new(), message });
     };
-    // JSON with comments and no looser: what else a parser may let pass hides mistakes.
+    // Only comments and trailing commas are allowed beyond JSON: other leniency hides mistakes.
     let options = ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -89,26 +89,26 @@
         Ok(parsed) => parsed,
         Err(error) => {
             let message = format!("not JSON with comments: {}", error.kind());
-            whole(error.line_display(), error.column_display(), message);
+            report(error.line_display(), error.column_display(), message);
             return None;
         }
     };
     let Some(Value::Object(object)) = &parsed.value else {
-        whole(1, 1, "the file must hold one object, in braces".to_owned());
+        report(1, 1, "the file must contain one object, in braces".to_owned());
         return None;
     };
-    let section = Section::new(text, object, String::new(), found);
+    let section = Section::new(text, object, String::new(), problems);
     let value = read(&section);
-    section.refuse_unknown();
+    section.reject_unknown();
     value
 }
 
-/// An object of the file.
+/// An object in the file.
 pub(super) struct Section<'a> {
     text: &'a str,
     object: &'a Object<'a>,
     path: String,
-    found: &'a RefCell<Vec<Problem>>,
+    problems: &'a RefCell<Vec<Problem>>,
     known: RefCell<Vec<&'static str>>,
 }
 
@@ -117,23 +117,23 @@
         text: &'a str,
         object: &'a Object<'a>,
         path: String,
-        found: &'a RefCell<Vec<Problem>>,
+        problems: &'a RefCell<Vec<Problem>>,
     ) -> Section<'a> {
-        let section = Section { text, object, path, found, known: RefCell::default() };
-        section.refuse_twice();
+        let section = Section { text, object, path, problems, known: RefCell::default() };
+        section.reject_duplicates();
         section
     }
 
-    /// A field that must be there, read from its text.
+    /// A required field, parsed from its text.
     pub(super) fn text<T: FromStr<Err: fmt::Display>>(&self, name: &'static str) -> Option<T> {
         let Some(prop) = self.get(name) else {
-            self.missing(name);
+            self.report_missing(name);
             return None;
         };
         self.parse(prop, name)
     }
 
-    /// A field that may be left out, read from its text.
+    /// An optional field, parsed from its text.
     pub(super) fn text_or<T: FromStr<Err: fmt::Display>>(
         &self,
         name: &'static str,
@@ -145,16 +145,16 @@
         }
     }
 
-    /// A whole number within bounds that must be there.
+    /// A required whole number within bounds.
     pub(super) fn number(&self, name: &'static str, allowed: RangeInclusive<u64>) -> Option<u64> {
         let Some(prop) = self.get(name) else {
-            self.missing(name);
+            self.report_missing(name);
             return None;
         };
-        self.whole(prop, name, allowed)
+        self.whole_number(prop, name, allowed)
     }
 
-    /// A whole number within bounds that may be left out.
+    /// An optional whole number within bounds.
     pub(super) fn number_or(
         &self,
         name: &'static str,
@@ -162,12 +162,12 @@
         default: u64,
     ) -> Option<u64> {
         match self.get(name) {
-            Some(prop) => self.whole(prop, name, allowed),
+            Some(prop) => self.whole_number(prop, name, allowed),
             None => Some(default),
         }
     }
 
-    /// A time in milliseconds within bounds that may be left out.
+    /// An optional duration in milliseconds within bounds.
     pub(super) fn millis_or(
         &self,
         name: &'static str,
@@ -178,8 +178,8 @@
         Some(Duration::from_millis(millis))
     }
 
-    /// A number from zero to `most` that may be left out.
-    pub(super) fn weight_or(&self, name: &'static str, most: f64, default: f64) -> Option<f64> {
+    /// An optional number from zero to `max`.
+    pub(super) fn weight_or(&self, name: &'static str, max: f64, default: f64) -> Option<f64> {
         let Some(prop) = self.get(name) else {
             return Some(default);
         };
@@ -187,16 +187,16 @@
             Value::NumberLit(literal) => literal.value.parse::<f64>().ok(),
             _ => None,
         };
-        let allowed = number.filter(|number| (0.0..=most).contains(number));
+        let allowed = number.filter(|number| (0.0..=max).contains(number));
         if allowed.is_none() {
-            let found = self.shown(&prop.value);
-            let message = format!("found {found}; a number from 0 to {most} is allowed");
-            self.problem(prop.value.range().start, name, message);
+            let found = self.describe(&prop.value);
+            let message = format!("found {found}; a number from 0 to {max} is allowed");
+            self.report(prop.value.range().start, name, message);
         }
         allowed
     }
 
-    /// True or false, which may be left out.
+    /// An optional boolean.
     pub(super) fn flag_or(&self, name: &'static str, default: bool) -> Option<bool> {
         let Some(prop) = self.get(name) else {
             return Some(default);
@@ -204,13 +204,13 @@
         if let Value::BooleanLit(literal) = &prop.value {
             return Some(literal.value);
         }
-        let message = format!("found {}; true or false is allowed", self.shown(&prop.value));
-        self.problem(prop.value.range().start, name, message);
+        let message = format!("found {}; true or false is allowed", self.describe(&prop.value));
+        self.report(prop.value.range().start, name, message);
         None
     }
 
-    /// A list of texts; empty if left out.
-    pub(super) fn texts<T: FromStr<Err: fmt::Display>>(
+    /// An optional list of texts, empty by default.
+    pub(super) fn text_list<T: FromStr<Err: fmt::Display>>(
         &self,
         name: &'static str,
     ) -> Option<Vec<T>> {
@@ -218,46 +218,47 @@
             return Some(Vec::new());
         };
         let Value::Array(array) = &prop.value else {
-            let message = format!("found {}; a list of texts is allowed", self.shown(&prop.value));
-            self.problem(prop.value.range().start, name, message);
+            let message =
+                format!("found {}; a list of texts is allowed", self.describe(&prop.value));
+            self.report(prop.value.range().start, name, message);
             return None;
         };
         let read: Vec<_> = array.elements.iter().map(|v| self.parse_value(v, name)).collect();
         read.into_iter().collect()
     }
 
-    /// An object that must be there, read by `read`.
+    /// A required object, parsed with `read`.
     pub(super) fn section<T>(
         &self,
         name: &'static str,
         read: impl FnOnce(&Section<'_>) -> Option<T>,
     ) -> Option<T> {
         let Some(prop) = self.get(name) else {
-            self.missing(name);
+            self.report_missing(name);
             return None;
         };
-        self.inside(prop, name, read)
+        self.nested(prop, name, read)
     }
 
-    /// An object that may be left out: then `read` gets an empty one, for the defaults.
+    /// An optional object. If it is missing, `read` receives an empty one and returns the defaults.
     pub(super) fn section_or_default<T>(
         &self,
         name: &'static str,
         read: impl FnOnce(&Section<'_>) -> Option<T>,
     ) -> Option<T> {
         match self.get(name) {
-            Some(prop) => self.inside(prop, name, read),
+            Some(prop) => self.nested(prop, name, read),
             None => {
                 let range = self.object.range;
                 let empty = Object { range, properties: Vec::new() };
                 let path = self.field(name);
-                read(&Section::new(self.text, &empty, path, self.found))
+                read(&Section::new(self.text, &empty, path, self.problems))
             }
         }
     }
 
-    /// An object whose names are identifiers, each with an object read by `read`; empty if left
-    /// out.
+    /// An optional object whose keys are identifiers and whose values are objects parsed with `read`;
+    /// empty by default.
     pub(super) fn entries<K: FromStr<Err: fmt::Display> + Ord, V>(
         &self,
         name: &'static str,
@@ -267,44 +268,44 @@
             return Some(Default::default());
         };
         let Value::Object(object) = &prop.value else {
-            let message = format!("found {}; an object is allowed", self.shown(&prop.value));
-            self.problem(prop.value.range().start, name, message);
+            let message = format!("found {}; an object is allowed", self.describe(&prop.value));
+            self.report(prop.value.range().start, name, message);
             return None;
         };
-        let mut whole = true;
+        let mut is_complete = true;
         let mut entries = std::collections::BTreeMap::new();
-        let outer = Section::new(self.text, object, self.field(name), self.found);
+        let outer = Section::new(self.text, object, self.field(name), self.problems);
         for prop in &object.properties {
             let id = prop.name.as_str();
             let key = id.parse::<K>();
             if let Err(error) = &key {
-                outer.problem(prop.range.start, id, error.to_string());
+                outer.report(prop.range.start, id, error.to_string());
             }
-            let value = outer.inside(prop, id, &mut read);
+            let value = outer.nested(prop, id, &mut read);
             match (key, value) {
                 (Ok(key), Some(value)) => {
                     entries.insert(key, value);
                 }
-                _ => whole = false,
+                _ => is_complete = false,
             }
         }
-        whole.then_some(entries)
+        is_complete.then_some(entries)
     }
 
-    fn inside<T>(
+    fn nested<T>(
         &self,
         prop: &ObjectProp<'_>,
         name: &str,
         read: impl FnOnce(&Section<'_>) -> Option<T>,
     ) -> Option<T> {
         let Value::Object(object) = &prop.value else {
-            let message = format!("found {}; an object is allowed", self.shown(&prop.value));
-            self.problem(prop.value.range().start, name, message);
+            let message = format!("found {}; an object is allowed", self.describe(&prop.value));
+            self.report(prop.value.range().start, name, message);
             return None;
         };
-        let section = Section::new(self.text, object, self.field(name), self.found);
+        let section = Section::new(self.text, object, self.field(name), self.problems);
         let value = read(&section);
-        section.refuse_unknown();
+        section.reject_unknown();
         value
     }
 
@@ -323,20 +324,20 @@
         name: &str,
     ) -> Option<T> {
         let Value::StringLit(literal) = value else {
-            let message = format!("found {}; a text in quotes is allowed", self.shown(value));
-            self.problem(value.range().start, name, message);
+            let message = format!("found {}; a text in quotes is allowed", self.describe(value));
+            self.report(value.range().start, name, message);
             return None;
         };
         match literal.value.parse() {
             Ok(parsed) => Some(parsed),
             Err(error) => {
-                self.problem(value.range().start, name, error.to_string());
+                self.report(value.range().start, name, error.to_string());
                 None
             }
         }
     }
 
-    fn whole(
+    fn whole_number(
         &self,
         prop: &ObjectProp<'_>,
         name: &str,
@@ -349,14 +350,14 @@
         let number = number.filter(|number| allowed.contains(number));
         if number.is_none() {
             let (from, to) = allowed.into_inner();
-            let found = self.shown(&prop.value);
+            let found = self.describe(&prop.value);
             let message = format!("found {found}; a whole number from {from} to {to} is allowed");
-            self.problem(prop.value.range().start, name, message);
+            self.report(prop.value.range().start, name, message);
         }
         number
     }
 
-    fn shown(&self, value: &Value<'_>) -> String {
+    fn describe(&self, value: &Value<'_>) -> String {
         match value {
             Value::Object(_) => "an object".to_owned(),
             Value::Array(_) => "a list".to_owned(),
@@ -364,36 +365,36 @@
         }
     }
 
-    fn missing(&self, name: &str) {
-        self.problem(self.object.range.start, name, "it must be given, and is missing".to_owned());
+    fn report_missing(&self, name: &str) {
+        self.report(self.object.range.start, name, "it must be given, but is missing".to_owned());
     }
 
-    fn refuse_twice(&self) {
+    fn reject_duplicates(&self) {
         for (at, prop) in self.object.properties.iter().enumerate() {
             let name = prop.name.as_str();
             if self.object.properties[..at].iter().any(|other| other.name.as_str() == name) {
-                self.problem(prop.range.start, name, "it is given twice".to_owned());
+                self.report(prop.range.start, name, "it is given twice".to_owned());
             }
         }
     }
 
-    fn refuse_unknown(&self) {
+    fn reject_unknown(&self) {
         let known = self.known.borrow();
         for prop in &self.object.properties {
             let name = prop.name.as_str();
             if known.contains(&name) {
                 continue;
             }
-            let near = known
+            let nearest = known
                 .iter()
                 .map(|known| (strsim::jaro_winkler(known, name), known))
-                .filter(|(score, _)| NEAR <= *score)
+                .filter(|(score, _)| MIN_SIMILARITY <= *score)
                 .max_by(|a, b| a.0.total_cmp(&b.0));
-            let hint = match near {
+            let hint = match nearest {
                 Some((_, known)) => format!("did you mean `{known}`?"),
                 None => format!("known here: {}", known.join(", ")),
             };
-            self.problem(prop.range.start, name, format!("there is no such field; {hint}"));
+            self.report(prop.range.start, name, format!("there is no such field; {hint}"));
         }
     }
 
@@ -401,11 +402,11 @@
         if self.path.is_empty() { name.to_owned() } else { format!("{}.{name}", self.path) }
     }
 
-    fn problem(&self, at: usize, name: &str, message: String) {
+    fn report(&self, at: usize, name: &str, message: String) {
         let before = &self.text[..at.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
         let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
         let field = self.field(name);
-        self.found.borrow_mut().push(Problem { line, column, field, message });
+        self.problems.borrow_mut().push(Problem { line, column, field, message });
     }
 }
--- a/src/settings/scheduler.rs
+++ b/src/settings/scheduler.rs
@@ -15,74 +15,74 @@
     },
 };
 
-/// The processor time of a node whose settings do not name it, in cores.
+/// Default processor time of a node, in cores.
 const DEFAULT_CORES: f64 = 1.0;
 
-/// The most processor time that settings may name, in cores.
-const MOST_CORES: f64 = 1_000.0;
+/// Maximum processor time of a node, in cores.
+const MAX_CORES: f64 = 1_000.0;
 
-/// Nodes that hear of everything unless the settings say how many: for each of the six pieces of work
-/// of a deployment with five pools its owner, and one that can take over at once. Each such node hears
-/// up to 700 KB a second while 160 jobs a second come, by their records' sizes; 147 of them would take
-/// what a store's link of 1,000 Mbit/s has.
+/// Default number of nodes with a full replica of the view: an owner for each of the six pieces of work
+/// of a deployment with five pools, and as many nodes that can take over at once. Each replica receives
+/// up to 700 KB/s at 160 jobs per second, by the sizes of the records; 147 replicas would saturate a
+/// store's link of 1,000 Mbit/s.
 const DEFAULT_REPLICAS: u64 = 12;
 
-/// All that a scheduler node is told when it starts.
+/// The settings of a scheduler node.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct SchedulerSettings {
     pub(crate) node: NodeId,
     pub(crate) zone: ZoneId,
-    /// The processor time that the node has: those that have more own more work.
+    /// The node's processor time. Nodes with more own more work.
     pub(crate) cpu: Millicores,
     pub(crate) listen: SchedulerListen,
     pub(crate) platform: PlatformAddresses,
-    /// How long the node may take to end.
+    /// How long the node may take to shut down.
     pub(crate) grace: Duration,
     pub(crate) sizing: Sizing,
-    /// Nodes that hear of everything and may own work, beside those that own some.
+    /// Number of nodes, besides the owners, that keep a full replica of the view and may acquire work.
     pub(crate) replicas: usize,
 }
 
-/// Where a scheduler node listens.
+/// The addresses at which a scheduler node listens.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct SchedulerListen {
     pub(crate) callers: SocketAddr,
     pub(crate) readiness: SocketAddr,
     pub(crate) metrics: SocketAddr,
-    /// Where requests of callers come that other nodes hand on; none if they are not to.
+    /// For callers' requests that other nodes forward; `None` if they must not forward any.
     pub(crate) peers: Option<SocketAddr>,
 }
 
-/// Where the platform's services are.
+/// The addresses of the platform's services.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct PlatformAddresses {
     pub(crate) store: SocketAddr,
     pub(crate) hosts: SocketAddr,
-    /// The service that gives tickets; none where no queue needs them.
+    /// The advice service, which grants tickets; `None` if no queue needs them.
     pub(crate) advice: Option<SocketAddr>,
-    /// What must pass between the calls of two nodes that change one host.
+    /// Minimum time between calls of two different nodes that change the same host.
     pub(crate) handover: Duration,
 }
 
-/// Reads the settings in a file.
+/// Loads the settings from a file.
 pub(crate) fn load(path: &Path) -> Result<SchedulerSettings, Problems> {
     let file = path.display().to_string();
     let text = read_file(path, &file)?;
     parse(&file, &text)
 }
 
-/// Reads settings from text.
+/// Parses settings.
 pub(crate) fn parse(file: &str, text: &str) -> Result<SchedulerSettings, Problems> {
     reader::read(file, text, scheduler)
 }
 
 fn scheduler(section: &Section<'_>) -> Option<SchedulerSettings> {
-    // Every field is read before any is missed, so that all problems are told at once.
+    // All fields are read before the first `?`, so that all problems are reported together.
     let node = section.text("node");
     let zone = section.text("zone");
     let listen = section.section("listen", listen);
     let platform = section.section("platform", platform);
-    let cpu = section.weight_or("cpu_cores", MOST_CORES, DEFAULT_CORES);
+    let cpu = section.weight_or("cpu_cores", MAX_CORES, DEFAULT_CORES);
     let grace = section.section_or_default("stop", |inner| {
         inner.millis_or("grace_ms", 1_000..=600_000, Duration::from_secs(6))
     });
@@ -118,7 +118,7 @@
     let callers = section.text("callers");
     let readiness = section.text("readiness");
     let metrics = section.text("metrics");
-    let peers = section.text_or::<Optional>("peers", Optional(None));
+    let peers = section.text_or::<OptionalAddress>("peers", OptionalAddress(None));
     Some(SchedulerListen {
         callers: callers?,
         readiness: readiness?,
@@ -130,21 +130,21 @@
 fn platform(section: &Section<'_>) -> Option<PlatformAddresses> {
     let store = section.text("store");
     let hosts = section.text("hosts");
-    let advice = section.text_or::<Optional>("advice", Optional(None));
+    let advice = section.text_or::<OptionalAddress>("advice", OptionalAddress(None));
     let handover = section.millis_or("handover_ms", 0..=600_000, Duration::from_millis(3_000));
     Some(PlatformAddresses { store: store?, hosts: hosts?, advice: advice?.0, handover: handover? })
 }
 
-/// An address, or an empty text for none.
-struct Optional(Option<SocketAddr>);
+/// An optional address; an empty text for none.
+struct OptionalAddress(Option<SocketAddr>);
 
-impl std::str::FromStr for Optional {
+impl std::str::FromStr for OptionalAddress {
     type Err = std::net::AddrParseError;
 
-    fn from_str(text: &str) -> Result<Optional, std::net::AddrParseError> {
+    fn from_str(text: &str) -> Result<OptionalAddress, std::net::AddrParseError> {
         match text {
-            "" => Ok(Optional(None)),
-            _ => text.parse().map(|address| Optional(Some(address))),
+            "" => Ok(OptionalAddress(None)),
+            _ => text.parse().map(|address| OptionalAddress(Some(address))),
         }
     }
 }
