--- a/src/cli.rs
+++ b/src/cli.rs
@@ -51,7 +51,7 @@
 }
 
 /// Prints what is wrong with a command line, or the help that was asked for.
-pub(crate) fn tell(error: &clap::Error) -> ExitCode {
+pub(crate) fn report_error(error: &clap::Error) -> ExitCode {
     // Nothing can be told if the output is closed.
     let _ = error.print();
     if error.use_stderr() { ExitCode::from(2) } else { ExitCode::SUCCESS }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! What can end a command, with messages that a user can act on.
+//! Errors that end a command, with messages that a user can act on.
 
 use std::process::ExitCode;
 
@@ -7,44 +7,44 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
-    /// A file that the user wrote is wrong.
+    /// A file written by the user is invalid.
     #[error("{0}")]
     Settings(SettingsError),
-    /// A node was reached and refused.
+    /// A node refused the request.
     #[error("node {node} refused: {reason}")]
     Refused {
         /// The node's address.
         node: String,
-        /// Why.
+        /// The reason of the refusal.
         reason: String,
     },
-    /// A node was not reached, or did not answer.
+    /// A node could not be reached, or did not answer.
     #[error("node {node}, {step}: {cause}; check the address, or name another node with --node")]
     NotReached {
         /// The node's address.
         node: String,
-        /// What was asked of it.
+        /// The request that failed.
         step: &'static str,
-        /// What went wrong.
+        /// The cause of the failure.
         cause: String,
     },
-    /// Something the program needs of the system failed.
+    /// An operation of the operating system failed.
     #[error("{step}: {cause}")]
     System {
-        /// What was being done.
+        /// The operation.
         step: String,
-        /// What went wrong.
+        /// The cause of the failure.
         cause: String,
     },
-    /// A check that the command made did not hold.
+    /// A check made by the command failed.
     #[error("{0}")]
     Failed(String),
 }
 
-/// All that is wrong with a file.
+/// All problems of a file.
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
 pub struct SettingsError(#[from] Problems);
@@ -56,12 +56,12 @@
 }
 
 impl Error {
-    /// An error of the system, such as a socket that cannot be opened.
+    /// Creates an error of the operating system, such as a socket that cannot be opened.
     pub(crate) fn system(step: impl Into<String>, cause: impl std::fmt::Display) -> Error {
         Error::System { step: step.into(), cause: cause.to_string() }
     }
 
-    /// The exit code that the command ends with.
+    /// The exit code of the command.
     ///
     /// ```
     /// let error = caperhollow::Error::Usage("no such list".to_owned());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
 //! Caperhollow: fleet capacity and maintenance management over pools of hosts.
 //!
-//! Operators state an intent; the answer is a plan of what moves and what it costs; nothing
-//! happens until they confirm. Every node is equal and keeps nothing: each decision is a pure
-//! function of what is known, the rules and the time, and each effect is a conditional write to
-//! the platform's store.
+//! Operators submit an intent and receive a plan with its moves and its cost; nothing happens until
+//! they confirm it. All nodes are equal and keep no state of their own: each decision is a pure
+//! function of the known state, the rules and the time, and each effect is a conditional write to the
+//! platform's store.
 //!
-//! What is public here serves the program's own binary; [`run`] is all that it calls. The types of
-//! [`model`] are public for those who read or write the store's records by other programs.
+//! The public API serves the program's own binary, which only calls [`run`]. The types of [`model`] are
+//! public for other programs that read or write the store's records.
 
 mod cli;
 mod decide;
@@ -33,7 +33,7 @@
 
 use std::{ffi::OsString, process::ExitCode};
 
-/// Runs the program with its arguments, the first of which is its name, and tells how it ended.
+/// Runs the program with its arguments, the first of which is its name, and returns its exit code.
 ///
 /// ```
 /// let ended = caperhollow::run(["caperhollow", "--version"].map(Into::into));
@@ -42,7 +42,7 @@
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let matches = match cli::build().try_get_matches_from(arguments) {
         Ok(matches) => matches,
-        Err(error) => return cli::tell(&error),
+        Err(error) => return cli::report_error(&error),
     };
     match options::read(&matches).and_then(options::Options::run) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logging: lines for people, or one JSON object a line for programs.
+//! Logging, as text for people or as one JSON object per line for programs.
 
 mod budget;
 #[cfg(test)]
@@ -15,14 +15,14 @@
     time::{Duration, Instant},
 };
 
-use budget::{Budget, Fate, Kind, Sum};
+use budget::{Budget, Decision, DropSummary, Kind};
 
 use fern::colors::{Color, ColoredLevelConfig};
 use serde::Serialize;
 
 use crate::{error::Error, model::unit::Time};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LogFormat {
     Human,
@@ -46,31 +46,31 @@
     time: String,
     level: &'a str,
     target: &'a str,
-    /// The identifiers that the message names, by kind.
+    /// The identifiers in the message, by kind.
     #[serde(flatten)]
     ids: std::collections::BTreeMap<&'static str, &'a str>,
     message: &'a str,
 }
 
-/// Kinds of things that messages name in front of an identifier and a colon or comma.
-const NAMED: [&str; 10] =
+/// Words before an identifier and a colon or comma in a message; the identifier becomes a field.
+const ID_KINDS: [&str; 10] =
     ["plan", "host", "request", "peer", "node", "service", "job", "worker", "owner", "wave"];
 
-/// Lines that may wait to be written. A line takes some 250 bytes.
-const WAITING_LINES: usize = 2_048;
+/// Maximum number of lines that wait to be written. A line takes some 250 bytes.
+const MAX_QUEUED_LINES: usize = 2_048;
 
-/// How often it is looked whether something is to be told of what was left out.
-const TELL: Duration = Duration::from_millis(250);
+/// Interval at which the writer checks for dropped lines to report.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Lines that were left out because too many waited, or came in one second.
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+/// Number of lines dropped because the queue was full or the budget of a second was spent.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were left out so far.
+/// Number of lines dropped so far.
 pub(crate) fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Writes log lines of a level and above to standard error.
+/// Starts logging to standard error, at the given level and above.
 pub(crate) fn start(level: log::LevelFilter, format: LogFormat) -> Result<(), Error> {
     let colored = std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none();
     let colors = ColoredLevelConfig::new().info(Color::Green).debug(Color::Blue);
@@ -104,10 +104,10 @@
     dispatch.apply().map_err(|error| Error::system("start logging", error))
 }
 
-/// Writes log lines of a level and above to standard output, one JSON object a line, without ever
-/// waiting for whoever reads it. What is too much is left out and counted.
-pub(crate) fn start_bounded(level: log::LevelFilter) -> Result<(), Error> {
-    let (to, from) = sync_channel::<String>(WAITING_LINES);
+/// Starts logging to standard output, at the given level and above, as one JSON object per line. Never
+/// blocks on a slow reader: excess lines are dropped and counted.
+pub(crate) fn start_nonblocking(level: log::LevelFilter) -> Result<(), Error> {
+    let (to, from) = sync_channel::<String>(MAX_QUEUED_LINES);
     let budget = Arc::new(Mutex::new(Budget::new(Instant::now())));
     let counted = budget.clone();
     let writer = std::thread::Builder::new().name("log".to_owned());
@@ -121,26 +121,27 @@
     dispatch.apply().map_err(|error| Error::system("start logging", error))
 }
 
-/// Hands a line to the writer. Whether it is written is decided first: one that is left out costs
-/// neither its text nor a place in the queue. Nothing here waits for the writer.
+/// Sends a line to the writer thread without blocking. The budget is checked first, so that a dropped
+/// line is neither formatted nor queued.
 fn send_line(to: &SyncSender<String>, budget: &Mutex<Budget>, record: &log::Record<'_>) {
     let kind: Kind = (record.module_path_static(), record.line());
-    let fate = lock(budget).take(kind, record.level());
-    match fate {
-        Fate::Written => {
+    let decision = lock(budget).admit(kind, record.level());
+    match decision {
+        Decision::Write => {
             let message = record.args().to_string();
             let line = line(record.level(), record.target(), &message);
             if to.try_send(line).is_err() {
-                LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             }
         }
-        Fate::Example => {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        Decision::DropFirst => {
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
             let (level, target) = (record.level(), record.target().to_owned());
-            let sum = Sum { level, target, lines: 1, example: record.args().to_string() };
-            lock(budget).leave_out(kind, sum);
+            let summary =
+                DropSummary { level, target, lines: 1, example: record.args().to_string() };
+            lock(budget).record_dropped(kind, summary);
         }
-        Fate::Counted => _ = LEFT_OUT.fetch_add(1, Ordering::Relaxed),
+        Decision::Drop => _ = DROPPED_LINES.fetch_add(1, Ordering::Relaxed),
     }
 }
 
@@ -152,22 +153,25 @@
         ids: ids(message),
         message,
     };
-    // A line holds texts only, which JSON can always hold.
+    // A line consists of texts, which can always be encoded as JSON.
     serde_json::to_string(&line).unwrap_or_default()
 }
 
-/// What is told of the lines of one kind that were left out.
-fn told(sum: &Sum) -> String {
-    format!("log: {} more like this in a second: {}", sum.lines, sum.example)
+/// Message on the dropped lines of one kind.
+fn summary_message(summary: &DropSummary) -> String {
+    format!(
+        "log: {} more lines like this dropped in one second: {}",
+        summary.lines, summary.example
+    )
 }
 
-/// Writes what waits, several lines at a time, and once a second what was left out.
+/// Writes queued lines, several at a time, and a summary of the dropped lines once a second.
 fn write_lines(from: &Receiver<String>, budget: &Mutex<Budget>) {
     let mut output = std::io::stdout().lock();
-    let (mut told_out, mut told_at) = (0, Instant::now());
+    let (mut reported, mut reported_at) = (0, Instant::now());
     loop {
         let mut lines = String::new();
-        match from.recv_timeout(TELL) {
+        match from.recv_timeout(REPORT_INTERVAL) {
             Ok(first) => {
                 for line in std::iter::once(first).chain(from.try_iter()) {
                     lines.push_str(&line);
@@ -177,22 +181,22 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        let sums = lock(budget).turn(Instant::now());
-        for sum in &sums {
-            lines.push_str(&line(sum.level, &sum.target, &told(sum)));
+        let summaries = lock(budget).roll_over(Instant::now());
+        for summary in &summaries {
+            lines.push_str(&line(summary.level, &summary.target, &summary_message(summary)));
             lines.push('\n');
         }
-        let out = left_out();
-        if out != told_out && Duration::from_secs(1) <= told_at.elapsed() {
-            (told_out, told_at) = (out, Instant::now());
-            let message = format!("log: {out} lines left out so far");
+        let dropped = left_out();
+        if dropped != reported && Duration::from_secs(1) <= reported_at.elapsed() {
+            (reported, reported_at) = (dropped, Instant::now());
+            let message = format!("log: {dropped} lines dropped so far");
             lines.push_str(&line(log::Level::Warn, module_path!(), &message));
             lines.push('\n');
         }
         if lines.is_empty() {
             continue;
         }
-        // Whoever reads the log may be gone: the node goes on without.
+        // The reader of the log may have closed it: the node continues without a log.
         if output.write_all(lines.as_bytes()).and_then(|()| output.flush()).is_err() {
             return;
         }
@@ -203,14 +207,14 @@
     budget.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The identifiers at the head of a message, such as `plan p-1: host w1: leaves`.
+/// Extracts the identifiers at the start of a message, such as `plan p-1: host w1: leaves`.
 fn ids(message: &str) -> std::collections::BTreeMap<&'static str, &str> {
     let mut ids = std::collections::BTreeMap::new();
     for part in message.split(": ") {
         let Some((kind, id)) = part.split_once(' ') else {
             break;
         };
-        let Some(kind) = NAMED.iter().find(|named| **named == kind) else {
+        let Some(kind) = ID_KINDS.iter().find(|named| **named == kind) else {
             break;
         };
         if id.contains(' ') {
--- a/src/logging/budget.rs
+++ b/src/logging/budget.rs
@@ -1,5 +1,5 @@
-//! Which log lines are written when there are too many. A kind of line is a place in the code: a line
-//! for each host and call is one kind, however many hosts there are.
+//! Limits the rate of log lines. Lines are limited by kind, i.e. by their place in the code: a line
+//! for each host and call is of one kind, however many hosts there are.
 
 use std::{
     collections::HashMap,
@@ -8,101 +8,104 @@
 
 use log::Level;
 
-/// The time over which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Length of the window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Lines a second that are written, beside those that each kind may write in any case: 100 KB/s.
-const MOST: u32 = 400;
+/// Maximum number of lines per window beyond the guaranteed ones of each kind: 100 KB/s.
+const MAX_LINES: u32 = 400;
 
-/// Lines of one kind a second at the most: half of all, so that one kind leaves room for others.
-const MOST_OF_KIND: u32 = 200;
+/// Maximum number of lines of one kind per window: half of all, so that one kind cannot crowd out the
+/// others.
+const MAX_LINES_OF_KIND: u32 = 200;
 
-/// Lines of one kind a second that are written however many others there are: what is told once a
-/// second of each pool, and one example of what is rare. The code has some 200 kinds.
-const SURE: u32 = 10;
+/// Number of lines of one kind that are always written in a window: enough for a line per second for
+/// each pool, and for an example of a rare line. The code has some 200 kinds.
+const GUARANTEED_LINES: u32 = 10;
 
-/// The same for warnings and errors.
-const SURE_WARNINGS: u32 = 50;
+/// The same as [`GUARANTEED_LINES`] for warnings and errors.
+const GUARANTEED_WARNINGS: u32 = 50;
 
-/// Where a line comes from: the module and the line of code.
+/// The place in the code that a line comes from: module and line number.
 pub(super) type Kind = (Option<&'static str>, Option<u32>);
 
-/// What becomes of a line.
+/// Decision on a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fate {
-    Written,
-    /// It is left out, and its text is an example for the sum.
-    Example,
-    /// It is counted only.
-    Counted,
+pub(super) enum Decision {
+    Write,
+    /// Drops the first line of its kind; its text becomes the summary's example.
+    DropFirst,
+    /// Drops and counts the line.
+    Drop,
 }
 
-/// Lines of one kind that were left out in one span.
+/// The dropped lines of one kind in one window.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Sum {
+pub(super) struct DropSummary {
     pub(super) level: Level,
     pub(super) target: String,
     pub(super) lines: u32,
     pub(super) example: String,
 }
 
-/// A kind in the present span.
-struct Use {
+/// The lines of one kind in the current window.
+struct KindUsage {
     written: u32,
-    left_out: Option<Sum>,
+    dropped: Option<DropSummary>,
 }
 
-/// The lines of the present span.
+/// The lines of the current window.
 pub(super) struct Budget {
-    began: Instant,
+    started: Instant,
     written: u32,
-    kinds: HashMap<Kind, Use>,
+    kinds: HashMap<Kind, KindUsage>,
 }
 
 impl Budget {
     pub(super) fn new(now: Instant) -> Budget {
-        Budget { began: now, written: 0, kinds: HashMap::new() }
+        Budget { started: now, written: 0, kinds: HashMap::new() }
     }
 
-    /// Decides on a line. The sums of a span that is over are to be taken before.
-    pub(super) fn take(&mut self, kind: Kind, level: Level) -> Fate {
-        let sure = if level <= Level::Warn { SURE_WARNINGS } else { SURE };
-        let used = self.kinds.entry(kind).or_insert(Use { written: 0, left_out: None });
-        let has_room = self.written < MOST && used.written < MOST_OF_KIND;
-        if used.written < sure || has_room {
-            // What is sure takes nothing from the others' room.
-            self.written += u32::from(sure <= used.written);
-            used.written += 1;
-            return Fate::Written;
+    /// Decides on a line. A finished window must be closed before by [`Budget::roll_over`].
+    pub(super) fn admit(&mut self, kind: Kind, level: Level) -> Decision {
+        let guaranteed = if level <= Level::Warn { GUARANTEED_WARNINGS } else { GUARANTEED_LINES };
+        let usage = self.kinds.entry(kind).or_insert(KindUsage { written: 0, dropped: None });
+        let is_within_budget = self.written < MAX_LINES && usage.written < MAX_LINES_OF_KIND;
+        if usage.written < guaranteed || is_within_budget {
+            // Guaranteed lines do not count against the shared budget.
+            self.written += u32::from(guaranteed <= usage.written);
+            usage.written += 1;
+            return Decision::Write;
         }
-        match &mut used.left_out {
-            Some(sum) => {
-                sum.lines += 1;
-                Fate::Counted
+        match &mut usage.dropped {
+            Some(summary) => {
+                summary.lines += 1;
+                Decision::Drop
             }
-            None => Fate::Example,
+            None => Decision::DropFirst,
         }
     }
 
-    /// Takes the first line of a kind that is left out.
-    pub(super) fn leave_out(&mut self, kind: Kind, sum: Sum) {
-        let used = self.kinds.entry(kind).or_insert(Use { written: 0, left_out: None });
-        match &mut used.left_out {
-            // Two threads had the first.
-            Some(known) => known.lines += sum.lines,
-            None => used.left_out = Some(sum),
+    /// Records the first dropped line of a kind.
+    pub(super) fn record_dropped(&mut self, kind: Kind, summary: DropSummary) {
+        let usage = self.kinds.entry(kind).or_insert(KindUsage { written: 0, dropped: None });
+        match &mut usage.dropped {
+            // Another thread has recorded a first line, too.
+            Some(known) => known.lines += summary.lines,
+            None => usage.dropped = Some(summary),
         }
     }
 
-    /// Begins a new span if the present one is over; what was left out in that, the most first.
-    pub(super) fn turn(&mut self, now: Instant) -> Vec<Sum> {
-        if now < self.began + SPAN {
+    /// Starts a new window if the current one is over, and returns the summaries of its dropped lines, the
+    /// most frequent kind first.
+    pub(super) fn roll_over(&mut self, now: Instant) -> Vec<DropSummary> {
+        if now < self.started + WINDOW {
             return Vec::new();
         }
-        self.began = now;
+        self.started = now;
         self.written = 0;
-        let mut sums: Vec<Sum> = self.kinds.drain().filter_map(|(_, used)| used.left_out).collect();
-        sums.sort_by(|a, b| b.lines.cmp(&a.lines).then_with(|| a.example.cmp(&b.example)));
-        sums
+        let mut summaries: Vec<DropSummary> =
+            self.kinds.drain().filter_map(|(_, usage)| usage.dropped).collect();
+        summaries.sort_by(|a, b| b.lines.cmp(&a.lines).then_with(|| a.example.cmp(&b.example)));
+        summaries
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: see the library for what it does.
+//! Entry point of the program. See the library crate for its documentation.
 
 use std::process::ExitCode;
 
--- a/src/options.rs
+++ b/src/options.rs
@@ -212,7 +212,7 @@
     /// Does what is asked for.
     pub(crate) fn run(self) -> Result<(), Error> {
         match self.job {
-            Job::Schedule { .. } => logging::start_bounded(self.level)?,
+            Job::Schedule { .. } => logging::start_nonblocking(self.level)?,
             _ => logging::start(self.level, self.format)?,
         }
         match self.job {
--- a/src/preset.rs
+++ b/src/preset.rs
@@ -1,4 +1,4 @@
-//! The shapes of the users' fleets, for the demo and the experiments.
+//! Models of two users' fleets and of the target size, for the demo and the experiments.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     settings::node::Policy,
 };
 
-/// A fleet's shape: its configuration, hosts and zones.
+/// A model fleet: its configuration, hosts and zones.
 #[derive(Debug, Clone)]
 pub(crate) struct Preset {
     pub(crate) name: &'static str,
@@ -25,21 +25,21 @@
 }
 
 impl Preset {
-    /// What the user's plans weigh.
+    /// The weights of the user's policy.
     pub(crate) fn weights(&self) -> Weights {
         self.policy.weights()
     }
 }
 
-/// What every host has: 32 cores and 128 GB.
+/// Capacity of every host: 32 cores and 128 GB.
 pub(crate) const HOST: Resources =
     Resources { cores: Millicores(32_000), memory: Megabytes(128 * 1024), accelerators: 0 };
 
-/// What a task of the users' services needs.
+/// Resources of a task of the users' services.
 const TASK: Resources =
     Resources { cores: Millicores(8_000), memory: Megabytes(24 * 1024), accelerators: 0 };
 
-/// A user's shape, by its name.
+/// Returns a user's preset by its name.
 pub(crate) fn by_name(name: &str) -> Option<Preset> {
     match name {
         "tyrehub" => Some(tyrehub()),
@@ -48,8 +48,8 @@
     }
 }
 
-/// Tyrehub: four halls in one data centre, about 50 hosts in racks of four, five services of ten
-/// tasks.
+/// Tyrehub: four halls in one data centre, about 50 hosts in racks of four, five services of ten tasks
+/// each.
 pub(crate) fn tyrehub() -> Preset {
     let services = [
         ("quotes", "shops", "bays", Class::Urgent, false),
@@ -70,7 +70,7 @@
     }
 }
 
-/// Partsbook: three halls, about 50 hosts, five services of ten tasks.
+/// Partsbook: three halls, about 50 hosts, five services of ten tasks each.
 pub(crate) fn partsbook() -> Preset {
     let services = [
         ("lookup", "counter", "catalogue", Class::Urgent, false),
@@ -91,14 +91,14 @@
     }
 }
 
-type Row = (&'static str, &'static str, &'static str, Class, bool);
+type ServiceRow = (&'static str, &'static str, &'static str, Class, bool);
 
-fn config(pools: &[(&str, u32)], services: &[Row]) -> Config {
+fn config(pools: &[(&str, u32)], services: &[ServiceRow]) -> Config {
     fn id<T: std::str::FromStr>(text: &str) -> T
     where
         T::Err: std::fmt::Debug,
     {
-        text.parse().expect("presets hold identifiers")
+        text.parse().expect("names in presets are valid identifiers")
     }
     let mut config = Config::default();
     for (name, hosts) in pools {
@@ -124,25 +124,27 @@
     config
 }
 
-/// The size of two years from now: 6,800 hosts, 390 pools, 46 teams, eight availability zones.
+/// The fleet size expected in two years: 6,800 hosts, 390 pools, 46 teams, eight availability zones.
+/// The number of pools is scaled to `hosts`.
 pub(crate) fn target(hosts: u32) -> Preset {
     const HOSTS: u32 = 6_800;
     const POOLS: u32 = 390;
     const TEAMS: u32 = 46;
-    const SERVICES_A_POOL: u32 = 2;
+    const SERVICES_PER_POOL: u32 = 2;
     let pools = (u64::from(POOLS) * u64::from(hosts) / u64::from(HOSTS)).max(1) as u32;
     let mut config = Config { pools: BTreeMap::new(), ..Config::default() };
     for number in 0..pools {
-        // The hosts that do not divide evenly go to the first pools.
+        // The remainder of the division goes to the first pools.
         let count = hosts / pools + u32::from(number < hosts % pools);
         let pool: crate::model::id::PoolId =
-            format!("pool-{number:03}").parse().expect("the text is an identifier");
+            format!("pool-{number:03}").parse().expect("generated names are valid identifiers");
         config.pools.insert(pool.clone(), Pool { hosts: count });
-        for letter in 0..SERVICES_A_POOL {
-            let team = format!("team-{:02}", (number + letter) % TEAMS);
-            let team: crate::model::id::TeamId = team.parse().expect("the text is an identifier");
+        for index in 0..SERVICES_PER_POOL {
+            let team = format!("team-{:02}", (number + index) % TEAMS);
+            let team: crate::model::id::TeamId =
+                team.parse().expect("generated names are valid identifiers");
             config.teams.insert(team.clone(), Team { rate: PerSecond(10_000) });
-            let class = if letter == 0 { Class::Urgent } else { Class::Batch };
+            let class = if index == 0 { Class::Urgent } else { Class::Batch };
             let service = Service {
                 pool: pool.clone(),
                 team,
@@ -153,11 +155,13 @@
                 survive: Domain::Rack,
                 slots: 8,
                 connections: 64,
-                once: letter != 0,
+                once: index != 0,
                 surge: true,
             };
-            let name = format!("service-{number:03}-{letter}");
-            config.services.insert(name.parse().expect("the text is an identifier"), service);
+            let name = format!("service-{number:03}-{index}");
+            config
+                .services
+                .insert(name.parse().expect("generated names are valid identifiers"), service);
         }
     }
     Preset {
