--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,23 +1,23 @@
-//! The command line: every command and option, with its help.
+//! The command line: all commands and options, with their help texts.
 
 use std::{io::Write, path::PathBuf, process::ExitCode};
 
 use clap::{Arg, ArgAction, ArgMatches, Command, builder::PossibleValuesParser, value_parser};
 
-/// The environment variable that names a node in place of `--node`.
+/// Environment variable that selects a node instead of `--node`.
 pub(crate) const NODE_VARIABLE: &str = "CAPERHOLLOW_NODE";
 
-/// Lists that `status` shows.
+/// The lists that `status` can show.
 pub(crate) const LISTS: [&str; 6] = ["hosts", "pools", "services", "plans", "nodes", "changes"];
-/// Shapes that the demo and the experiments know.
+/// The presets of the demo and the experiments.
 pub(crate) const PRESETS: [&str; 2] = ["tyrehub", "partsbook"];
 
-/// The whole command line.
+/// Builds the command line.
 pub(crate) fn build() -> Command {
     Command::new("caperhollow")
         .version(clap::crate_version!())
-        .about("Plans and carries out the maintenance of pools of hosts, and carries callers' requests to their services.")
-        .after_help("Exit codes: 0 done; 1 a check did not hold; 2 wrong command line; 3 wrong file; 4 a node refused; 5 no node reached; 6 the system failed.")
+        .about("Plans and executes the maintenance of pools of hosts, and routes callers' requests to their services.")
+        .after_help("Exit codes: 0 success; 1 a check failed; 2 invalid command line; 3 invalid file; 4 a node refused; 5 no node reached; 6 system error.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .arg(
@@ -34,7 +34,7 @@
                 .global(true)
                 .value_parser(["human", "json"])
                 .default_value("human")
-                .help("Write log lines for people, or one JSON object a line for programs."),
+                .help("Write log lines as text for people, or as one JSON object per line for programs."),
         )
         .subcommand(serve())
         .subcommand(schedule())
@@ -50,21 +50,21 @@
         .subcommand(completions())
 }
 
-/// Prints what is wrong with a command line, or the help that was asked for.
+/// Prints a command line error, or the requested help, and returns the exit code.
 pub(crate) fn report_error(error: &clap::Error) -> ExitCode {
-    // Nothing can be told if the output is closed.
+    // If the output is closed, the error cannot be reported.
     let _ = error.print();
     if error.use_stderr() { ExitCode::from(2) } else { ExitCode::SUCCESS }
 }
 
-/// Writes the completions of a shell.
-pub(crate) fn complete(shell: clap_complete::Shell, to: &mut dyn Write) {
+/// Writes the completion script of a shell.
+pub(crate) fn write_completions(shell: clap_complete::Shell, to: &mut dyn Write) {
     clap_complete::generate(shell, &mut build(), "caperhollow", to);
 }
 
 fn serve() -> Command {
     Command::new("serve")
-        .about("Run a node: serve callers, operators and other nodes until it is told to end.")
+        .about("Run a node: serve callers, operators and other nodes until it receives a signal to stop.")
         .arg(
             Arg::new("settings")
                 .long("settings")
@@ -77,7 +77,7 @@
 
 fn schedule() -> Command {
     Command::new("schedule")
-        .about("Run a scheduler node: take jobs from callers and run them on the platform's workers until it is told to end.")
+        .about("Run a scheduler node: accept jobs from callers and run them on the platform's workers until it receives a signal to stop.")
         .arg(
             Arg::new("settings")
                 .long("settings")
@@ -106,7 +106,7 @@
 
 fn demo() -> Command {
     Command::new("demo")
-        .about("Show the main job on embedded stand-ins: a plan, its confirmation, and a wave during which a rack fails and a node is killed.")
+        .about("Demonstrate a maintenance wave on embedded stand-ins: a plan, its confirmation, and its execution while a rack fails and a node is killed.")
         .arg(preset())
         .arg(seed().default_value("1"))
         .arg(export("json", "Write the summary to this file as JSON."))
@@ -118,7 +118,7 @@
         .value_name("NAME")
         .value_parser(PossibleValuesParser::new(PRESETS))
         .default_value("tyrehub")
-        .help("Use the shape and the policy of this user.")
+        .help("Use the fleet and the policy of this user.")
 }
 
 fn seed() -> Arg {
@@ -126,7 +126,7 @@
         .long("seed")
         .value_name("N")
         .value_parser(value_parser!(u64))
-        .help("Draw everything that is drawn from this seed.")
+        .help("Seed of the random number generator.")
 }
 
 fn export(kind: &'static str, help: &'static str) -> Arg {
@@ -157,16 +157,16 @@
         .value_name("NAME")
         .env("USER")
         .default_value("operator")
-        .help("Sign what is done with this name.")
+        .help("Record this name as the author of the change.")
 }
 
-/// The options of every command that asks a node.
-fn asking() -> [Arg; 2] {
+/// The options of commands that query a node.
+fn query_options() -> [Arg; 2] {
     [node(), format()]
 }
 
-/// The options of every command that has a node do something.
-fn signed() -> [Arg; 3] {
+/// The options of commands that change something through a node.
+fn change_options() -> [Arg; 3] {
     [by(), node(), format()]
 }
 
@@ -175,7 +175,7 @@
         .long("reason")
         .value_name("TEXT")
         .required(true)
-        .help("Say why, for those who read the plan later.")
+        .help("Record this reason in the plan.")
 }
 
 fn yes(help: &'static str) -> Arg {
@@ -184,20 +184,22 @@
 
 fn status() -> Command {
     Command::new("status")
-        .about("Show what a node knows.")
+        .about("Show the state known to a node.")
         .arg(
             Arg::new("list")
                 .value_name("LIST")
                 .value_parser(PossibleValuesParser::new(LISTS))
                 .default_value("services")
-                .help("What to show."),
+                .help("The list to show."),
         )
-        .args(asking())
+        .args(query_options())
 }
 
 fn apply() -> Command {
     Command::new("apply")
-        .about("Show what a fleet's configuration would change, and with --yes have it accepted.")
+        .about(
+            "Show the changes that a fleet's configuration would make, and apply them with --yes.",
+        )
         .arg(
             Arg::new("file")
                 .value_name("FILE")
@@ -205,8 +207,8 @@
                 .value_parser(value_parser!(PathBuf))
                 .help("The configuration: pools, services with their budgets, and teams."),
         )
-        .arg(yes("Have the changes accepted; without it they are only shown."))
-        .args(signed())
+        .arg(yes("Apply the changes; without this option they are only shown."))
+        .args(change_options())
 }
 
 fn intent() -> Command {
@@ -220,25 +222,25 @@
     };
     let selection = |command: Command| {
         command
-            .arg(names("host", "Name hosts; may be repeated or separated by commas."))
-            .arg(names("rack", "Name racks: all of their hosts."))
-            .arg(names("zone", "Name availability zones: all of their hosts."))
-            .arg(names("pool", "Name pools: all of their hosts."))
+            .arg(names("host", "Select hosts; may be repeated or separated by commas."))
+            .arg(names("rack", "Select all hosts of these racks."))
+            .arg(names("zone", "Select all hosts of these availability zones."))
+            .arg(names("pool", "Select all hosts of these pools."))
             .arg(Arg::new("deadline").long("deadline").value_name("TIME").help(
-                "Tell if the work would not be done by this time, such as 2026-01-31T12:00:00Z.",
+                "Warn if the work would not be finished by this time, such as 2026-01-31T12:00:00Z.",
             ))
             .arg(reason())
-            .args(signed())
+            .args(change_options())
     };
     Command::new("intent")
-        .about("State what is to be done with hosts, and get the plan and its cost. Nothing moves until the plan is confirmed.")
+        .about("Submit an intent for hosts, and get the plan and its cost. Nothing moves until the plan is confirmed.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(selection(
-            Command::new("drain").about("Have hosts leave, reboot and serve again."),
+            Command::new("drain").about("Drain and reboot hosts, then return them to service."),
         ))
         .subcommand(selection(
-            Command::new("move").about("Have hosts leave their pool and join another.").arg(
+            Command::new("move").about("Move hosts to another pool.").arg(
                 Arg::new("to")
                     .long("to")
                     .value_name("POOL")
@@ -251,18 +253,18 @@
 fn plan() -> Command {
     let id = || Arg::new("plan").value_name("PLAN").required(true).help("The plan's identifier.");
     Command::new("plan")
-        .about("Look at, confirm or cancel a plan.")
+        .about("Show, confirm or cancel a plan.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("show")
-                .about("Show a plan, its cost and what each of its hosts does.")
+                .about("Show a plan, its cost and the steps of each of its hosts.")
                 .arg(id())
-                .args(asking()),
+                .args(query_options()),
         )
         .subcommand(
             Command::new("confirm")
-                .about("Have a plan carried out, if it still holds as it was shown.")
+                .about("Execute a plan, if it is still valid as shown.")
                 .arg(id())
                 .arg(
                     Arg::new("digest")
@@ -271,40 +273,40 @@
                         .required(true)
                         .help("The digest that was shown with the plan."),
                 )
-                .args(signed()),
+                .args(change_options()),
         )
         .subcommand(
             Command::new("cancel")
-                .about("End a plan, and give back what it holds.")
+                .about("Cancel a plan and release what it holds.")
                 .arg(id())
-                .args(signed()),
+                .args(change_options()),
         )
         .subcommand(
             Command::new("watch")
                 .about("Follow a plan until it has ended.")
                 .arg(id())
-                .args(asking()),
+                .args(query_options()),
         )
 }
 
 fn host() -> Command {
     let id = || Arg::new("host").value_name("HOST").required(true).help("The host's name.");
     Command::new("host")
-        .about("Take a host out for good, or have it serve again.")
+        .about("Quarantine a host, or return it to service.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
             Command::new("quarantine")
-                .about("Get the plan for taking a host out until it is released.")
+                .about("Get the plan for taking a host out of service until it is released.")
                 .arg(id())
                 .arg(reason())
-                .args(signed()),
+                .args(change_options()),
         )
         .subcommand(
             Command::new("release")
-                .about("Have a quarantined host serve again.")
+                .about("Return a quarantined host to service.")
                 .arg(id())
-                .args(signed()),
+                .args(change_options()),
         )
 }
 
@@ -319,21 +321,21 @@
         .value_name("N")
         .action(ArgAction::Append)
         .value_parser(value_parser!(u64))
-        .help("Run with this seed; may be repeated. Without it, ten seeds are run.");
+        .help("Run with this seed; may be repeated. By default, ten seeds are run.");
     Command::new("measure")
-        .about("Measure the decisions, or the path of a request.")
+        .about("Measure decisions, or the path of a request.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(exports(
             Command::new("waves")
-                .about("Run maintenance waves with drawn failures under our policy and simple ones.")
+                .about("Run maintenance waves with random failures under the built-in policy and under simple ones.")
                 .arg(
                     Arg::new("preset")
                         .long("preset")
                         .value_name("NAME")
                         .value_parser(["tyrehub", "partsbook", "target"])
                         .default_value("tyrehub")
-                        .help("Use the shape and the policy of this user, or the size of two years from now."),
+                        .help("Use the fleet and the policy of this user, or the fleet size expected in two years."),
                 )
                 .arg(
                     Arg::new("policy")
@@ -347,14 +349,14 @@
         ))
         .subcommand(exports(
             Command::new("path")
-                .about("Time calls through one node against the same calls straight to the endpoint.")
+                .about("Compare the latency of calls through one node with that of direct calls to the endpoint.")
                 .arg(
                     Arg::new("callers")
                         .long("callers")
                         .value_name("N")
                         .value_parser(value_parser!(u32).range(1..=1024))
                         .default_value("64")
-                        .help("So many callers at once in the second part."),
+                        .help("Number of concurrent callers in the second part."),
                 )
                 .arg(
                     Arg::new("requests")
@@ -362,29 +364,29 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32).range(100..=10_000_000))
                         .default_value("20000")
-                        .help("So many requests in each part."),
+                        .help("Number of requests in each part."),
                 ),
         ))
         .subcommand(exports(
             Command::new("route")
-                .about("Compare the choice of endpoints with simple ones, while some are slow, refuse or are dead."),
+                .about("Compare endpoint selection with simple policies, while some endpoints are slow, refuse requests or are down."),
         ))
         .subcommand(exports(
             Command::new("mirror")
-                .about("Measure what a node spends to take in what watches of the store tell of."),
+                .about("Measure the processor time that a node spends on processing the store's watches."),
         ))
         .subcommand(exports(
             Command::new("owner")
-                .about("Measure what an owner spends for each task at a peak, as its pool grows."),
+                .about("Measure the processor time that an owner spends on each task at peak load, as its pool grows."),
         ))
         .subcommand(exports(
             Command::new("fleet").about(
-                "Measure what a decision on hosts and waves costs, as the fleet grows.",
+                "Measure the cost of a decision on hosts and waves, as the fleet grows.",
             ),
         ))
         .subcommand(exports(
             Command::new("node")
-                .about("Measure what control costs a node as the fleet grows."),
+                .about("Measure the cost of a node's control loop, as the fleet grows."),
         ))
 }
 
@@ -394,10 +396,10 @@
             .long("listen")
             .value_name("ADDRESS")
             .default_value(default)
-            .help("Listen at this IP address and port; port 0 takes a free one.")
+            .help("Listen at this IP address and port; port 0 selects a free one.")
     };
     Command::new("standin")
-        .about("Run a small stand-in for a system that nodes work with, for trials.")
+        .about("Run a small stand-in for a system that nodes depend on, for trials.")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommand(
@@ -410,7 +412,7 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32))
                         .default_value("100")
-                        .help("Refuse writes above so many a second."),
+                        .help("Refuse writes above this number per second."),
                 )
                 .arg(
                     Arg::new("reads")
@@ -418,13 +420,13 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32))
                         .default_value("2000")
-                        .help("Refuse reads above so many a second."),
+                        .help("Refuse reads above this number per second."),
                 ),
         )
         .subcommand(
             Command::new("site")
                 .about(
-                    "Run what scheduler nodes work with: store, hosts, and workers that run tasks.",
+                    "Run the systems that scheduler nodes depend on: store, hosts, and workers that run tasks.",
                 )
                 .arg(listen("127.0.0.1:7920"))
                 .arg(
@@ -433,7 +435,7 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32))
                         .default_value("4")
-                        .help("Run so many workers, of 8 cores each."),
+                        .help("Number of workers, of 8 cores each."),
                 )
                 .arg(
                     Arg::new("pools")
@@ -441,7 +443,7 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32))
                         .default_value("1")
-                        .help("Spread them over so many pools."),
+                        .help("Number of pools over which the workers are spread."),
                 )
                 .arg(
                     Arg::new("work-ms")
@@ -449,13 +451,13 @@
                         .value_name("MS")
                         .value_parser(value_parser!(u64))
                         .default_value("300")
-                        .help("Take so long for a task whose payload names no time."),
+                        .help("Duration of tasks whose payload names none, in milliseconds."),
                 )
                 .arg(
                     Arg::new("keep-ids")
                         .long("keep-ids")
                         .action(ArgAction::SetTrue)
-                        .help("Have workers tell when they started, and every other one start again under its identifier."),
+                        .help("Let workers report their start time, and let every other one restart under its old identifier."),
                 ),
         )
         .subcommand(
@@ -475,7 +477,7 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32).range(1..=10_000))
                         .default_value("50")
-                        .help("Run so many hosts, four to a rack."),
+                        .help("Number of hosts, four to a rack."),
                 )
                 .arg(
                     Arg::new("zones")
@@ -483,7 +485,7 @@
                         .value_name("N")
                         .value_parser(value_parser!(u32).range(1..=64))
                         .default_value("4")
-                        .help("Spread the racks over so many availability zones."),
+                        .help("Number of availability zones over which the racks are spread."),
                 )
                 .arg(
                     Arg::new("reboot-ms")
@@ -491,12 +493,12 @@
                         .value_name("N")
                         .value_parser(value_parser!(u64))
                         .default_value("3000")
-                        .help("A reboot takes so many milliseconds."),
+                        .help("Duration of a reboot, in milliseconds."),
                 ),
         )
         .subcommand(
             Command::new("endpoint")
-                .about("Run one endpoint by itself.")
+                .about("Run a single endpoint.")
                 .arg(listen("127.0.0.1:7920"))
                 .arg(
                     Arg::new("work-ms")
@@ -504,7 +506,7 @@
                         .value_name("N")
                         .value_parser(value_parser!(u64))
                         .default_value("5")
-                        .help("A request runs so many milliseconds."),
+                        .help("Duration of a request, in milliseconds."),
                 ),
         )
 }
@@ -519,8 +521,8 @@
     )
 }
 
-/// An option that has a default or is required: it is there.
-pub(crate) fn given<'a, T: Clone + Send + Sync + 'static>(
+/// Returns the value of an option that is required or has a default.
+pub(crate) fn required_value<'a, T: Clone + Send + Sync + 'static>(
     matches: &'a ArgMatches,
     name: &str,
 ) -> &'a T {
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,11 +1,11 @@
-//! What the command line asks for, checked.
+//! Parses the command line's matches into options and runs the command.
 
 use std::{fmt, path::PathBuf, str::FromStr, time::Duration};
 
 use clap::ArgMatches;
 
 use crate::{
-    cli::{self, given},
+    cli::{self, required_value},
     demo,
     error::Error,
     logging::{self, LogFormat},
@@ -21,15 +21,15 @@
     standin::{endpoint, platform, site, worker},
 };
 
-/// A whole command line.
+/// The parsed command line.
 pub(crate) struct Options {
     level: log::LevelFilter,
     format: LogFormat,
-    job: Job,
+    mode: Mode,
 }
 
-/// What is to be done.
-enum Job {
+/// The command to run.
+enum Mode {
     Serve { settings: PathBuf },
     Schedule { settings: PathBuf },
     Check { file: PathBuf, fleet: bool },
@@ -48,48 +48,51 @@
 }
 
 fn text(matches: &ArgMatches, name: &str) -> String {
-    given::<String>(matches, name).clone()
+    required_value::<String>(matches, name).clone()
 }
 
-/// Reads the command line's matches.
+/// Parses the command line's matches.
 pub(crate) fn read(matches: &ArgMatches) -> Result<Options, Error> {
-    let level = usage("log-level", given::<String>(matches, "log-level"))?;
-    let format = usage("log-format", given::<String>(matches, "log-format"))?;
+    let level = usage("log-level", required_value::<String>(matches, "log-level"))?;
+    let format = usage("log-format", required_value::<String>(matches, "log-format"))?;
     let Some((verb, inner)) = matches.subcommand() else {
-        return Err(Error::Usage("a command must be given".to_owned()));
+        return Err(Error::Usage("a command is missing".to_owned()));
     };
-    let job = match verb {
-        "serve" => Job::Serve { settings: given::<PathBuf>(inner, "settings").clone() },
-        "schedule" => Job::Schedule { settings: given::<PathBuf>(inner, "settings").clone() },
-        "check" => Job::Check {
-            file: given::<PathBuf>(inner, "file").clone(),
+    let mode = match verb {
+        "serve" => Mode::Serve { settings: required_value::<PathBuf>(inner, "settings").clone() },
+        "schedule" => {
+            Mode::Schedule { settings: required_value::<PathBuf>(inner, "settings").clone() }
+        }
+        "check" => Mode::Check {
+            file: required_value::<PathBuf>(inner, "file").clone(),
             fleet: inner.get_flag("fleet"),
         },
-        "demo" => Job::Demo(demo_options(inner)?),
-        "measure" => Job::Measure(measure_options(inner)?),
+        "demo" => Mode::Demo(demo_options(inner)?),
+        "measure" => Mode::Measure(measure_options(inner)?),
         "standin" => standin(inner)?,
-        "completions" => Job::Completions(*given::<clap_complete::Shell>(inner, "shell")),
-        _ => Job::Operate(Box::new(operate(verb, inner)?)),
+        "completions" => Mode::Completions(*required_value::<clap_complete::Shell>(inner, "shell")),
+        _ => Mode::Operate(Box::new(operate(verb, inner)?)),
     };
-    Ok(Options { level, format, job })
+    Ok(Options { level, format, mode })
 }
 
 fn demo_options(matches: &ArgMatches) -> Result<demo::Options, Error> {
     Ok(demo::Options {
         preset: preset_of(matches)?,
-        seed: *given::<u64>(matches, "seed"),
+        seed: *required_value::<u64>(matches, "seed"),
         export: matches.get_one::<PathBuf>("export-json").cloned(),
     })
 }
 
 fn preset_of(matches: &ArgMatches) -> Result<preset::Preset, Error> {
     let name = text(matches, "preset");
-    preset::by_name(&name).ok_or_else(|| Error::Usage(format!("--preset: there is no {name}")))
+    preset::by_name(&name)
+        .ok_or_else(|| Error::Usage(format!("--preset: there is no preset `{name}`")))
 }
 
 fn measure_options(matches: &ArgMatches) -> Result<measure::Options, Error> {
     let Some((verb, inner)) = matches.subcommand() else {
-        return Err(Error::Usage("an experiment must be named".to_owned()));
+        return Err(Error::Usage("the name of an experiment is missing".to_owned()));
     };
     let export = measure::Export {
         json: inner.get_one::<PathBuf>("export-json").cloned(),
@@ -105,8 +108,8 @@
             seeds: inner.get_many::<u64>("seed").into_iter().flatten().copied().collect(),
         },
         "path" => measure::Experiment::Path {
-            callers: *given::<u32>(inner, "callers"),
-            requests: *given::<u32>(inner, "requests"),
+            callers: *required_value::<u32>(inner, "callers"),
+            requests: *required_value::<u32>(inner, "requests"),
         },
         "mirror" => measure::Experiment::Mirror,
         "owner" => measure::Experiment::Owner,
@@ -117,52 +120,52 @@
     Ok(measure::Options { experiment, export })
 }
 
-fn standin(matches: &ArgMatches) -> Result<Job, Error> {
+fn standin(matches: &ArgMatches) -> Result<Mode, Error> {
     let Some((kind, inner)) = matches.subcommand() else {
-        return Err(Error::Usage("a stand-in must be named".to_owned()));
+        return Err(Error::Usage("the name of a stand-in is missing".to_owned()));
     };
     let listen = text(inner, "listen");
     Ok(match kind {
-        "platform" => Job::Platform(platform::Options {
+        "platform" => Mode::Platform(platform::Options {
             listen,
-            writes: *given::<u32>(inner, "writes"),
-            reads: *given::<u32>(inner, "reads"),
+            writes: *required_value::<u32>(inner, "writes"),
+            reads: *required_value::<u32>(inner, "reads"),
             ..platform::Options::default()
         }),
-        "site" => Job::Site(site::Options {
+        "site" => Mode::Site(site::Options {
             listen,
-            workers: *given::<u32>(inner, "workers"),
-            pools: *given::<u32>(inner, "pools"),
-            work: Duration::from_millis(*given::<u64>(inner, "work-ms")),
+            workers: *required_value::<u32>(inner, "workers"),
+            pools: *required_value::<u32>(inner, "pools"),
+            work: Duration::from_millis(*required_value::<u64>(inner, "work-ms")),
             keep_ids: inner.get_flag("keep-ids"),
         }),
-        "worker" => Job::Worker(Box::new(worker::Options {
+        "worker" => Mode::Worker(Box::new(worker::Options {
             listen,
             platform: text(inner, "platform"),
-            hosts: *given::<u32>(inner, "hosts"),
-            zones: *given::<u32>(inner, "zones"),
-            reboot: Duration::from_millis(*given::<u64>(inner, "reboot-ms")),
+            hosts: *required_value::<u32>(inner, "hosts"),
+            zones: *required_value::<u32>(inner, "zones"),
+            reboot: Duration::from_millis(*required_value::<u64>(inner, "reboot-ms")),
             ..worker::Options::default()
         })),
-        _ => Job::Endpoint(endpoint::Options {
+        _ => Mode::Endpoint(endpoint::Options {
             listen,
             slots: 8,
             connections: 64,
-            work: Duration::from_millis(*given::<u64>(inner, "work-ms")),
+            work: Duration::from_millis(*required_value::<u64>(inner, "work-ms")),
         }),
     })
 }
 
 fn operate(verb: &str, matches: &ArgMatches) -> Result<Command, Error> {
-    // Verbs with verbs of their own have their options there.
+    // If a command has subcommands, its options belong to them.
     let (inner_verb, inner) = matches.subcommand().unwrap_or((verb, matches));
     let by = || text(inner, "by");
-    let plan = || usage("plan", given::<String>(inner, "plan"));
-    let host = || usage("host", given::<String>(inner, "host"));
+    let plan = || usage("plan", required_value::<String>(inner, "plan"));
+    let host = || usage("host", required_value::<String>(inner, "host"));
     let verb = match (verb, inner_verb) {
         ("status", _) => Verb::Status { list: text(inner, "list") },
         ("apply", _) => Verb::Apply {
-            file: given::<PathBuf>(inner, "file").clone(),
+            file: required_value::<PathBuf>(inner, "file").clone(),
             yes: inner.get_flag("yes"),
             by: by(),
         },
@@ -176,7 +179,7 @@
         }
         _ => Verb::Release { host: host()?, by: by() },
     };
-    let format = usage::<Format>("format", given::<String>(inner, "format"))?;
+    let format = usage::<Format>("format", required_value::<String>(inner, "format"))?;
     Ok(Command { node: text(inner, "node"), format, verb })
 }
 
@@ -195,13 +198,13 @@
         pools: names(matches, "pool")?,
     };
     if selection == Selection::default() {
-        let text = "name what the intent is for: --host, --rack, --zone or --pool";
+        let text = "select the hosts of the intent with --host, --rack, --zone or --pool";
         return Err(Error::Usage(text.to_owned()));
     }
     let deadline = matches.get_one::<String>("deadline");
     let deadline = deadline.map(|text| usage("deadline", text)).transpose()?;
     let action = match action {
-        "move" => Action::Move(usage("to", given::<String>(matches, "to"))?),
+        "move" => Action::Move(usage("to", required_value::<String>(matches, "to"))?),
         _ => Action::Drain,
     };
     let (reason, by) = (text(matches, "reason"), text(matches, "by"));
@@ -209,73 +212,73 @@
 }
 
 impl Options {
-    /// Does what is asked for.
+    /// Runs the command.
     pub(crate) fn run(self) -> Result<(), Error> {
-        match self.job {
-            Job::Schedule { .. } => logging::start_nonblocking(self.level)?,
+        match self.mode {
+            Mode::Schedule { .. } => logging::start_nonblocking(self.level)?,
             _ => logging::start(self.level, self.format)?,
         }
-        match self.job {
-            Job::Check { file, fleet } => check(&file, fleet),
-            Job::Completions(shell) => {
-                cli::complete(shell, &mut std::io::stdout());
+        match self.mode {
+            Mode::Check { file, fleet } => check(&file, fleet),
+            Mode::Completions(shell) => {
+                cli::write_completions(shell, &mut std::io::stdout());
                 Ok(())
             }
-            Job::Demo(options) => demo::run(options),
-            Job::Measure(options) => measure::run(options),
-            Job::Serve { settings } => {
+            Mode::Demo(options) => demo::run(options),
+            Mode::Measure(options) => measure::run(options),
+            Mode::Serve { settings } => {
                 let settings = settings::node::load(&settings)?;
                 block_on(serve(settings))
             }
-            Job::Schedule { settings: path } => {
+            Mode::Schedule { settings: path } => {
                 let settings = settings::scheduler::load(&path)?;
-                block_on_one(scheduler::run::run(settings, path, until_told()))
+                block_on_current_thread(scheduler::run::run(settings, path, wait_for_stop_signal()))
             }
-            Job::Operate(command) => block_on(commands::run(*command)),
-            Job::Platform(options) => block_on(async {
+            Mode::Operate(command) => block_on(commands::run(*command)),
+            Mode::Platform(options) => block_on(async {
                 let platform = platform::start(options).await;
                 let platform = platform.map_err(|error| Error::system("listen", error))?;
                 println!("platform at {}", platform.url);
-                until_told().await
+                wait_for_stop_signal().await
             }),
-            Job::Worker(options) => block_on(async {
+            Mode::Worker(options) => block_on(async {
                 let workers = worker::start(*options).await;
                 let workers = workers.map_err(|error| Error::system("listen", error))?;
                 println!("workers at {}", workers.address);
-                until_told().await
+                wait_for_stop_signal().await
             }),
-            Job::Site(options) => block_on(async {
+            Mode::Site(options) => block_on(async {
                 let site = site::start(options).await;
                 let site = site.map_err(|error| Error::system("listen", error))?;
                 println!("site at {}", site.address);
-                until_told().await
+                wait_for_stop_signal().await
             }),
-            Job::Endpoint(options) => block_on(async {
+            Mode::Endpoint(options) => block_on(async {
                 let endpoint = endpoint::start(&options, Default::default()).await;
                 let endpoint = endpoint.map_err(|error| Error::system("listen", error))?;
                 println!("endpoint at {}", endpoint.address);
-                until_told().await
+                wait_for_stop_signal().await
             }),
         }
     }
 }
 
-fn block_on(job: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
+fn block_on(future: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    runtime.map_err(|error| Error::system("start threads", error))?.block_on(job)
+    runtime.map_err(|error| Error::system("start threads", error))?.block_on(future)
 }
 
-/// Runs on one thread: nodes have a share of a core, and each thread that wakes costs.
-fn block_on_one(job: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
+/// Runs on one thread: nodes have a share of a core, and waking further threads costs processor time.
+fn block_on_current_thread(future: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    runtime.map_err(|error| Error::system("start the runtime", error))?.block_on(job)
+    runtime.map_err(|error| Error::system("start the runtime", error))?.block_on(future)
 }
 
 fn check(file: &std::path::Path, fleet: bool) -> Result<(), Error> {
     if fleet {
         let config = settings::fleet::load(file)?;
         println!(
-            "{}: right: {} pools, {} services, {} teams",
+            "{}: valid: {} pools, {} services, {} teams",
             file.display(),
             config.pools.len(),
             config.services.len(),
@@ -283,7 +286,7 @@
         );
     } else {
         let settings = settings::node::load(file)?;
-        println!("{}: right: node {}", file.display(), settings.node);
+        println!("{}: valid: node {}", file.display(), settings.node);
     }
     Ok(())
 }
@@ -292,13 +295,13 @@
     let sockets = Sockets::open(&settings).await;
     let sockets = sockets.map_err(|error| Error::system("listen", error))?;
     let running = run::start(settings, sockets);
-    until_told().await?;
+    wait_for_stop_signal().await?;
     running.leave().await;
     Ok(())
 }
 
-/// Waits until the process is told to end.
-async fn until_told() -> Result<(), Error> {
+/// Waits for SIGTERM or SIGINT.
+async fn wait_for_stop_signal() -> Result<(), Error> {
     use tokio::signal::unix::{SignalKind, signal};
     let failed = |error| Error::system("wait for signals", error);
     let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
