--- a/src/http.rs
+++ b/src/http.rs
@@ -185,7 +185,7 @@
     #[error("the body was cut off: {0}")]
     Broken(String),
     #[error("the body is invalid: {0}")]
-    Garbled(#[from] serde_json::Error),
+    Invalid(#[from] serde_json::Error),
 }
 
 /// Whether a request has a body.
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -15,13 +15,13 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum JobError {
     #[error("the body is not a valid job: {0}")]
-    Garbled(#[from] serde_json::Error),
+    InvalidJson(#[from] serde_json::Error),
     #[error("`spec` has {0} bytes: at most {MAX_PAYLOAD_BYTES} are allowed")]
-    Payload(usize),
+    PayloadTooLarge(usize),
     #[error("`steps` is empty: a job needs at least one")]
     NoSteps,
     #[error("step {step} waits for step {after}, which is not an earlier one")]
-    Order { step: usize, after: u32 },
+    StepOrder { step: usize, after: u32 },
 }
 
 #[derive(Deserialize)]
@@ -92,14 +92,14 @@
 pub(crate) fn job(body: &[u8], queue: &Queue, now: Time) -> Result<JobRecord, JobError> {
     let wire: WireJob = serde_json::from_slice(body)?;
     if MAX_PAYLOAD_BYTES < wire.spec.len() {
-        return Err(JobError::Payload(wire.spec.len()));
+        return Err(JobError::PayloadTooLarge(wire.spec.len()));
     }
     if wire.steps.is_empty() {
         return Err(JobError::NoSteps);
     }
     for (number, step) in wire.steps.iter().enumerate() {
         if let Some(after) = step.since_revision.iter().find(|after| number <= **after as usize) {
-            return Err(JobError::Order { step: number, after: *after });
+            return Err(JobError::StepOrder { step: number, after: *after });
         }
     }
     Ok(JobRecord {
--- a/src/platform/kv.rs
+++ b/src/platform/kv.rs
@@ -406,7 +406,7 @@
     }
 
     fn malformed(&self, step: &'static str, cause: impl ToString) -> StoreError {
-        StoreError::Garbled { step, peer: self.peer.to_string(), cause: cause.to_string() }
+        StoreError::InvalidAnswer { step, peer: self.peer.to_string(), cause: cause.to_string() }
     }
 
     fn parse<T: DeserializeOwned>(&self, answer: &Answer) -> Result<T, StoreError> {
--- a/src/platform/records.rs
+++ b/src/platform/records.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RecordError {
     #[error("invalid JSON: {0}")]
-    Garbled(#[from] serde_json::Error),
+    InvalidJson(#[from] serde_json::Error),
     #[error(transparent)]
     Name(#[from] IdError),
     #[error("`{0}` is not a valid worker address")]
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -126,7 +126,7 @@
     #[error("store {peer}, {step}: refused with status {status}")]
     Refused { step: &'static str, peer: String, status: u16 },
     #[error("store {peer}, {step}: invalid answer: {cause}")]
-    Garbled { step: &'static str, peer: String, cause: String },
+    InvalidAnswer { step: &'static str, peer: String, cause: String },
     #[error("store {peer}: revisions up to {through} have been compacted")]
     Compacted { peer: String, through: Revision },
 }
@@ -134,7 +134,7 @@
 impl StoreError {
     /// Whether a write that failed this way may have taken effect.
     pub(crate) fn is_unknown(&self) -> bool {
-        matches!(self, StoreError::Unanswered { .. } | StoreError::Garbled { .. })
+        matches!(self, StoreError::Unanswered { .. } | StoreError::InvalidAnswer { .. })
     }
 }
 
@@ -350,7 +350,7 @@
 
 fn unexpected(step: &'static str, reply: &Reply) -> StoreError {
     let cause = format!("unexpected reply {reply:?}");
-    StoreError::Garbled { step, peer: "store".to_owned(), cause }
+    StoreError::InvalidAnswer { step, peer: "store".to_owned(), cause }
 }
 
 /// The first key after all keys with a prefix.
--- a/src/platform/store/etcd.rs
+++ b/src/platform/store/etcd.rs
@@ -356,7 +356,7 @@
         (self.note)(body.len());
         serde_json::from_slice(&body).map_err(|error| {
             let cause = error.to_string();
-            StoreError::Garbled { step, peer, cause }
+            StoreError::InvalidAnswer { step, peer, cause }
         })
     }
 
@@ -430,7 +430,7 @@
 fn read_events(line: &[u8], peer: &str) -> Result<Events, StoreError> {
     let answer: Streamed<WatchResponse> = serde_json::from_slice(line).map_err(|error| {
         let cause = error.to_string();
-        StoreError::Garbled { step: "watch", peer: peer.to_owned(), cause }
+        StoreError::InvalidAnswer { step: "watch", peer: peer.to_owned(), cause }
     })?;
     let answer = answer.result;
     if answer.canceled {
--- a/src/platform/tests/sockets.rs
+++ b/src/platform/tests/sockets.rs
@@ -170,7 +170,7 @@
     };
     let server = ScriptedServer::new(move |number| Action::Answer(pages(number))).await;
     let list = connect(&server.address).range("").await;
-    assert!(matches!(list, Err(StoreError::Garbled { .. })), "{list:?}");
+    assert!(matches!(list, Err(StoreError::InvalidAnswer { .. })), "{list:?}");
 }
 
 /// Guards against tasks that never run after all nodes lose power at once. A worker accepts a
