--- a/src/platform/tests/peer.rs
+++ b/src/platform/tests/peer.rs
@@ -75,13 +75,13 @@
     opened: Arc<AtomicUsize>,
     script: Script,
 ) {
-    let (stop_listening, mut last_streams) = tokio::sync::mpsc::channel::<TcpStream>(1);
+    let (stop, mut last_streams) = tokio::sync::mpsc::channel::<TcpStream>(1);
     loop {
         tokio::select! {
             taken = listener.accept() => {
                 let (stream, _) = taken.unwrap();
                 opened.fetch_add(1, Ordering::AcqRel);
-                tokio::spawn(serve(stream, received.clone(), script.clone(), stop_listening.clone()));
+                tokio::spawn(serve(stream, received.clone(), script.clone(), stop.clone()));
             }
             Some(last) = last_streams.recv() => {
                 drop(listener);
@@ -96,7 +96,7 @@
     mut stream: TcpStream,
     received: Arc<Mutex<Vec<String>>>,
     script: Script,
-    stop_listening: tokio::sync::mpsc::Sender<TcpStream>,
+    stop: tokio::sync::mpsc::Sender<TcpStream>,
 ) {
     while let Some(body) = read(&mut stream).await {
         let number = {
@@ -111,7 +111,7 @@
             Action::Reset => return stream.set_zero_linger().unwrap(),
             Action::StopListening => {
                 // The receiver exists as long as the server listens.
-                let _ = stop_listening.send(stream).await;
+                let _ = stop.send(stream).await;
                 return;
             }
         }
