--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: taking them, choosing endpoints, sending, retrying and answering.
+//! Callers' requests: admission, choice of an endpoint, sending, retries and answers.
 
 pub(crate) mod forward;
 pub(crate) mod gate;
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! Sends one request to one endpoint, and tells truly what became of it.
+//! Sends one request to one endpoint, and reports whether it ran.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,49 +12,49 @@
     platform::store::chain,
 };
 
-/// A request as it is sent to an endpoint, as often as needed.
+/// A request as it is sent to an endpoint, possibly several times.
 pub(crate) struct Outgoing {
     pub(crate) method: Method,
-    /// Path and query, with a slash in front.
+    /// Path and query, with a leading slash.
     pub(crate) path: String,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) request: String,
 }
 
-/// A whole answer, with the memory that it is counted against.
+/// A complete answer, with the memory reserved for it.
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    pub(crate) held: OwnedSemaphorePermit,
+    pub(crate) memory: OwnedSemaphorePermit,
     pub(crate) busy: Option<u32>,
 }
 
-/// What became of one sending.
+/// Result of sending a request once.
 pub(crate) enum Attempt {
-    /// The endpoint ran it and answered whole.
+    /// The endpoint ran it and answered completely.
     Answered(Answer),
     /// The endpoint refused it before running it.
     Refused(Option<u32>),
     /// No byte of it was written to the endpoint.
     Unsent(String),
-    /// It ran, but its answer is larger than may be held.
+    /// It ran, but its answer exceeds the size limit.
     TooLarge(usize),
-    /// It may have run: its answer did not come, broke off, or was another request's.
-    Broken(String),
+    /// It may have run: its answer was missing, incomplete, or belonged to another request.
+    Unknown(String),
 }
 
-/// Bounds on answers.
+/// Limits on the memory of request bodies and answers.
 #[derive(Clone)]
-pub(crate) struct Hold {
-    /// Bytes of one answer.
-    pub(crate) most: usize,
-    /// Bytes of all that is held.
+pub(crate) struct MemoryLimits {
+    /// Maximum size of one answer.
+    pub(crate) max_answer_bytes: usize,
+    /// Bytes left for all bodies and answers in memory.
     pub(crate) memory: Arc<Semaphore>,
 }
 
-/// Headers that concern one connection only, and are not passed on.
+/// Headers that apply to one connection only and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::HOST,
@@ -66,29 +66,29 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Headers without those that concern one connection only.
-pub(crate) fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
+/// Headers without those that apply to one connection only.
+pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers.clone();
     for name in &HOP_BY_HOP {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    passed.remove("keep-alive");
-    passed
+    forwarded.remove("keep-alive");
+    forwarded
 }
 
-/// Sends a request. Whatever time it is given, dropping the future closes its connection: one on
-/// which anything was cut short is never used again.
+/// Sends a request within a time limit. Dropping the future closes the connection, so that a
+/// connection with an incomplete exchange is never reused.
 pub(crate) async fn send(
     client: &reqwest::Client,
     endpoint: &Endpoint,
     outgoing: &Outgoing,
-    hold: &Hold,
+    limits: &MemoryLimits,
     limit: Duration,
 ) -> Attempt {
-    match tokio::time::timeout(limit, exchange(client, endpoint, outgoing, hold)).await {
+    match tokio::time::timeout(limit, exchange(client, endpoint, outgoing, limits)).await {
         Ok(attempt) => attempt,
-        Err(_) => Attempt::Broken(format!(
-            "endpoint {}: no whole answer within {}",
+        Err(_) => Attempt::Unknown(format!(
+            "endpoint {}: no complete answer within {}",
             endpoint.address,
             humantime::format_duration(limit)
         )),
@@ -99,7 +99,7 @@
     client: &reqwest::Client,
     endpoint: &Endpoint,
     outgoing: &Outgoing,
-    hold: &Hold,
+    limits: &MemoryLimits,
 ) -> Attempt {
     let peer = &endpoint.address;
     let url = format!("http://{peer}{}", outgoing.path);
@@ -113,7 +113,7 @@
         Err(error) if error.is_connect() || error.is_builder() => {
             return Attempt::Unsent(format!("endpoint {peer}, connect: {}", chain(&error)));
         }
-        Err(error) => return Attempt::Broken(format!("endpoint {peer}, send: {}", chain(&error))),
+        Err(error) => return Attempt::Unknown(format!("endpoint {peer}, send: {}", chain(&error))),
     };
     let (status, headers) = (response.status(), response.headers().clone());
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
@@ -121,39 +121,44 @@
     if text(headers::OUTCOME) == Some("not-run") {
         return Attempt::Refused(busy);
     }
-    // Endpoints that echo the identifier are held to it; others need not.
+    // An endpoint need not echo the identifier, but a different one is an error.
     if text(headers::REQUEST_ID).is_some_and(|echoed| echoed != outgoing.request) {
-        return Attempt::Broken(format!("endpoint {peer}: answered another request"));
+        return Attempt::Unknown(format!("endpoint {peer}: answered another request"));
     }
-    let length = response.content_length().map_or(hold.most, |length| length as usize);
-    if hold.most < length {
+    let length =
+        response.content_length().map_or(limits.max_answer_bytes, |length| length as usize);
+    if limits.max_answer_bytes < length {
         return Attempt::TooLarge(length);
     }
-    // All of an answer's memory is taken at once, so that no two wait for each other's.
+    // All memory of an answer is reserved at once, so that no two answers deadlock.
     let count = u32::try_from(length).unwrap_or(u32::MAX);
-    let Ok(held) = hold.memory.clone().acquire_many_owned(count).await else {
-        return Attempt::Broken("the node is ending".to_owned());
+    let Ok(memory) = limits.memory.clone().acquire_many_owned(count).await else {
+        return Attempt::Unknown("the node is shutting down".to_owned());
     };
-    match read(response, length, hold.most).await {
-        Ok(body) => Attempt::Answered(Answer { status, headers, body, held, busy }),
-        Err(ReadError::TooLarge) => Attempt::TooLarge(hold.most),
-        Err(ReadError::Broken(cause)) => {
-            Attempt::Broken(format!("endpoint {peer}, answer: {cause}"))
+    match read_body(response, length, limits.max_answer_bytes).await {
+        Ok(body) => Attempt::Answered(Answer { status, headers, body, memory, busy }),
+        Err(ReadError::TooLarge) => Attempt::TooLarge(limits.max_answer_bytes),
+        Err(ReadError::Interrupted(cause)) => {
+            Attempt::Unknown(format!("endpoint {peer}, answer: {cause}"))
         }
     }
 }
 
 enum ReadError {
     TooLarge,
-    Broken(String),
+    Interrupted(String),
 }
 
-async fn read(response: reqwest::Response, length: usize, most: usize) -> Result<Bytes, ReadError> {
-    let mut body = BytesMut::with_capacity(if length < most { length } else { 0 });
+async fn read_body(
+    response: reqwest::Response,
+    length: usize,
+    max_bytes: usize,
+) -> Result<Bytes, ReadError> {
+    let mut body = BytesMut::with_capacity(if length < max_bytes { length } else { 0 });
     let mut chunks = response.bytes_stream();
     while let Some(chunk) = chunks.next().await {
-        let chunk = chunk.map_err(|error| ReadError::Broken(chain(&error)))?;
-        if most < body.len() + chunk.len() {
+        let chunk = chunk.map_err(|error| ReadError::Interrupted(chain(&error)))?;
+        if max_bytes < body.len() + chunk.len() {
             return Err(ReadError::TooLarge);
         }
         body.extend_from_slice(&chunk);
--- a/src/entry/gate.rs
+++ b/src/entry/gate.rs
@@ -1,5 +1,5 @@
-//! Admission: a bounded queue for each service, ordered by class and deadline; shares of the
-//! slots that less urgent classes leave free; and teams' rates.
+//! Admission: a bounded queue for each service, ordered by class and deadline; limits on the slots
+//! that less urgent classes may use; and the teams' rate limits.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,18 +21,18 @@
     },
 };
 
-/// The part of a service's slots that a class and those below it may have over all nodes, in
-/// hundredths. What is left keeps room for the more urgent ones.
-const CLASS_SHARE: [u32; 3] = [100, 90, 70];
-/// Weight of the newest request in the typical time.
-const NEWEST: f64 = 0.1;
+/// Percentage of a service's slots that a class and less urgent ones may use on all nodes together.
+/// The rest is reserved for more urgent classes.
+const CLASS_SHARE_PERCENT: [u32; 3] = [100, 90, 70];
+/// Weight of the newest request in the moving average of run times.
+const RUN_TIME_WEIGHT: f64 = 0.1;
 
 #[derive(Debug, Default)]
 struct State {
     waiting: BTreeMap<Waiting, oneshot::Sender<()>>,
     /// Requests in flight by class.
     busy: [u32; 3],
-    typical: Duration,
+    typical_run_time: Duration,
     retries: RetryBudget,
     number: u64,
 }
@@ -43,33 +43,33 @@
     state: Mutex<State>,
 }
 
-/// The gates of all services, and the rates of all teams.
+/// The gates of all services, and the rate limits of all teams.
 #[derive(Debug, Default)]
 pub(crate) struct Gates {
     gates: Mutex<HashMap<ServiceId, Arc<Gate>>>,
     teams: Mutex<HashMap<TeamId, Share>>,
 }
 
-/// What limits a class at a service now.
+/// Current inputs for the limit of a class at a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Bound {
-    /// Slots of all endpoints that the node knows.
+    /// Slots of all endpoints known to the node.
     pub(crate) slots: u32,
-    /// Requests of this class and below that other nodes have in flight.
+    /// Requests of this class and less urgent ones that other nodes have in flight.
     pub(crate) others: u32,
     pub(crate) nodes: u32,
 }
 
 impl Bound {
-    /// Requests of a class and below that this node may have in flight.
+    /// Maximum number of requests of a class and less urgent ones in flight from this node.
     fn allowed(self, class: Class) -> u32 {
-        let all = self.slots * CLASS_SHARE[class as usize] / 100;
-        // Never less than an equal part, so that nobody is shut out by others' counts.
+        let all = self.slots * CLASS_SHARE_PERCENT[class as usize] / 100;
+        // At least an equal part, so that the counts of other nodes never starve this one.
         all.saturating_sub(self.others).max(all / self.nodes.max(1)).max(1)
     }
 }
 
-/// A request in flight; counted until it is dropped.
+/// A request in flight, counted until it is dropped.
 pub(crate) struct InFlight {
     gate: Arc<Gate>,
     class: Class,
@@ -84,45 +84,45 @@
     }
 }
 
-/// A place in the queue, left when it is dropped.
-pub(crate) struct Place {
+/// A place in the queue, released when it is dropped.
+pub(crate) struct QueuePlace {
     gate: Arc<Gate>,
     place: Waiting,
-    turn: oneshot::Receiver<()>,
+    wakeup: oneshot::Receiver<()>,
 }
 
-impl Place {
-    /// Waits for the request's turn to look again; false if a more urgent one took its place.
-    pub(crate) async fn turn(&mut self) -> bool {
-        (&mut self.turn).await.is_ok()
+impl QueuePlace {
+    /// Waits until the request may try again. Returns false if a more urgent one took its place.
+    pub(crate) async fn wait_turn(&mut self) -> bool {
+        (&mut self.wakeup).await.is_ok()
     }
 
-    /// The order of arrival, by which a request keeps its place when it must wait again.
+    /// The sequence number of arrival, which keeps the place of a request that must wait again.
     pub(crate) fn number(&self) -> u64 {
         self.place.number
     }
 }
 
-impl Drop for Place {
+impl Drop for QueuePlace {
     fn drop(&mut self) {
         self.gate.lock().waiting.remove(&self.place);
     }
 }
 
-/// Why a request may not wait.
+/// Why a request cannot be queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Full {
-    /// The queue is as long as it may be.
-    Queue(Duration),
-    /// It could not be answered before its deadline.
+pub(crate) enum QueueError {
+    /// The queue is full.
+    Full(Duration),
+    /// The expected wait exceeds its deadline.
     Deadline(Duration),
 }
 
-impl Full {
-    /// When to come back.
+impl QueueError {
+    /// Time after which the caller may retry.
     pub(crate) fn retry_after(self) -> Duration {
         match self {
-            Full::Queue(after) | Full::Deadline(after) => after,
+            QueueError::Full(after) | QueueError::Deadline(after) => after,
         }
     }
 }
@@ -130,7 +130,7 @@
 impl State {
     fn wake_first(&mut self) {
         while let Some((_, sender)) = self.waiting.pop_first() {
-            // One that has given up meanwhile is passed over.
+            // A request that no longer waits is skipped.
             if sender.send(()).is_ok() {
                 return;
             }
@@ -143,8 +143,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a request in flight, if its class may have one more.
-    pub(crate) fn enter(self: &Arc<Gate>, class: Class, bound: Bound) -> Option<InFlight> {
+    /// Counts a request as in flight if the limit of its class allows it.
+    pub(crate) fn try_enter(self: &Arc<Gate>, class: Class, bound: Bound) -> Option<InFlight> {
         let mut state = self.lock();
         let busy: u32 = state.busy[class as usize..].iter().sum();
         if bound.allowed(class) <= busy {
@@ -154,42 +154,42 @@
         Some(InFlight { gate: self.clone(), class })
     }
 
-    /// Joins the queue; the receiver hears when it is this request's turn to look again. With
-    /// `again`, a request that has waited before keeps its place.
+    /// Adds a request to the queue. With `earlier_number`, a request that has waited before keeps
+    /// its place.
     pub(crate) fn wait(
         self: &Arc<Gate>,
         class: Class,
         deadline: Time,
-        most: usize,
+        max_waiting: usize,
         slots: u32,
-        again: Option<u64>,
+        earlier_number: Option<u64>,
         now: Time,
-    ) -> Result<Place, Full> {
+    ) -> Result<QueuePlace, QueueError> {
         let mut state = self.lock();
-        let number = again.unwrap_or_else(|| {
+        let number = earlier_number.unwrap_or_else(|| {
             state.number += 1;
             state.number
         });
         let place = Waiting { class, deadline, number };
         let ahead = state.waiting.range(..place).count();
-        let wait = route::expected_wait(ahead, slots, state.typical);
-        if most <= state.waiting.len() && again.is_none() {
+        let wait = route::expected_wait(ahead, slots, state.typical_run_time);
+        if max_waiting <= state.waiting.len() && earlier_number.is_none() {
             // A more urgent request takes the place of the least urgent one.
             let last = state.waiting.last_key_value().map(|(place, _)| *place);
             match last.filter(|last| place < *last) {
                 Some(last) => drop(state.waiting.remove(&last)),
-                None => return Err(Full::Queue(wait)),
+                None => return Err(QueueError::Full(wait)),
             }
         }
         if deadline.since(now) < wait {
-            return Err(Full::Deadline(wait));
+            return Err(QueueError::Deadline(wait));
         }
-        let (sender, turn) = oneshot::channel();
+        let (sender, wakeup) = oneshot::channel();
         state.waiting.insert(place, sender);
-        Ok(Place { gate: self.clone(), place, turn })
+        Ok(QueuePlace { gate: self.clone(), place, wakeup })
     }
 
-    /// Has as many as may find a place look again, after endpoints have come.
+    /// Wakes up to `count` waiting requests, after endpoints have become available.
     pub(crate) fn wake(&self, count: usize) {
         let mut state = self.lock();
         for _ in 0..count {
@@ -197,21 +197,22 @@
         }
     }
 
-    /// Notes how long a request ran.
-    pub(crate) fn ran(&self, took: Duration) {
+    /// Records the run time of a request.
+    pub(crate) fn record_run(&self, run_time: Duration) {
         let mut state = self.lock();
-        state.typical = state.typical.mul_f64(1.0 - NEWEST) + took.mul_f64(NEWEST);
+        state.typical_run_time = state.typical_run_time.mul_f64(1.0 - RUN_TIME_WEIGHT)
+            + run_time.mul_f64(RUN_TIME_WEIGHT);
         state.retries.earn();
     }
 
-    /// Takes one retry of the service's budget.
+    /// Takes one retry from the service's retry budget.
     pub(crate) fn may_retry(&self) -> bool {
         self.lock().retries.take()
     }
 
-    /// How long a request typically runs.
-    pub(crate) fn typical(&self) -> Duration {
-        self.lock().typical
+    /// Moving average of the run times of requests.
+    pub(crate) fn typical_run_time(&self) -> Duration {
+        self.lock().typical_run_time
     }
 }
 
@@ -225,20 +226,20 @@
         gates.entry(service.clone()).or_default().clone()
     }
 
-    /// Requests in flight by service and class; services without any are left out.
+    /// Requests in flight by service and class. Services without any are omitted.
     pub(crate) fn busy(&self) -> Vec<(ServiceId, [u32; 3])> {
         let gates = self.gates.lock().unwrap_or_else(PoisonError::into_inner);
         let busy = gates.iter().map(|(id, gate)| (id.clone(), gate.lock().busy));
         busy.filter(|(_, counts)| *counts != [0; 3]).collect()
     }
 
-    /// Has waiting requests of every service look again.
+    /// Wakes up to `count` waiting requests of every service.
     pub(crate) fn wake_all(&self, count: usize) {
         let gates = self.gates.lock().unwrap_or_else(PoisonError::into_inner);
         gates.values().for_each(|gate| gate.wake(count));
     }
 
-    /// Lets a team's request through, or tells when to come back.
+    /// Admits a request of a team, or returns the time after which it may be retried.
     pub(crate) fn admit(
         &self,
         team: &TeamId,
@@ -253,7 +254,7 @@
         share.take(f64::from(rate.0), others, 0.0, now)
     }
 
-    /// Requests a second that this node was lately asked for, by team.
+    /// This node's recent demand in requests per second, by team.
     pub(crate) fn demand(&self, now: Time) -> Vec<(TeamId, u32)> {
         let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
         let rates = teams.iter_mut().map(|(team, share)| (team.clone(), share.demand(now)));
--- a/src/entry/headers.rs
+++ b/src/entry/headers.rs
@@ -1,5 +1,5 @@
-//! The headers that callers and endpoints exchange with nodes. Published names are used where
-//! there are any.
+//! The headers that callers and endpoints exchange with nodes. Standard names are used where they
+//! exist.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 pub(crate) const DEADLINE: &str = "caperhollow-deadline-ms";
 /// `no` marks a request as not repeatable.
 pub(crate) const REPEATABLE: &str = "caperhollow-repeatable";
-/// What became of the request.
+/// Outcome of the request: ran, not-run or unknown.
 pub(crate) const OUTCOME: &str = "caperhollow-outcome";
 /// The node that answered.
 pub(crate) const NODE: &str = "caperhollow-node";
@@ -26,17 +26,16 @@
 pub(crate) const BUSY: &str = "caperhollow-busy";
 /// The request's identifier, echoed by endpoints and nodes.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
-/// The caller's key of a request that is not repeatable, as in the IETF draft of that name.
+/// The caller's key of a request that is not repeatable, as in the IETF draft for this header.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Longest key or request identifier that is accepted, in bytes.
-const MOST_KEY: usize = 200;
-/// The longest deadline.
-const LONGEST: u64 = 3_600_000;
+/// Maximum length of a key or request identifier.
+const MAX_KEY_BYTES: usize = 200;
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// What a caller asks of a node besides its request.
+/// Options of a request, from its headers.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Wishes {
+pub(crate) struct RequestOptions {
     pub(crate) team: TeamId,
     pub(crate) class: Option<Class>,
     pub(crate) deadline: Option<Duration>,
@@ -46,8 +45,8 @@
     pub(crate) once: bool,
 }
 
-/// Reads the headers; or tells which one is wrong, and what is allowed.
-pub(crate) fn read(headers: &HeaderMap) -> Result<Wishes, String> {
+/// Reads the headers. The error names the invalid one and the allowed values.
+pub(crate) fn read(headers: &HeaderMap) -> Result<RequestOptions, String> {
     let text = |name: &str| match headers.get(name) {
         None => Ok(None),
         Some(value) => match value.to_str() {
@@ -67,25 +66,27 @@
             return Err(format!("header {REPEATABLE}: `{other}`: yes or no are allowed"));
         }
     };
-    let key = text(IDEMPOTENCY_KEY)?.map(|key| bounded(IDEMPOTENCY_KEY, key)).transpose()?;
+    let key = text(IDEMPOTENCY_KEY)?.map(|key| check_length(IDEMPOTENCY_KEY, key)).transpose()?;
     let request = match text(REQUEST_ID)? {
-        Some(id) => bounded(REQUEST_ID, id)?,
+        Some(id) => check_length(REQUEST_ID, id)?,
         None => OpId::fresh().to_string(),
     };
-    Ok(Wishes { team, class, deadline, request, key, once })
+    Ok(RequestOptions { team, class, deadline, request, key, once })
 }
 
 fn deadline(text: &str) -> Result<Duration, String> {
-    let millis = text.parse().ok().filter(|millis| (1..=LONGEST).contains(millis));
+    let millis = text.parse().ok().filter(|millis| (1..=MAX_DEADLINE_MS).contains(millis));
     let millis = millis.ok_or_else(|| {
-        format!("header {DEADLINE}: `{text}`: a whole number from 1 to {LONGEST} is allowed")
+        format!(
+            "header {DEADLINE}: `{text}`: a whole number from 1 to {MAX_DEADLINE_MS} is allowed"
+        )
     })?;
     Ok(Duration::from_millis(millis))
 }
 
-fn bounded(name: &str, text: &str) -> Result<String, String> {
-    if text.is_empty() || MOST_KEY < text.len() {
-        return Err(format!("header {name}: 1 to {MOST_KEY} characters are allowed"));
+fn check_length(name: &str, text: &str) -> Result<String, String> {
+    if text.is_empty() || MAX_KEY_BYTES < text.len() {
+        return Err(format!("header {name}: 1 to {MAX_KEY_BYTES} characters are allowed"));
     }
     Ok(text.to_owned())
 }
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -1,5 +1,5 @@
-//! Claims of requests that are not repeatable, through the store. Claims of one bucket share
-//! writes: while one is under way, those that come wait for the next.
+//! Claims of requests that are not repeatable, through the store. Changes of one bucket share
+//! writes: those that arrive during a write are batched into the next one.
 
 use std::{
     sync::{
@@ -24,20 +24,21 @@
     settings::node::Claims,
 };
 
-/// Wishes that share one write.
-const BATCH: usize = 512;
-/// Wishes that wait for a bucket's writer.
-const WAITING: usize = 4096;
-/// How long the ends of requests wait for claims to share a write with.
+/// Maximum number of changes in one write.
+const MAX_BATCH: usize = 512;
+/// Maximum number of changes that wait for a bucket's writer.
+const QUEUE_LEN: usize = 4096;
+/// How long results of requests wait for a claim to share a write with.
 const END_WAIT: Duration = Duration::from_secs(3);
-/// Times that a write is tried anew because others wrote first.
-const CONFLICTS: usize = 20;
-/// Wait before ends are tried again when the store does not take them.
-const END_AGAIN: Duration = Duration::from_secs(1);
-/// Ends that are kept while the store is down; older ones stay unknown.
-const ENDS_KEPT: usize = 10_000;
+/// Maximum number of attempts of a write that conflicts with writes of other nodes.
+const MAX_CONFLICTS: usize = 20;
+/// Delay before results are written again after the store has failed.
+const END_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of results that are buffered while the store is down. The oldest are dropped, and
+/// their claims remain unresolved.
+const MAX_PENDING_ENDS: usize = 10_000;
 
-/// Why a claim was not granted.
+/// Why a key could not be claimed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum ClaimError {
     #[error("the key is claimed already")]
@@ -48,15 +49,15 @@
     Store(String),
 }
 
-struct Asked {
-    wish: Wish,
-    answer: Option<oneshot::Sender<Result<(), ClaimError>>>,
+struct PendingChange {
+    change: Wish,
+    reply: Option<oneshot::Sender<Result<(), ClaimError>>>,
 }
 
-/// The way to the writers of all buckets.
-pub(crate) struct Once {
-    writers: Vec<mpsc::Sender<Asked>>,
-    /// Ends that are not written yet.
+/// Queues of the writers of all buckets.
+pub(crate) struct ClaimWriters {
+    writers: Vec<mpsc::Sender<PendingChange>>,
+    /// Number of results that are not written yet.
     pending: Arc<AtomicUsize>,
 }
 
@@ -65,17 +66,17 @@
     node: NodeId,
     key: String,
     settings: Claims,
-    /// What a refused write found.
+    /// The bucket that a conflicting write found.
     known: Option<(Revision, Bucket)>,
     pending: Arc<AtomicUsize>,
 }
 
-impl Once {
+impl ClaimWriters {
     /// Starts a writer for each bucket.
-    pub(crate) fn start(store: &Store, node: &NodeId, settings: &Claims) -> Once {
+    pub(crate) fn start(store: &Store, node: &NodeId, settings: &Claims) -> ClaimWriters {
         let pending = Arc::new(AtomicUsize::new(0));
         let writers = (0..settings.buckets).map(|number| {
-            let (sender, receiver) = mpsc::channel(WAITING);
+            let (sender, receiver) = mpsc::channel(QUEUE_LEN);
             let writer = Writer {
                 store: store.clone(),
                 node: node.clone(),
@@ -87,88 +88,91 @@
             tokio::spawn(writer.run(receiver));
             sender
         });
-        Once { writers: writers.collect(), pending }
+        ClaimWriters { writers: writers.collect(), pending }
     }
 
-    /// Claims a key. Only an `Ok` allows the request to be sent, and only once.
+    /// Claims a key. The request may be sent only after an `Ok`, and only once.
     pub(crate) async fn claim(
         &self,
         team: &TeamId,
         key: &str,
         op: &OpId,
     ) -> Result<(), ClaimError> {
-        let name = name(team, key);
+        let name = claim_name(team, key);
         let (sender, receiver) = oneshot::channel();
-        let wish = Wish::Claim { key: name.clone(), op: op.clone() };
-        let asked = Asked { wish, answer: Some(sender) };
-        self.writer(&name).try_send(asked).map_err(|_| ClaimError::Full)?;
-        receiver.await.unwrap_or(Err(ClaimError::Store("the node is ending".to_owned())))
+        let change = Wish::Claim { key: name.clone(), op: op.clone() };
+        let pending_change = PendingChange { change, reply: Some(sender) };
+        self.writer(&name).try_send(pending_change).map_err(|_| ClaimError::Full)?;
+        receiver.await.unwrap_or(Err(ClaimError::Store("the node is shutting down".to_owned())))
     }
 
-    /// Notes how a claimed request ended; written when the store takes it.
-    pub(crate) fn end(&self, team: &TeamId, key: &str, op: &OpId, state: ClaimState) {
-        let name = name(team, key);
-        let wish = Wish::End { key: name.clone(), op: op.clone(), state };
+    /// Records the result of a claimed request. It is written in the background.
+    pub(crate) fn record_end(&self, team: &TeamId, key: &str, op: &OpId, state: ClaimState) {
+        let name = claim_name(team, key);
+        let change = Wish::End { key: name.clone(), op: op.clone(), state };
         self.pending.fetch_add(1, Ordering::AcqRel);
-        if self.writer(&name).try_send(Asked { wish, answer: None }).is_err() {
+        if self.writer(&name).try_send(PendingChange { change, reply: None }).is_err() {
             self.pending.fetch_sub(1, Ordering::AcqRel);
-            log::warn!("request key {key} of team {team}: its end was not noted");
+            log::warn!("request key {key} of team {team}: its result was not recorded");
         }
     }
 
-    /// Whether every end that was noted has been written.
-    pub(crate) fn is_settled(&self) -> bool {
+    /// Whether every recorded result has been written.
+    pub(crate) fn is_flushed(&self) -> bool {
         self.pending.load(Ordering::Acquire) == 0
     }
 
-    fn writer(&self, name: &str) -> &mpsc::Sender<Asked> {
+    fn writer(&self, name: &str) -> &mpsc::Sender<PendingChange> {
         let at = xxh3_64(name.as_bytes()) % self.writers.len() as u64;
         &self.writers[at as usize]
     }
 }
 
-/// A key is its team's own.
-fn name(team: &TeamId, key: &str) -> String {
+/// The name of a claim: keys of different teams are independent.
+fn claim_name(team: &TeamId, key: &str) -> String {
     format!("{team}/{key}")
 }
 
 impl Writer {
-    async fn run(mut self, mut asked: mpsc::Receiver<Asked>) {
+    async fn run(mut self, mut changes: mpsc::Receiver<PendingChange>) {
         let mut ends: Vec<Wish> = Vec::new();
         loop {
-            let Some(batch) = gather(&mut asked, &ends).await else {
+            let Some(batch) = next_batch(&mut changes, &ends).await else {
                 return;
             };
             let mut claims = Vec::new();
             for one in batch {
-                match one.answer {
-                    Some(answer) => claims.push((one.wish, answer)),
-                    None => ends.push(one.wish),
+                match one.reply {
+                    Some(reply) => claims.push((one.change, reply)),
+                    None => ends.push(one.change),
                 }
             }
-            let wishes: Vec<Wish> =
-                claims.iter().map(|(wish, _)| wish.clone()).chain(ends.iter().cloned()).collect();
-            if wishes.is_empty() {
+            let batch_changes: Vec<Wish> = claims
+                .iter()
+                .map(|(change, _)| change.clone())
+                .chain(ends.iter().cloned())
+                .collect();
+            if batch_changes.is_empty() {
                 continue;
             }
-            match self.write(&wishes).await {
+            match self.write(&batch_changes).await {
                 Ok(granted) => {
                     self.pending.fetch_sub(ends.len(), Ordering::AcqRel);
                     ends.clear();
-                    for ((_, answer), granted) in claims.into_iter().zip(granted) {
-                        let _ = answer.send(told(granted));
+                    for ((_, reply), granted) in claims.into_iter().zip(granted) {
+                        let _ = reply.send(claim_result(granted));
                     }
                 }
                 Err(error) => {
                     self.known = None;
                     let error = ClaimError::Store(error.to_string());
-                    for (wish, answer) in claims {
-                        // The write may have taken effect: give the key back when the store can.
-                        ends.extend(released(wish));
+                    for (change, reply) in claims {
+                        // The write may have taken effect: release the key later.
+                        ends.extend(release_change(change));
                         self.pending.fetch_add(1, Ordering::AcqRel);
-                        let _ = answer.send(Err(error.clone()));
+                        let _ = reply.send(Err(error.clone()));
                     }
-                    let surplus = ends.len().saturating_sub(ENDS_KEPT);
+                    let surplus = ends.len().saturating_sub(MAX_PENDING_ENDS);
                     ends.drain(..surplus);
                     self.pending.fetch_sub(surplus, Ordering::AcqRel);
                 }
@@ -176,29 +180,29 @@
         }
     }
 
-    async fn write(&mut self, wishes: &[Wish]) -> Result<Vec<Granted>, StoreError> {
-        for _ in 0..CONFLICTS {
-            // Other nodes write here too, and a read costs the store less than a lost write.
+    async fn write(&mut self, batch_changes: &[Wish]) -> Result<Vec<Granted>, StoreError> {
+        for _ in 0..MAX_CONFLICTS {
+            // Other nodes write here too, and a read costs the store less than a conflicting write.
             let (revision, bucket) = match self.known.take() {
                 Some(known) => known,
                 None => read_bucket(self.store.get(&self.key).await?),
             };
-            let keep = self.settings.keep;
-            let (mut next, granted) = claim::decide(&bucket, wishes, &self.node, keep, Time::now());
+            let limits = self.settings.keep;
+            let (mut next, granted) =
+                claim::decide(&bucket, batch_changes, &self.node, limits, Time::now());
             if granted.iter().all(|granted| *granted != Granted::Yes) {
                 return Ok(granted);
             }
             next.op = Some(OpId::fresh());
-            let value: Bytes = serde_json::to_vec(&next)
-                .expect("buckets hold no value that JSON cannot write")
-                .into();
+            let value: Bytes =
+                serde_json::to_vec(&next).expect("a bucket can be serialized to JSON").into();
             match self.store.swap_surely(&self.key, revision, Vec::new(), value).await? {
                 Swap::Done(_) => return Ok(granted),
                 Swap::Conflict(entry) => self.known = Some(read_bucket(entry)),
             }
         }
         let (step, peer) = ("claim", "store".to_owned());
-        let cause = format!("others wrote first {CONFLICTS} times");
+        let cause = format!("conflicted with writes of other nodes {MAX_CONFLICTS} times");
         Err(StoreError::Unreached { step, peer, cause })
     }
 }
@@ -211,41 +215,45 @@
     match bucket {
         Some(Ok(bucket)) => (entry.revision, bucket),
         Some(Err(error)) => {
-            // Written by no version that this one knows: its claims cannot be told, so none may
-            // be granted. No write is ever accepted at this revision.
-            log::error!("claims {}: not understood: {error}", entry.key);
+            // Written by an unsupported version: its claims are unreadable, so no claim may be
+            // granted. The store never accepts a write at this revision.
+            log::error!("claims {}: cannot be parsed: {error}", entry.key);
             (Revision(u64::MAX), Bucket::default())
         }
         None => (entry.revision, Bucket::default()),
     }
 }
 
-/// Waits for wishes, and takes all that are there. Ends alone wait a little for claims.
-async fn gather(asked: &mut mpsc::Receiver<Asked>, ends: &[Wish]) -> Option<Vec<Asked>> {
+/// Waits for changes, and takes all that are queued. Results without a claim wait up to `END_WAIT`
+/// for one.
+async fn next_batch(
+    changes: &mut mpsc::Receiver<PendingChange>,
+    ends: &[Wish],
+) -> Option<Vec<PendingChange>> {
     let mut batch = Vec::new();
     if ends.is_empty() {
-        batch.push(asked.recv().await?);
-    } else if let Ok(one) = tokio::time::timeout(END_AGAIN, asked.recv()).await {
+        batch.push(changes.recv().await?);
+    } else if let Ok(one) = tokio::time::timeout(END_RETRY_DELAY, changes.recv()).await {
         batch.push(one?);
     }
-    if batch.iter().all(|one| one.answer.is_none()) {
+    if batch.iter().all(|one| one.reply.is_none()) {
         let until = tokio::time::Instant::now() + END_WAIT;
-        while let Ok(Some(one)) = tokio::time::timeout_at(until, asked.recv()).await {
-            let is_claim = one.answer.is_some();
+        while let Ok(Some(one)) = tokio::time::timeout_at(until, changes.recv()).await {
+            let is_claim = one.reply.is_some();
             batch.push(one);
             if is_claim {
                 break;
             }
         }
     }
-    while batch.len() < BATCH {
-        let Ok(one) = asked.try_recv() else { break };
+    while batch.len() < MAX_BATCH {
+        let Ok(one) = changes.try_recv() else { break };
         batch.push(one);
     }
     Some(batch)
 }
 
-fn told(granted: Granted) -> Result<(), ClaimError> {
+fn claim_result(granted: Granted) -> Result<(), ClaimError> {
     match granted {
         Granted::Yes => Ok(()),
         Granted::Held(claim) => Err(ClaimError::Held(claim)),
@@ -253,8 +261,8 @@
     }
 }
 
-fn released(wish: Wish) -> Option<Wish> {
-    match wish {
+fn release_change(change: Wish) -> Option<Wish> {
+    match change {
         Wish::Claim { key, op } => Some(Wish::End { key, op, state: ClaimState::Released }),
         Wish::End { .. } => None,
     }
--- a/src/entry/routes.rs
+++ b/src/entry/routes.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a node sends requests to, and what it has in flight at each.
+//! The endpoints that a node sends requests to, and its requests in flight at each.
 
 use std::{
     collections::HashMap,
@@ -22,16 +22,16 @@
     },
 };
 
-/// Endpoints of a service that one node uses at the most. With many nodes the connections of an
-/// endpoint would not go round; each node takes its own, spread by rendezvous hashing.
-const MOST_ENDPOINTS: usize = 64;
+/// Maximum number of endpoints of a service that one node uses. With many nodes, an endpoint does
+/// not allow connections from all of them; each node uses a subset, spread by rendezvous hashing.
+const MAX_ENDPOINTS: usize = 64;
 
-/// What is remembered of an endpoint between answers.
+/// Load and failures of an endpoint, as of its last answers.
 #[derive(Debug, Clone, Copy, Default)]
-struct Memory {
-    said: u32,
-    said_at: Time,
-    rest_until: Time,
+struct EndpointState {
+    reported: u32,
+    reported_at: Time,
+    backoff_until: Time,
     failures: u32,
 }
 
@@ -43,10 +43,10 @@
     slots: u32,
     share: AtomicU32,
     own: AtomicU32,
-    memory: Mutex<Memory>,
+    state: Mutex<EndpointState>,
 }
 
-/// A request's place at an endpoint, given back when it is dropped.
+/// A request's slot at an endpoint, released when it is dropped.
 pub(crate) struct Slot {
     pub(crate) endpoint: Arc<Endpoint>,
 }
@@ -58,43 +58,43 @@
 }
 
 impl Endpoint {
-    fn memory(&self) -> MutexGuard<'_, Memory> {
-        self.memory.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, EndpointState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn load(&self) -> Load {
-        let memory = *self.memory();
+        let state = *self.state();
         Load {
             own: self.own.load(Ordering::Acquire),
-            said: memory.said,
-            said_at: memory.said_at,
+            said: state.reported,
+            said_at: state.reported_at,
             slots: self.slots,
             share: self.share.load(Ordering::Acquire),
-            rest_until: memory.rest_until,
+            rest_until: state.backoff_until,
         }
     }
 
-    /// Notes an answer, with the load that the endpoint told in it.
-    pub(crate) fn succeeded(&self, busy: Option<u32>, now: Time) {
-        let mut memory = self.memory();
-        memory.failures = 0;
-        memory.rest_until = Time::default();
+    /// Records an answer, with the load that the endpoint reported in it.
+    pub(crate) fn record_success(&self, busy: Option<u32>, now: Time) {
+        let mut state = self.state();
+        state.failures = 0;
+        state.backoff_until = Time::default();
         if let Some(busy) = busy {
-            (memory.said, memory.said_at) = (busy, now);
+            (state.reported, state.reported_at) = (busy, now);
         }
     }
 
-    /// Notes a refusal: the endpoint is full, or takes nothing now.
-    pub(crate) fn refused(&self, busy: Option<u32>, now: Time) {
-        let mut memory = self.memory();
-        (memory.said, memory.said_at) = (busy.unwrap_or(self.slots).max(self.slots), now);
+    /// Records a refusal: the endpoint is full, or accepts no requests now.
+    pub(crate) fn record_refusal(&self, busy: Option<u32>, now: Time) {
+        let mut state = self.state();
+        (state.reported, state.reported_at) = (busy.unwrap_or(self.slots).max(self.slots), now);
     }
 
-    /// Notes a failure: the endpoint is left alone for a while, longer each time.
-    pub(crate) fn failed(&self, now: Time) {
-        let mut memory = self.memory();
-        memory.failures += 1;
-        memory.rest_until = now + route::rest(memory.failures);
+    /// Records a failure, and starts a backoff that grows with consecutive failures.
+    pub(crate) fn record_failure(&self, now: Time) {
+        let mut state = self.state();
+        state.failures += 1;
+        state.backoff_until = now + route::rest(state.failures);
     }
 }
 
@@ -112,17 +112,17 @@
 }
 
 impl Routes {
-    /// Works out the endpoints anew. An endpoint that stays keeps what is known of it.
+    /// Recomputes the endpoints. An endpoint that remains keeps its state.
     pub(crate) fn rebuild(&self, fleet: &Fleet, node: &str, now: Time, rules: &Rules) {
         let mut table = self.table.write().unwrap_or_else(PoisonError::into_inner);
         let nodes = fleet.nodes.len();
         table.by_address.retain(|_, endpoint| endpoint.own.load(Ordering::Acquire) != 0);
-        let kept: HashMap<_, _> =
-            table.by_service.values().flat_map(|list| list.iter()).map(key_of).collect();
+        let previous: HashMap<_, _> =
+            table.by_service.values().flat_map(|list| list.iter()).map(with_address).collect();
         table.by_service.clear();
         for (id, service) in &fleet.config.services {
-            let mut list = endpoints(fleet, id, service, &kept, nodes, now, rules);
-            subset(&mut list, node);
+            let mut list = endpoints(fleet, id, service, &previous, nodes, now, rules);
+            limit_endpoints(&mut list, node);
             for endpoint in &list {
                 table.by_address.insert(endpoint.address.clone(), endpoint.clone());
             }
@@ -144,8 +144,12 @@
     }
 }
 
-/// Takes a place at the best endpoint that was not tried yet.
-pub(crate) fn take(endpoints: &[Arc<Endpoint>], tried: &[String], now: Time) -> Option<Slot> {
+/// Takes a slot at the best endpoint that was not tried yet.
+pub(crate) fn acquire_slot(
+    endpoints: &[Arc<Endpoint>],
+    tried: &[String],
+    now: Time,
+) -> Option<Slot> {
     let loads: Vec<Load> = endpoints.iter().map(|endpoint| endpoint.load()).collect();
     let tried: Vec<usize> =
         (0..endpoints.len()).filter(|at| tried.contains(&endpoints[*at].address)).collect();
@@ -156,14 +160,15 @@
     Some(Slot { endpoint })
 }
 
-/// Requests that the node may have in flight at a service, and what its endpoints run together.
+/// Maximum number of requests of this node in flight at a service, and the slots of all its
+/// endpoints.
 pub(crate) fn capacity(endpoints: &[Arc<Endpoint>]) -> (u32, u32) {
     let shares = endpoints.iter().map(|e| e.share.load(Ordering::Acquire)).sum();
     let slots = endpoints.iter().map(|e| e.slots).sum();
     (shares, slots)
 }
 
-fn key_of(endpoint: &Arc<Endpoint>) -> (String, Arc<Endpoint>) {
+fn with_address(endpoint: &Arc<Endpoint>) -> (String, Arc<Endpoint>) {
     (endpoint.address.clone(), endpoint.clone())
 }
 
@@ -171,7 +176,7 @@
     fleet: &Fleet,
     id: &ServiceId,
     service: &Service,
-    kept: &HashMap<String, Arc<Endpoint>>,
+    previous: &HashMap<String, Arc<Endpoint>>,
     nodes: usize,
     now: Time,
     rules: &Rules,
@@ -187,12 +192,12 @@
             continue;
         };
         let serving = fleet.hosts.get(&assigned.host).is_some_and(|h| h.state.serves());
-        // A list that cannot be read takes no endpoint away: requests go on.
+        // While the list of hosts cannot be read, no endpoint is removed: requests continue.
         let dead = fleet.is_dead(&assigned.host, now, rules.list_limit);
         if !serving || dead {
             continue;
         }
-        let known = kept
+        let known = previous
             .get(&report.address)
             .filter(|endpoint| endpoint.host == assigned.host && endpoint.slots == service.slots);
         let endpoint = known.cloned().unwrap_or_else(|| {
@@ -202,7 +207,7 @@
                 slots: service.slots,
                 share: AtomicU32::new(share),
                 own: AtomicU32::new(0),
-                memory: Mutex::default(),
+                state: Mutex::default(),
             })
         });
         endpoint.share.store(share, Ordering::Release);
@@ -211,12 +216,12 @@
     list
 }
 
-fn subset(list: &mut Vec<Arc<Endpoint>>, node: &str) {
-    if list.len() <= MOST_ENDPOINTS {
+fn limit_endpoints(list: &mut Vec<Arc<Endpoint>>, node: &str) {
+    if list.len() <= MAX_ENDPOINTS {
         return;
     }
     let addresses: Vec<String> = list.iter().map(|endpoint| endpoint.address.clone()).collect();
     let members = addresses.iter().map(String::as_str);
-    let chosen = rendezvous::first(members, node, MOST_ENDPOINTS);
+    let chosen = rendezvous::first(members, node, MAX_ENDPOINTS);
     list.retain(|endpoint| chosen.contains(&endpoint.address.as_str()));
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! Serves callers: reads a request, admits it, has it run at an endpoint and gives the one final
+//! Serves callers: reads a request, admits it, sends it to an endpoint and returns one final
 //! answer, with the outcome in a header.
 
 use std::{sync::Arc, time::Duration};
@@ -17,9 +17,9 @@
         share::Others,
     },
     entry::{
-        forward::{self, Answer, Attempt, Hold, Outgoing},
+        forward::{self, Answer, Attempt, MemoryLimits, Outgoing},
         gate::{Bound, Gate, InFlight},
-        headers::{self, Wishes},
+        headers::{self, RequestOptions},
         once::ClaimError,
         routes::{self, Slot},
     },
@@ -33,88 +33,89 @@
     node::Node,
 };
 
-/// Times that a request is sent at the most.
-const ATTEMPTS: usize = 4;
-/// Rounds of waiting after every endpoint has refused.
-const ROUNDS: usize = 3;
-/// When to come back after a refusal for which no better time is known.
-const COME_BACK: Duration = Duration::from_secs(1);
+/// Maximum number of times that a request is sent.
+const MAX_ATTEMPTS: usize = 4;
+/// Maximum number of rounds in which every endpoint refuses a request.
+const MAX_ROUNDS: usize = 3;
+/// Retry time given to callers when no better estimate is available.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What callers are served with.
+/// The server for callers.
 #[derive(Clone)]
 pub(crate) struct Entry {
     pub(crate) node: Arc<Node>,
     /// For requests to endpoints.
     pub(crate) client: reqwest::Client,
-    pub(crate) hold: Hold,
+    pub(crate) memory_limits: MemoryLimits,
 }
 
-/// A refusal or failure, as it is told to the caller.
-struct Told {
+/// A refusal or failure, as it is reported to the caller.
+struct Failure {
     status: StatusCode,
     outcome: Outcome,
     text: String,
     retry_after: Option<Duration>,
 }
 
-impl Told {
-    fn refusal(status: StatusCode, text: impl Into<String>) -> Told {
-        Told { status, outcome: Outcome::NotRun, text: text.into(), retry_after: None }
+impl Failure {
+    fn rejected(status: StatusCode, text: impl Into<String>) -> Failure {
+        Failure { status, outcome: Outcome::NotRun, text: text.into(), retry_after: None }
     }
 
-    fn later(text: impl Into<String>, after: Duration) -> Told {
+    fn unavailable(text: impl Into<String>, after: Duration) -> Failure {
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Told { status, outcome: Outcome::NotRun, text: text.into(), retry_after: Some(after) }
+        Failure { status, outcome: Outcome::NotRun, text: text.into(), retry_after: Some(after) }
     }
 
-    fn unknown(text: impl Into<String>) -> Told {
+    fn unknown(text: impl Into<String>) -> Failure {
         let status = StatusCode::BAD_GATEWAY;
-        Told { status, outcome: Outcome::Unknown, text: text.into(), retry_after: None }
+        Failure { status, outcome: Outcome::Unknown, text: text.into(), retry_after: None }
     }
 }
 
 /// A request that has been read and admitted.
-struct Job {
+struct AdmittedRequest {
     service: ServiceId,
     class: Class,
     deadline: Time,
     outgoing: Outgoing,
-    wishes: Wishes,
-    /// Whether it may be sent again although it may have run.
+    options: RequestOptions,
+    /// Whether it may be sent again after it may have run.
     repeatable: bool,
     once: bool,
-    /// The memory that its body is counted against.
-    _held: OwnedSemaphorePermit,
+    /// The memory reserved for its body.
+    _memory: OwnedSemaphorePermit,
 }
 
 impl Entry {
-    /// Gives a request its one final answer.
+    /// Returns the one final answer of a request.
     pub(crate) async fn answer(self, request: Request) -> Response {
-        let began = Time::now();
-        let wishes = headers::read(request.headers());
-        let id = wishes.as_ref().map_or_else(|_| OpId::fresh().to_string(), |w| w.request.clone());
-        let team = wishes.as_ref().map_or("none".to_owned(), |w| w.team.to_string());
-        let (service, path) = split(&request);
-        let label = self.known(&service);
+        let started_at = Time::now();
+        let options = headers::read(request.headers());
+        let id = options.as_ref().map_or_else(|_| OpId::fresh().to_string(), |w| w.request.clone());
+        let team = options.as_ref().map_or("none".to_owned(), |w| w.team.to_string());
+        let (service, path) = split_path(&request);
+        let label = self.service_label(&service);
         let has_body = http::has_body(&request);
         let mut unread = false;
-        let (told, class) = match self.admit(request, wishes, &service, path, began).await {
-            Ok(job) => {
-                let class = job.class;
-                (self.run(job).await, class)
+        let (failure, class) = match self.admit(request, options, &service, path, started_at).await
+        {
+            Ok(admitted) => {
+                let class = admitted.class;
+                (self.run(admitted).await, class)
             }
-            Err(told) => {
+            Err(failure) => {
                 unread = has_body;
-                (Err(told), Class::Normal)
+                (Err(failure), Class::Normal)
             }
         };
-        let outcome = told.as_ref().map_or_else(|told| told.outcome, |_| Outcome::Ran);
-        let took = Time::now().since(began);
-        self.node.metrics.answered(&team, class, &label, outcome, took);
-        if let Err(told) = &told {
-            log::debug!("request {id}: service {service}: {outcome}: {}", told.text);
+        let outcome = failure.as_ref().map_or_else(|failure| failure.outcome, |_| Outcome::Ran);
+        let elapsed = Time::now().since(started_at);
+        self.node.metrics.record_answer(&team, class, &label, outcome, elapsed);
+        if let Err(failure) = &failure {
+            log::debug!("request {id}: service {service}: {outcome}: {}", failure.text);
         }
-        let mut response = told.map_or_else(told_response, whole_response);
+        let mut response = failure.map_or_else(failure_response, answer_response);
         if unread {
             http::close_after(&mut response);
         }
@@ -131,8 +132,8 @@
         response
     }
 
-    /// The service's name if there is one: names that callers make up are not kept as labels.
-    fn known(&self, service: &str) -> String {
+    /// The service's name if it exists: unknown names from callers are not used as metric labels.
+    fn service_label(&self, service: &str) -> String {
         let view = self.node.view();
         let id = service.parse::<ServiceId>().ok();
         let known = id.filter(|id| view.fleet.config.services.contains_key(id));
@@ -142,69 +143,72 @@
     async fn admit(
         &self,
         mut request: Request,
-        wishes: Result<Wishes, String>,
+        options: Result<RequestOptions, String>,
         service: &str,
         path: String,
         now: Time,
-    ) -> Result<Job, Told> {
-        let wishes = wishes.map_err(|text| Told::refusal(StatusCode::BAD_REQUEST, text))?;
-        let (id, spec, rate, nodes) = self.look_up(service, &wishes)?;
-        let class = wishes.class.unwrap_or(spec.class);
-        let once = spec.once || wishes.once;
-        if once && wishes.key.is_none() {
+    ) -> Result<AdmittedRequest, Failure> {
+        let options = options.map_err(|text| Failure::rejected(StatusCode::BAD_REQUEST, text))?;
+        let (id, spec, rate, nodes) = self.look_up(service, &options)?;
+        let class = options.class.unwrap_or(spec.class);
+        let once = spec.once || options.once;
+        if once && options.key.is_none() {
             let text = format!(
                 "header {}: it must be given, because the request is not repeatable",
                 headers::IDEMPOTENCY_KEY
             );
-            return Err(Told::refusal(StatusCode::BAD_REQUEST, text));
+            return Err(Failure::rejected(StatusCode::BAD_REQUEST, text));
         }
-        let others = Others { nodes, demand: self.node.peers.demand(&wishes.team) };
-        self.node.gates.admit(&wishes.team, rate, others, now).map_err(|after| Told {
+        let others = Others { nodes, demand: self.node.peers.demand(&options.team) };
+        self.node.gates.admit(&options.team, rate, others, now).map_err(|after| Failure {
             status: StatusCode::TOO_MANY_REQUESTS,
-            ..Told::later(format!("team {} has used up its rate", wishes.team), after)
+            ..Failure::unavailable(format!("team {} has used up its rate", options.team), after)
         })?;
-        let limit = wishes.deadline.unwrap_or(self.node.settings.limits.deadline);
-        let (body, held) = self.read_body(&mut request).await?;
+        let limit = options.deadline.unwrap_or(self.node.settings.limits.deadline);
+        let (body, memory) = self.read_body(&mut request).await?;
         let method = request.method().clone();
         let repeatable = !once && method.is_idempotent();
         let outgoing = Outgoing {
-            headers: forward::passed_on(request.headers()),
+            headers: forward::end_to_end(request.headers()),
             method,
             path,
             body,
-            request: wishes.request.clone(),
+            request: options.request.clone(),
         };
-        Ok(Job {
+        Ok(AdmittedRequest {
             service: id,
             class,
             deadline: now + limit,
             outgoing,
-            wishes,
+            options,
             repeatable,
             once,
-            _held: held,
+            _memory: memory,
         })
     }
 
     fn look_up(
         &self,
         name: &str,
-        wishes: &Wishes,
-    ) -> Result<(ServiceId, Service, PerSecond, u32), Told> {
+        options: &RequestOptions,
+    ) -> Result<(ServiceId, Service, PerSecond, u32), Failure> {
         let view = self.node.view();
         let config = &view.fleet.config;
         if view.fleet.through == 0 {
-            return Err(Told::later("the node has no configuration yet", COME_BACK));
+            return Err(Failure::unavailable(
+                "the node has no configuration yet",
+                DEFAULT_RETRY_AFTER,
+            ));
         }
         let id: ServiceId = name
             .parse()
-            .map_err(|error| Told::refusal(StatusCode::NOT_FOUND, format!("path: {error}")))?;
+            .map_err(|error| Failure::rejected(StatusCode::NOT_FOUND, format!("path: {error}")))?;
         let spec = config.services.get(&id).cloned().ok_or_else(|| {
-            Told::refusal(StatusCode::NOT_FOUND, format!("there is no service {id}"))
+            Failure::rejected(StatusCode::NOT_FOUND, format!("there is no service {id}"))
         })?;
-        let team = config.teams.get(&wishes.team).ok_or_else(|| {
-            let text = format!("header {}: there is no team {}", headers::TEAM, wishes.team);
-            Told::refusal(StatusCode::FORBIDDEN, text)
+        let team = config.teams.get(&options.team).ok_or_else(|| {
+            let text = format!("header {}: there is no team {}", headers::TEAM, options.team);
+            Failure::rejected(StatusCode::FORBIDDEN, text)
         })?;
         let nodes = u32::try_from(view.fleet.nodes.len()).unwrap_or(u32::MAX).max(1);
         Ok((id, spec, team.rate, nodes))
@@ -213,204 +217,231 @@
     async fn read_body(
         &self,
         request: &mut Request,
-    ) -> Result<(Bytes, OwnedSemaphorePermit), Told> {
-        let most = self.node.settings.limits.request;
+    ) -> Result<(Bytes, OwnedSemaphorePermit), Failure> {
+        let max_bytes = self.node.settings.limits.request;
         let too_large = || {
-            let text = format!("the body is larger than {most} bytes");
-            Told::refusal(StatusCode::PAYLOAD_TOO_LARGE, text)
+            let text = format!("the body is larger than {max_bytes} bytes");
+            Failure::rejected(StatusCode::PAYLOAD_TOO_LARGE, text)
         };
         let length = request.header(header::CONTENT_LENGTH).map(|text| text.parse::<usize>());
         let length = match length {
             Some(Ok(length)) => length,
             Some(Err(_)) => {
                 let text = "header content-length: a whole number is allowed";
-                return Err(Told::refusal(StatusCode::BAD_REQUEST, text));
+                return Err(Failure::rejected(StatusCode::BAD_REQUEST, text));
             }
-            // Without a length, room for the largest body is held until it is read.
-            None if request.header(header::TRANSFER_ENCODING).is_some() => most,
+            // Without a length, memory for the largest body is reserved until it is read.
+            None if request.header(header::TRANSFER_ENCODING).is_some() => max_bytes,
             None => 0,
         };
-        if most < length {
+        if max_bytes < length {
             return Err(too_large());
         }
         let count = u32::try_from(length).unwrap_or(u32::MAX);
-        let Ok(held) = self.hold.memory.clone().try_acquire_many_owned(count) else {
-            return Err(Told::later("the node holds as many bytes as it may", COME_BACK));
+        let Ok(memory) = self.memory_limits.memory.clone().try_acquire_many_owned(count) else {
+            return Err(Failure::unavailable(
+                "the node has reached its memory limit for bodies and answers",
+                DEFAULT_RETRY_AFTER,
+            ));
         };
-        match http::read_body(request.take_body(), most).await {
-            Ok(body) => Ok((body, held)),
+        match http::read_body(request.take_body(), max_bytes).await {
+            Ok(body) => Ok((body, memory)),
             Err(BodyError::TooLarge(_)) => Err(too_large()),
-            Err(error) => Err(Told::refusal(StatusCode::BAD_REQUEST, error.to_string())),
+            Err(error) => Err(Failure::rejected(StatusCode::BAD_REQUEST, error.to_string())),
         }
     }
 
-    async fn run(&self, job: Job) -> Result<Answer, Told> {
-        if !job.once {
-            return self.send(&job).await.0;
+    async fn run(&self, request: AdmittedRequest) -> Result<Answer, Failure> {
+        if !request.once {
+            return self.send(&request).await.0;
         }
-        // A caller that goes away must not leave a claim without an end.
+        // If the caller disconnects, the result of the claimed request must still be recorded.
         let entry = self.clone();
-        let running = tokio::spawn(async move { entry.run_once(job).await });
-        running.await.unwrap_or_else(|error| Err(Told::unknown(error.to_string())))
+        let running = tokio::spawn(async move { entry.run_once(request).await });
+        running.await.unwrap_or_else(|error| Err(Failure::unknown(error.to_string())))
     }
 
-    async fn run_once(&self, job: Job) -> Result<Answer, Told> {
-        let Some(key) = job.wishes.key.clone() else {
-            return Err(Told::refusal(StatusCode::BAD_REQUEST, "no key"));
+    async fn run_once(&self, request: AdmittedRequest) -> Result<Answer, Failure> {
+        let Some(key) = request.options.key.clone() else {
+            return Err(Failure::rejected(
+                StatusCode::BAD_REQUEST,
+                "the idempotency key is missing",
+            ));
         };
-        let (team, op) = (&job.wishes.team, OpId::fresh());
-        match self.node.once.claim(team, &key, &op).await {
+        let (team, op) = (&request.options.team, OpId::fresh());
+        match self.node.claims.claim(team, &key, &op).await {
             Ok(()) => {}
-            Err(ClaimError::Held(claim)) => return Err(held(&key, &claim)),
-            Err(error) => return Err(Told::later(error.to_string(), COME_BACK)),
+            Err(ClaimError::Held(claim)) => return Err(claimed_failure(&key, &claim)),
+            Err(error) => return Err(Failure::unavailable(error.to_string(), DEFAULT_RETRY_AFTER)),
         }
-        let (result, ran) = self.send(&job).await;
+        let (result, ran) = self.send(&request).await;
         let state = match (&result, ran) {
             (Ok(answer), _) => ClaimState::Ran(answer.status.as_u16()),
-            (Err(told), _) if told.outcome == Outcome::Ran => ClaimState::Ran(told.status.as_u16()),
+            (Err(failure), _) if failure.outcome == Outcome::Ran => {
+                ClaimState::Ran(failure.status.as_u16())
+            }
             (Err(_), false) => ClaimState::Released,
             (Err(_), true) => ClaimState::Unknown,
         };
-        self.node.once.end(team, &key, &op, state);
+        self.node.claims.record_end(team, &key, &op, state);
         result
     }
 
-    /// Has a request run; also tells whether it may have.
-    async fn send(&self, job: &Job) -> (Result<Answer, Told>, bool) {
-        let gate = self.node.gates.of(&job.service);
+    /// Sends a request until it is answered. Also returns whether it may have run.
+    async fn send(&self, request: &AdmittedRequest) -> (Result<Answer, Failure>, bool) {
+        let gate = self.node.gates.of(&request.service);
         let mut tried = Vec::new();
         let mut may_have_run = false;
-        let mut last = String::new();
-        for attempt in 0..ATTEMPTS {
+        let mut last_error = String::new();
+        for attempt in 0..MAX_ATTEMPTS {
             if attempt != 0 {
                 if !gate.may_retry() {
                     break;
                 }
-                self.node.metrics.retried(job.service.as_str());
+                self.node.metrics.record_retry(request.service.as_str());
             }
-            let (_in_flight, slot) = match self.enter(job, &gate, &mut tried).await {
+            let (_in_flight, slot) = match self.acquire_endpoint(request, &gate, &mut tried).await {
                 Ok(entered) => entered,
-                Err(told) if may_have_run => {
-                    return (Err(Told::unknown(format!("{last}; then: {}", told.text))), true);
+                Err(failure) if may_have_run => {
+                    return (
+                        Err(Failure::unknown(format!("{last_error}; then: {}", failure.text))),
+                        true,
+                    );
                 }
-                Err(told) => return (Err(told), false),
+                Err(failure) => return (Err(failure), false),
             };
-            let began = Time::now();
-            let limit = job.deadline.since(began);
+            let started_at = Time::now();
+            let limit = request.deadline.since(started_at);
             let endpoint = slot.endpoint.clone();
-            let sent = forward::send(&self.client, &endpoint, &job.outgoing, &self.hold, limit);
+            let sent = forward::send(
+                &self.client,
+                &endpoint,
+                &request.outgoing,
+                &self.memory_limits,
+                limit,
+            );
             let attempt = sent.await;
             let now = Time::now();
             tried.push(endpoint.address.clone());
             match attempt {
                 Attempt::Answered(answer) => {
-                    endpoint.succeeded(answer.busy, now);
-                    gate.ran(now.since(began));
+                    endpoint.record_success(answer.busy, now);
+                    gate.record_run(now.since(started_at));
                     return (Ok(answer), true);
                 }
                 Attempt::TooLarge(size) => {
                     let text = format!(
                         "it ran, but its answer of {size} bytes or more is over the limit of {}",
-                        self.hold.most
+                        self.memory_limits.max_answer_bytes
                     );
                     let outcome = Outcome::Ran;
-                    return (Err(Told { outcome, ..Told::unknown(text) }), true);
+                    return (Err(Failure { outcome, ..Failure::unknown(text) }), true);
                 }
-                // This request moves on; the endpoint is neither switched off nor stuck to.
+                // The request is retried elsewhere; the endpoint is neither put into backoff nor
+                // preferred.
                 Attempt::Refused(busy) => {
-                    endpoint.refused(busy, now);
-                    last = format!("endpoint {} refused it", endpoint.address);
+                    endpoint.record_refusal(busy, now);
+                    last_error = format!("endpoint {} refused it", endpoint.address);
                 }
                 Attempt::Unsent(cause) => {
-                    endpoint.failed(now);
-                    last = cause;
+                    endpoint.record_failure(now);
+                    last_error = cause;
                 }
-                Attempt::Broken(cause) => {
-                    endpoint.failed(now);
+                Attempt::Unknown(cause) => {
+                    endpoint.record_failure(now);
                     may_have_run = true;
-                    last = cause;
-                    if !job.repeatable {
+                    last_error = cause;
+                    if !request.repeatable {
                         break;
                     }
                 }
             }
-            if job.deadline <= now {
+            if request.deadline <= now {
                 break;
             }
         }
         if may_have_run {
-            return (Err(Told::unknown(last)), true);
+            return (Err(Failure::unknown(last_error)), true);
         }
-        let after = gate.typical().max(Duration::from_millis(100));
-        (Err(Told::later(last, after)), false)
+        let after = gate.typical_run_time().max(Duration::from_millis(100));
+        (Err(Failure::unavailable(last_error, after)), false)
     }
 
-    /// Finds the request a place at an endpoint, waiting for one in the queue if need be.
-    async fn enter(
+    /// Acquires a slot at an endpoint, waiting in the queue if necessary.
+    async fn acquire_endpoint(
         &self,
-        job: &Job,
+        request: &AdmittedRequest,
         gate: &Arc<Gate>,
         tried: &mut Vec<String>,
-    ) -> Result<(InFlight, Slot), Told> {
+    ) -> Result<(InFlight, Slot), Failure> {
         let mut number = None;
         let mut rounds = 0;
         loop {
             let now = Time::now();
-            let endpoints = self.node.routes.of(&job.service);
+            let endpoints = self.node.routes.of(&request.service);
             if endpoints.is_empty() {
-                let text = format!("service {} has no endpoint now", job.service);
-                return Err(Told::later(text, COME_BACK));
+                let text = format!("service {} has no endpoint now", request.service);
+                return Err(Failure::unavailable(text, DEFAULT_RETRY_AFTER));
             }
             let (_, slots) = routes::capacity(&endpoints);
-            let bound = self.bound(job, slots);
-            if let Some(slot) = routes::take(&endpoints, tried, now)
-                && let Some(in_flight) = gate.enter(job.class, bound)
+            let bound = self.bound(request, slots);
+            if let Some(slot) = routes::acquire_slot(&endpoints, tried, now)
+                && let Some(in_flight) = gate.try_enter(request.class, bound)
             {
                 return Ok((in_flight, slot));
             }
             if endpoints.iter().all(|endpoint| tried.contains(&endpoint.address)) {
-                // Each has refused once: give them the time of a request, then begin again.
+                // Each has refused once: wait for about the run time of a request, then retry all.
                 rounds += 1;
-                let pause = gate.typical().max(Duration::from_millis(5));
-                if rounds == ROUNDS || job.deadline.since(now) < pause {
-                    let text = format!("every endpoint of service {} refused it", job.service);
-                    return Err(Told::later(text, pause.max(Duration::from_millis(100))));
+                let pause = gate.typical_run_time().max(Duration::from_millis(5));
+                if rounds == MAX_ROUNDS || request.deadline.since(now) < pause {
+                    let text = format!("every endpoint of service {} refused it", request.service);
+                    return Err(Failure::unavailable(text, pause.max(Duration::from_millis(100))));
                 }
                 tokio::time::sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
                 tried.clear();
                 continue;
             }
-            let most = self.node.settings.limits.queue;
+            let max_waiting = self.node.settings.limits.queue;
             let share = (slots / bound.nodes).max(1);
-            let place = gate.wait(job.class, job.deadline, most, share, number, now);
+            let place = gate.wait(request.class, request.deadline, max_waiting, share, number, now);
             let mut place = place.map_err(|full| {
                 let after = full.retry_after().max(Duration::from_millis(100));
-                Told::later(format!("the queue of service {} is full", job.service), after)
+                Failure::unavailable(
+                    format!("the queue of service {} is full", request.service),
+                    after,
+                )
             })?;
             number = Some(place.number());
-            match tokio::time::timeout(job.deadline.since(now), place.turn()).await {
+            match tokio::time::timeout(request.deadline.since(now), place.wait_turn()).await {
                 Ok(true) => {}
                 Ok(false) => {
                     let text = "a more urgent request took its place";
-                    return Err(Told::later(text, gate.typical().max(COME_BACK)));
+                    return Err(Failure::unavailable(
+                        text,
+                        gate.typical_run_time().max(DEFAULT_RETRY_AFTER),
+                    ));
                 }
                 Err(_) => {
                     let text = "no place at an endpoint came free before the deadline";
-                    return Err(Told::later(text, gate.typical().max(COME_BACK)));
+                    return Err(Failure::unavailable(
+                        text,
+                        gate.typical_run_time().max(DEFAULT_RETRY_AFTER),
+                    ));
                 }
             }
         }
     }
 
-    fn bound(&self, job: &Job, slots: u32) -> Bound {
+    fn bound(&self, request: &AdmittedRequest, slots: u32) -> Bound {
         let nodes = u32::try_from(self.node.view().fleet.nodes.len()).unwrap_or(u32::MAX);
-        let others = self.node.peers.busy(&job.service, job.class as usize);
+        let others = self.node.peers.busy(&request.service, request.class as usize);
         Bound { slots, others, nodes: nodes.max(1) }
     }
 }
 
 /// The service's name and the rest of the path, with its query.
-fn split(request: &Request) -> (String, String) {
+fn split_path(request: &Request) -> (String, String) {
     let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
     let rest = path.trim_start_matches('/');
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
@@ -419,46 +450,46 @@
     (service.to_owned(), path)
 }
 
-/// What a caller is told whose key is claimed already.
-fn held(key: &str, claim: &Claim) -> Told {
+/// The failure reported to a caller whose key is already claimed.
+fn claimed_failure(key: &str, claim: &Claim) -> Failure {
     let (outcome, text, retry_after) = match &claim.state {
         ClaimState::Ran(status) => {
             (Outcome::Ran, format!("it ran and was answered with status {status}"), None)
         }
         ClaimState::Claimed => {
-            let text = format!("node {} has it since {}", claim.node, claim.at);
-            (Outcome::Unknown, text, Some(COME_BACK))
+            let text = format!("node {} claimed it at {}", claim.node, claim.at);
+            (Outcome::Unknown, text, Some(DEFAULT_RETRY_AFTER))
         }
         ClaimState::Unknown | ClaimState::Released => {
             (Outcome::Unknown, "it was sent, and may have run".to_owned(), None)
         }
     };
     let text = format!("key {key} is claimed: {text}; it is not run again");
-    Told { status: StatusCode::CONFLICT, outcome, text, retry_after }
+    Failure { status: StatusCode::CONFLICT, outcome, text, retry_after }
 }
 
-fn told_response(told: Told) -> Response {
-    let mut response = http::text(told.status, told.text + "\n");
-    if let Some(after) = told.retry_after {
-        // Whole seconds, as the header has them, and never none at all.
+fn failure_response(failure: Failure) -> Response {
+    let mut response = http::text(failure.status, failure.text + "\n");
+    if let Some(after) = failure.retry_after {
+        // The header takes whole seconds; at least 1.
         let seconds = after.as_secs() + u64::from(after.subsec_nanos() != 0);
         response.headers_mut().insert(header::RETRY_AFTER, seconds.max(1).into());
     }
     response
 }
 
-/// An answer as it came, held in memory until it is written.
-fn whole_response(answer: Answer) -> Response {
-    let Answer { status, headers, body, held, .. } = answer;
+/// The complete answer of an endpoint, held in memory until it is written.
+fn answer_response(answer: Answer) -> Response {
+    let Answer { status, headers, body, memory, .. } = answer;
     let length = body.len();
     let chunk = stream::once(async move {
-        // Moved along, so that its memory counts for as long as it is there.
+        // Moved into the stream together with its permit, so that its memory stays reserved.
         let body = body;
-        Ok::<_, std::io::Error>((body, held))
+        Ok::<_, std::io::Error>((body, memory))
     });
-    let chunk = futures_util::StreamExt::map(chunk, |part| part.map(|(body, _held)| body));
+    let chunk = futures_util::StreamExt::map(chunk, |part| part.map(|(body, _memory)| body));
     let mut response = Response::builder().status(status).body(Body::from_bytes_stream(chunk));
-    *response.headers_mut() = forward::passed_on(&headers);
+    *response.headers_mut() = forward::end_to_end(&headers);
     response.headers_mut().insert(header::CONTENT_LENGTH, length.into());
     response
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: one process between callers and endpoints. All nodes are equal and keep nothing.
+//! A node: one process between callers and endpoints. All nodes are equal and stateless.
 
 pub(crate) mod assign;
 pub(crate) mod control;
@@ -27,64 +27,64 @@
 
 use crate::{
     decide::rendezvous,
-    entry::{gate::Gates, once::Once, routes::Routes},
+    entry::{gate::Gates, once::ClaimWriters, routes::Routes},
     model::{id::NodeId, unit::Time},
-    node::{metrics::Metrics, pace::Pace, peers::Peers, traffic::Traffic, view::View},
+    node::{metrics::Metrics, pace::WriteLimiter, peers::Peers, traffic::Traffic, view::View},
     platform::store::Store,
     settings::node::NodeSettings,
 };
 
-/// Everything that the loops of one node share.
+/// State shared by the loops of one node.
 pub(crate) struct Node {
     pub(crate) settings: NodeSettings,
     pub(crate) started: Time,
     pub(crate) store: Store,
-    pub(crate) pace: Arc<Pace>,
-    /// For calls to workers and the list of hosts.
+    pub(crate) write_limiter: Arc<WriteLimiter>,
+    /// For calls to workers and for reading the list of hosts.
     pub(crate) client: reqwest::Client,
     view: Mutex<View>,
-    /// Counts changes of the view, for those that wait for one.
+    /// Number of changes of the view, for tasks that wait for one.
     pub(crate) changed: watch::Sender<u64>,
     pub(crate) peers: Peers,
     pub(crate) routes: Routes,
     pub(crate) gates: Gates,
-    pub(crate) once: Once,
+    pub(crate) claims: ClaimWriters,
     pub(crate) metrics: Metrics,
-    /// Bytes that control sent and received.
+    /// Bytes of control traffic.
     pub(crate) traffic: Arc<Traffic>,
-    /// Cancelled when the node is to leave.
-    pub(crate) leaving: CancellationToken,
+    /// Cancelled when the node is to shut down.
+    pub(crate) shutdown: CancellationToken,
 }
 
 impl Node {
-    /// The node's name.
+    /// The node's identifier.
     pub(crate) fn id(&self) -> &NodeId {
         &self.settings.node
     }
 
-    /// What the node knows. Held for short looks only, never while waiting.
+    /// Locks the view. The guard must be held briefly and never across an await.
     pub(crate) fn view(&self) -> MutexGuard<'_, View> {
         self.view.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells all that wait that the view has changed.
-    pub(crate) fn note_change(&self) {
+    /// Notifies all waiting tasks that the view has changed.
+    pub(crate) fn notify_change(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Whether this node is the one that does a piece of work. Two may believe so for a while:
-    /// conditional writes keep that harmless.
+    /// Whether this node owns a piece of work. Nodes with different views may both own it for a
+    /// while; conditional writes make that harmless.
     pub(crate) fn owns(&self, view: &View, key: &str) -> bool {
         let members = view.fleet.nodes.keys().map(NodeId::as_str);
         rendezvous::owner(members, key) == Some(self.id().as_str())
     }
 
-    /// Whether the view was compared with the store so lately that the node may act on it.
+    /// Whether the view was compared with the store recently enough for the node to act on it.
     pub(crate) fn is_current(&self, view: &View, now: Time) -> bool {
-        now.since(view.verified) < self.current_for()
+        now.since(view.verified) < self.max_view_age()
     }
 
-    fn current_for(&self) -> Duration {
+    fn max_view_age(&self) -> Duration {
         self.settings.timing.verify * 3
     }
 }
--- a/src/node/drive.rs
+++ b/src/node/drive.rs
@@ -1,4 +1,5 @@
-//! Drives the plans that this node owns: takes their next steps, one conditional write each.
+//! Advances the plans that this node owns: carries out their next steps, each by one conditional
+//! write.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -16,47 +17,47 @@
     node::{
         Node, control,
         view::View,
-        write::{self, Written},
+        write::{self, WriteResult},
     },
     platform::store::StoreError,
 };
 
-/// Steps of one round, so that a long wave leaves the store room for others.
-const STEPS: usize = 24;
+/// Maximum number of steps in one round, so that a long wave leaves store capacity for others.
+const MAX_STEPS: usize = 24;
 
-/// Takes the next steps of every plan that this node owns.
-pub(crate) async fn plans(node: &Arc<Node>, now: Time) -> Result<(), StoreError> {
-    for Due { plan, steps, expected } in due(node, now) {
-        take(node, &plan, steps, expected, now).await?;
-        finish(node, &plan, now).await?;
+/// Carries out the next steps of every plan that this node owns.
+pub(crate) async fn advance(node: &Arc<Node>, now: Time) -> Result<(), StoreError> {
+    for DuePlan { plan, steps, expected } in due(node, now) {
+        take_steps(node, &plan, steps, expected, now).await?;
+        mark_done(node, &plan, now).await?;
     }
     Ok(())
 }
 
-/// A plan's next steps, with the revisions of the records that they were worked out from.
-struct Due {
+/// A plan's next steps, with the revisions of the records that they were computed from.
+struct DuePlan {
     plan: Plan,
     steps: Vec<Step>,
     expected: HashMap<Key, Revision>,
 }
 
-fn due(node: &Node, now: Time) -> Vec<Due> {
+fn due(node: &Node, now: Time) -> Vec<DuePlan> {
     let view = node.view();
-    let moving = |plan: &&Plan| match plan.state {
+    let is_active = |plan: &&Plan| match plan.state {
         PlanState::Running => true,
-        // A cancelled plan is carried on until all that it holds is given back.
+        // A cancelled plan is advanced until everything that it holds is released.
         PlanState::Cancelled => !wave::is_finished(&view.fleet, plan),
         PlanState::Proposed | PlanState::Done => false,
     };
     let owned = |plan: &&Plan| node.owns(&view, &format!("plan/{}", plan.id));
-    let plans = view.fleet.plans.values().filter(moving).filter(owned);
+    let plans = view.fleet.plans.values().filter(is_active).filter(owned);
     let due = plans.map(|plan| {
         let steps = next_steps(node, &view, plan, now);
         let written = steps.iter().map(wave::key_of);
         let read = steps.iter().flat_map(|step| wave::rests_on(&view.fleet, step));
         let keys = written.chain(read);
         let expected = keys.map(|key| (key.clone(), view.fleet.revision(&key))).collect();
-        Due { plan: plan.clone(), steps, expected }
+        DuePlan { plan: plan.clone(), steps, expected }
     });
     due.collect()
 }
@@ -64,61 +65,61 @@
 fn next_steps(node: &Node, view: &View, plan: &Plan, now: Time) -> Vec<Step> {
     let quiet = |host: &HostId, epoch| control::is_quiet(node, view, host, epoch);
     let rules = &node.settings.rules;
-    let outlook = Outlook { fleet: &view.fleet, is_quiet: &quiet, now, rules };
-    let steps = plan.pools.keys().flat_map(|pool| wave::advance(&outlook, plan, pool).0);
-    steps.take(STEPS).collect()
+    let context = Outlook { fleet: &view.fleet, is_quiet: &quiet, now, rules };
+    let steps = plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).0);
+    steps.take(MAX_STEPS).collect()
 }
 
-/// Takes steps, each only if nobody else has changed its record since it was worked out.
-async fn take(
+/// Carries out steps, each only if its record has not changed since the step was computed.
+async fn take_steps(
     node: &Node,
     plan: &Plan,
     steps: Vec<Step>,
     mut expected: HashMap<Key, Revision>,
     now: Time,
 ) -> Result<(), StoreError> {
-    let mut refused: HashSet<HostId> = HashSet::new();
+    let mut skipped: HashSet<HostId> = HashSet::new();
     for step in steps {
         let host = wave::host_of(&step).clone();
-        // A node that was paused between two steps looks again before it goes on.
+        // After a pause between two steps, the node computes them again in the next round.
         if !wave::is_timely(now, Time::now()) {
             return Ok(());
         }
-        // A host whose earlier step was refused is looked at again in the next round.
-        if refused.contains(&host) {
+        // A host whose earlier step could not be carried out is handled in the next round.
+        if skipped.contains(&host) {
             continue;
         }
         let key = wave::key_of(&step);
-        // A record that is not there is expected at revision 0: it is created.
+        // A missing record is expected at revision 0, which creates it.
         let expect = expected.get(&key).copied().unwrap_or_default();
-        let (record, rests_on) = {
+        let (record, dependencies) = {
             let view = node.view();
-            let same = view.fleet.revision(&key) == expect;
-            let rests_on: Vec<(Key, Revision)> = wave::rests_on(&view.fleet, &step)
+            let is_unchanged = view.fleet.revision(&key) == expect;
+            let dependencies: Vec<(Key, Revision)> = wave::rests_on(&view.fleet, &step)
                 .into_iter()
                 .map(|key| (key.clone(), expected.get(&key).copied().unwrap_or_default()))
                 .collect();
             let record = wave::effect(&view.fleet, &plan.id, &step, &OpId::fresh(), now);
-            (record.filter(|_| same), rests_on)
+            (record.filter(|_| is_unchanged), dependencies)
         };
         let Some(record) = record else {
-            refused.insert(host);
+            skipped.insert(host);
             continue;
         };
-        match write::write_guarded(node, record, expect, &rests_on).await? {
-            Written::Yes(revision) => {
+        match write::write_guarded(node, record, expect, &dependencies).await? {
+            WriteResult::Done(revision) => {
                 expected.insert(key, revision);
                 log::info!("plan {}: host {host}: {}", plan.id, describe(&step));
             }
-            Written::Conflict => {
-                refused.insert(host);
+            WriteResult::Conflict => {
+                skipped.insert(host);
             }
         }
     }
     Ok(())
 }
 
-async fn finish(node: &Node, plan: &Plan, now: Time) -> Result<(), StoreError> {
+async fn mark_done(node: &Node, plan: &Plan, now: Time) -> Result<(), StoreError> {
     let (record, expect) = {
         let view = node.view();
         let Some(plan) = view.fleet.plans.get(&plan.id) else {
@@ -134,7 +135,7 @@
         let record = Record::Plan(done.id.clone(), Box::new(done));
         (record, view.fleet.revision(&Key::Plan(plan.id.clone())))
     };
-    if let Written::Yes(_) = write::write(node, record, expect).await? {
+    if let WriteResult::Done(_) = write::write(node, record, expect).await? {
         log::info!("plan {}: done", plan.id);
     }
     Ok(())
@@ -147,7 +148,7 @@
             format!("{} successors of service {service} start", moves.len())
         }
         Step::Permit { service, .. } => format!("permit of service {service} taken"),
-        Step::GiveBack { service, .. } => format!("permit of service {service} given back"),
+        Step::GiveBack { service, .. } => format!("permit of service {service} released"),
         Step::Leave { .. } => "leaves".to_owned(),
         Step::Move { service, moves, .. } => {
             format!("{} tasks of service {service} moved", moves.len())
--- a/src/node/hosts.rs
+++ b/src/node/hosts.rs
@@ -8,17 +8,19 @@
     platform::hosts,
 };
 
-/// Reads what changed in the list for as long as the node runs.
-pub(crate) async fn follow(node: Arc<Node>) {
+/// Polls the list for changes for as long as the node runs.
+pub(crate) async fn poll(node: Arc<Node>) {
     let mut next = 0;
     loop {
         let address = node.settings.platform.hosts.as_str();
-        let began = Time::now();
-        let note = |bytes| node.traffic.note(bytes);
-        match hosts::read(&node.client, address, next, node.settings.timing.store, note).await {
+        let started_at = Time::now();
+        let record_bytes = |bytes| node.traffic.record(bytes);
+        match hosts::read(&node.client, address, next, node.settings.timing.store, record_bytes)
+            .await
+        {
             Ok(list) => {
                 next = list.next;
-                take_in(&node, list, began);
+                apply_list(&node, list, started_at);
             }
             Err(error) => log::debug!("{error}"),
         }
@@ -26,7 +28,7 @@
     }
 }
 
-fn take_in(node: &Node, list: hosts::HostList, began: Time) {
+fn apply_list(node: &Node, list: hosts::HostList, started_at: Time) {
     let changed = !list.hosts.is_empty() || list.whole;
     {
         let mut view = node.view();
@@ -36,9 +38,9 @@
         for report in list.hosts {
             view.fleet.reports.insert(report.host.clone(), report);
         }
-        view.fleet.heard = began;
+        view.fleet.heard = started_at;
     }
     if changed {
-        node.note_change();
+        node.notify_change();
     }
 }
--- a/src/node/metrics.rs
+++ b/src/node/metrics.rs
@@ -1,4 +1,4 @@
-//! The node's metrics, as Prometheus reads them.
+//! The node's metrics, in the text format of Prometheus.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -16,50 +16,50 @@
 use crate::model::request::{Class, Outcome};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Asked {
+struct RequestLabels {
     team: String,
     class: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Answered {
+struct OutcomeLabels {
     service: String,
     outcome: &'static str,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct OfService {
+struct ServiceLabels {
     service: String,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Called {
+struct StoreCallLabels {
     kind: &'static str,
 }
 
-fn latencies() -> Histogram {
-    // From half a millisecond to about a minute.
+fn latency_histogram() -> Histogram {
+    // From 0.5 ms to about one minute.
     Histogram::new(exponential_buckets(0.0005, 2.0, 18))
 }
 
-/// What the node counts and measures.
+/// Metrics of one node.
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
-    latency: Family<Asked, Histogram, fn() -> Histogram>,
-    outcomes: Family<Answered, Counter>,
-    retries: Family<OfService, Counter>,
-    permits: Family<OfService, Gauge>,
-    store_calls: Family<Called, Counter>,
+    latency: Family<RequestLabels, Histogram, fn() -> Histogram>,
+    outcomes: Family<OutcomeLabels, Counter>,
+    retries: Family<ServiceLabels, Counter>,
+    permits: Family<ServiceLabels, Gauge>,
+    store_calls: Family<StoreCallLabels, Counter>,
     view_age: Gauge<f64, std::sync::atomic::AtomicU64>,
     config: Gauge,
     view_bytes: Gauge,
 }
 
 impl Metrics {
-    /// All metrics, at zero.
+    /// Registers all metrics, with the value zero.
     pub(crate) fn new() -> Metrics {
         let mut registry = Registry::with_prefix("caperhollow");
-        let latency = Family::new_with_constructor(latencies as fn() -> Histogram);
+        let latency = Family::new_with_constructor(latency_histogram as fn() -> Histogram);
         let outcomes = Family::default();
         let retries = Family::default();
         let permits = Family::default();
@@ -101,48 +101,49 @@
         }
     }
 
-    /// Notes a request that got its final answer.
-    pub(crate) fn answered(
+    /// Records the final answer of a request.
+    pub(crate) fn record_answer(
         &self,
         team: &str,
         class: Class,
         service: &str,
         outcome: Outcome,
-        took: Duration,
+        elapsed: Duration,
     ) {
-        let asked = Asked { team: team.to_owned(), class: class.as_str() };
-        self.latency.get_or_create(&asked).observe(took.as_secs_f64());
-        let answered = Answered { service: service.to_owned(), outcome: outcome.as_str() };
-        self.outcomes.get_or_create(&answered).inc();
+        let request_labels = RequestLabels { team: team.to_owned(), class: class.as_str() };
+        self.latency.get_or_create(&request_labels).observe(elapsed.as_secs_f64());
+        let outcome_labels =
+            OutcomeLabels { service: service.to_owned(), outcome: outcome.as_str() };
+        self.outcomes.get_or_create(&outcome_labels).inc();
     }
 
-    /// Notes a retry.
-    pub(crate) fn retried(&self, service: &str) {
-        self.retries.get_or_create(&OfService { service: service.to_owned() }).inc();
+    /// Records a retry.
+    pub(crate) fn record_retry(&self, service: &str) {
+        self.retries.get_or_create(&ServiceLabels { service: service.to_owned() }).inc();
     }
 
-    /// A counter of store calls that can be handed on.
+    /// Returns a function that counts store calls by kind.
     pub(crate) fn store_counter(&self) -> impl Fn(&'static str) + Send + Sync + use<> {
         let calls = self.store_calls.clone();
         move |kind| {
-            calls.get_or_create(&Called { kind }).inc();
+            calls.get_or_create(&StoreCallLabels { kind }).inc();
         }
     }
 
-    /// Notes how many permits are out for a service.
-    pub(crate) fn permits(&self, service: &str, out: usize) {
-        let label = OfService { service: service.to_owned() };
-        self.permits.get_or_create(&label).set(out as i64);
+    /// Sets the number of permits taken for a service.
+    pub(crate) fn set_permits(&self, service: &str, taken: usize) {
+        let labels = ServiceLabels { service: service.to_owned() };
+        self.permits.get_or_create(&labels).set(taken as i64);
     }
 
-    /// Notes the age and size of the view and the change of the configuration that is in force.
-    pub(crate) fn view(&self, age: Duration, bytes: usize, through: u64) {
+    /// Sets the age and size of the view, and the configuration change in force.
+    pub(crate) fn set_view(&self, age: Duration, bytes: usize, through: u64) {
         self.view_age.set(age.as_secs_f64());
         self.view_bytes.set(bytes as i64);
         self.config.set(through as i64);
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
--- a/src/node/pace.rs
+++ b/src/node/pace.rs
@@ -1,4 +1,4 @@
-//! Keeps the writes of all nodes together within what the store takes.
+//! Limits the write rate of all nodes together to what the store can handle.
 
 use std::sync::{
     Mutex, PoisonError,
@@ -14,25 +14,30 @@
     platform::store::Priority,
 };
 
-/// This node's part of the store's writes.
-pub(crate) struct Pace {
-    /// Writes a second that all nodes together may spend.
+/// Limits this node's writes to its share of the store's write rate.
+pub(crate) struct WriteLimiter {
+    /// Writes per second allowed for all nodes together.
     rate: PerSecond,
     share: Mutex<Share>,
     nodes: AtomicU32,
-    elsewhere: AtomicU32,
+    peer_demand: AtomicU32,
 }
 
-impl Pace {
-    /// A pace at which nothing was written yet, among so many nodes.
-    pub(crate) fn new(rate: PerSecond, nodes: u32, now: Time) -> Pace {
-        let (nodes, elsewhere) = (AtomicU32::new(nodes), AtomicU32::new(0));
-        Pace { rate, share: Mutex::new(Share::new(RateLimit::empty(now), now)), nodes, elsewhere }
+impl WriteLimiter {
+    /// Creates a limiter without writes so far, for the given number of nodes.
+    pub(crate) fn new(rate: PerSecond, nodes: u32, now: Time) -> WriteLimiter {
+        let (nodes, peer_demand) = (AtomicU32::new(nodes), AtomicU32::new(0));
+        WriteLimiter {
+            rate,
+            share: Mutex::new(Share::new(RateLimit::empty(now), now)),
+            nodes,
+            peer_demand,
+        }
     }
 
-    /// Waits until a write may go.
-    pub(crate) async fn turn(&self, priority: Priority) {
-        let keep = match priority {
+    /// Waits until a write is allowed.
+    pub(crate) async fn acquire(&self, priority: Priority) {
+        let reserve = match priority {
             Priority::Claims => 1.0,
             Priority::Control => 0.5,
             Priority::Registration => 0.0,
@@ -41,23 +46,23 @@
         loop {
             let others = Others {
                 nodes: self.nodes.load(Ordering::Acquire),
-                demand: self.elsewhere.load(Ordering::Acquire),
+                demand: self.peer_demand.load(Ordering::Acquire),
             };
-            let taken = self.share().take(f64::from(self.rate.0), others, keep, Time::now());
-            match taken {
+            let result = self.share().take(f64::from(self.rate.0), others, reserve, Time::now());
+            match result {
                 Ok(()) => return,
                 Err(wait) => tokio::time::sleep(wait).await,
             }
         }
     }
 
-    /// Notes how many nodes there are, and what the others ask for, a second.
-    pub(crate) fn hear(&self, nodes: u32, elsewhere: u32) {
+    /// Sets the number of nodes, and the demand of the others in writes per second.
+    pub(crate) fn set_peer_demand(&self, nodes: u32, peer_demand: u32) {
         self.nodes.store(nodes, Ordering::Release);
-        self.elsewhere.store(elsewhere, Ordering::Release);
+        self.peer_demand.store(peer_demand, Ordering::Release);
     }
 
-    /// Writes that this node was lately asked for, a second.
+    /// This node's recent demand, in writes per second.
     pub(crate) fn demand(&self, now: Time) -> u32 {
         self.share().demand(now)
     }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,5 +1,5 @@
-//! Links between nodes: WebSocket with CBOR. Each node dials every other one and sends over its
-//! own link: heartbeats, and records that the other does not have.
+//! Links between nodes: WebSocket with CBOR. Each node connects to every other one and sends
+//! heartbeats, and records that the peer does not have, over its own link.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,57 +28,59 @@
     platform::store::Entry,
 };
 
-/// Messages that wait for a slow link; when there are more, heartbeats make up for the loss.
-const WAITING: usize = 64;
-/// Largest message.
-const MOST_BYTES: usize = 64 << 20;
-/// How long a link may take to be opened.
-const DIAL_LIMIT: Duration = Duration::from_secs(2);
-/// A link that is silent for this long is closed.
-const SILENCE: Duration = Duration::from_secs(10);
-/// Wait between two attempts to open a link.
-const REDIAL: Duration = Duration::from_millis(700);
-/// Heartbeats in a row that may show a peer behind before it is sent what it lacks.
-const BEHIND: u32 = 2;
-
-/// What a node says of itself, regularly.
+/// Maximum number of messages queued for a slow link. More are dropped; the peer then receives the
+/// missing records because of its heartbeats.
+const LINK_QUEUE_LEN: usize = 64;
+const MAX_MESSAGE_BYTES: usize = 64 << 20;
+/// Timeout for opening a link.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
+/// A link is closed after this time without traffic.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Delay between two attempts to open a link.
+const REDIAL_DELAY: Duration = Duration::from_millis(700);
+/// A peer is sent the records that it lacks after this many consecutive heartbeats with a stale
+/// view.
+const STALE_HEARTBEATS: u32 = 2;
+
+/// Periodic report of a node about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     pub(crate) node: NodeId,
     pub(crate) zone: ZoneId,
     pub(crate) started: Time,
-    /// Every change of the store up to here is known.
+    /// Every change of the store up to this revision is in the node's view.
     pub(crate) complete: Revision,
     /// The last change of the configuration that is in force.
     pub(crate) through: u64,
-    /// How long ago the view was compared with the store.
+    /// Time since the view was compared with the store.
     pub(crate) age: Duration,
-    /// Hosts that are leaving or away as far as this node knows, and what it has in flight there.
-    pub(crate) leaving: Vec<Quiet>,
+    /// Hosts that do not serve according to the view of this node, with its requests in flight
+    /// there.
+    pub(crate) leaving: Vec<LeaveAck>,
     /// Requests in flight by service and class.
     pub(crate) busy: Vec<(ServiceId, [u32; 3])>,
-    /// Requests lately asked for, a second, by team.
+    /// Recent demand in requests per second, by team.
     pub(crate) demand: Vec<(TeamId, u32)>,
-    /// Writes of the store lately asked for, a second.
+    /// Recent demand in writes of the store per second.
     pub(crate) writes: u32,
 }
 
 impl Heartbeat {
-    /// Whether nothing of it concerns other nodes' work now.
-    fn is_quiet(&self) -> bool {
+    /// Whether it contains nothing that other nodes currently depend on.
+    fn is_idle(&self) -> bool {
         self.leaving.is_empty() && self.busy.is_empty() && self.demand.is_empty()
     }
 }
 
-/// One node's acknowledgement that a host is leaving.
+/// A node's acknowledgement that a host is leaving.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Quiet {
+pub(crate) struct LeaveAck {
     pub(crate) host: HostId,
     pub(crate) epoch: Epoch,
     pub(crate) in_flight: u32,
 }
 
-/// What goes over a link.
+/// A message on a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 enum Message {
     Heartbeat(Box<Heartbeat>),
@@ -90,37 +92,37 @@
     },
 }
 
-/// What is known of another node.
+/// Another node, as of its last heartbeat.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    pub(crate) said: Heartbeat,
-    pub(crate) at: Time,
-    behind: u32,
+    pub(crate) heartbeat: Heartbeat,
+    pub(crate) received_at: Time,
+    stale_count: u32,
 }
 
 #[derive(Default)]
 struct State {
     peers: BTreeMap<NodeId, Peer>,
     links: HashMap<SocketAddr, mpsc::Sender<Message>>,
-    /// Which node answers at an address, learned from registrations.
+    /// When each recent change of the configuration was first seen in force on each node.
     in_force: BTreeMap<u64, BTreeMap<NodeId, Time>>,
 }
 
-/// The node's links and what came over those of others.
+/// The node's links to its peers, and their last heartbeats.
 #[derive(Default)]
 pub(crate) struct Peers {
     state: Mutex<State>,
 }
 
-/// Changes of the configuration whose coming into force is remembered.
-const IN_FORCE_KEPT: usize = 128;
+/// Maximum number of configuration changes whose activation times are tracked.
+const MAX_TRACKED_CHANGES: usize = 128;
 
 impl Peers {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What is known of the other nodes.
+    /// The other nodes.
     pub(crate) fn all(&self) -> BTreeMap<NodeId, Peer> {
         self.lock().peers.clone()
     }
@@ -130,65 +132,68 @@
         self.lock().in_force.clone()
     }
 
-    /// Notes that changes up to `through` are in force on a node.
+    /// Records that changes up to `through` are in force on a node.
     pub(crate) fn note_in_force(&self, node: &NodeId, through: u64, now: Time) {
         let mut state = self.lock();
         let known = state.in_force.keys().next_back().copied().unwrap_or(0);
-        for number in (known + 1).max(through.saturating_sub(IN_FORCE_KEPT as u64))..=through {
+        for number in (known + 1).max(through.saturating_sub(MAX_TRACKED_CHANGES as u64))..=through
+        {
             state.in_force.entry(number).or_default();
         }
         for (_, nodes) in state.in_force.range_mut(..=through) {
             nodes.entry(node.clone()).or_insert(now);
         }
-        while IN_FORCE_KEPT < state.in_force.len() {
+        while MAX_TRACKED_CHANGES < state.in_force.len() {
             state.in_force.pop_first();
         }
     }
 
-    /// Whether a node has said that it sends nothing to a host of this epoch, and has nothing in
-    /// flight there.
+    /// Whether a node has acknowledged that it sends nothing to a host of this epoch, and has no
+    /// requests in flight there.
     pub(crate) fn is_quiet(&self, node: &NodeId, host: &HostId, epoch: Epoch) -> bool {
         let state = self.lock();
         let Some(peer) = state.peers.get(node) else {
             return false;
         };
-        let mut acknowledged = peer.said.leaving.iter();
-        acknowledged.any(|q| q.host == *host && epoch <= q.epoch && q.in_flight == 0)
+        let mut acknowledged = peer.heartbeat.leaving.iter();
+        acknowledged.any(|ack| ack.host == *host && epoch <= ack.epoch && ack.in_flight == 0)
     }
 
-    /// Requests of a class and less urgent ones that other nodes have in flight at a service.
+    /// Requests of a class and of less urgent classes that other nodes have in flight at a service.
     pub(crate) fn busy(&self, service: &ServiceId, from_class: usize) -> u32 {
         let state = self.lock();
-        let said = state.peers.values().flat_map(|peer| &peer.said.busy);
-        let counts = said.filter(|(id, _)| id == service).map(|(_, counts)| &counts[from_class..]);
+        let entries = state.peers.values().flat_map(|peer| &peer.heartbeat.busy);
+        let counts =
+            entries.filter(|(id, _)| id == service).map(|(_, counts)| &counts[from_class..]);
         counts.flatten().sum()
     }
 
-    /// Writes of the store a second that other nodes ask for.
+    /// Demand of other nodes in writes of the store per second.
     fn writes(&self, now: Time) -> u32 {
         let state = self.lock();
-        let heard = state.peers.values().filter(|peer| now.since(peer.at) < SILENCE);
-        heard.map(|peer| peer.said.writes).sum()
+        let live = state.peers.values().filter(|peer| now.since(peer.received_at) < IDLE_TIMEOUT);
+        live.map(|peer| peer.heartbeat.writes).sum()
     }
 
-    /// Requests a second that other nodes are asked for by a team.
+    /// Demand of a team at other nodes, in requests per second.
     pub(crate) fn demand(&self, team: &TeamId) -> u32 {
         let state = self.lock();
-        let said = state.peers.values().flat_map(|peer| &peer.said.demand);
-        said.filter(|(id, _)| id == team).map(|(_, rate)| rate).sum()
+        let entries = state.peers.values().flat_map(|peer| &peer.heartbeat.demand);
+        entries.filter(|(id, _)| id == team).map(|(_, rate)| rate).sum()
     }
 
     fn send(&self, to: &[SocketAddr], message: &Message) {
         let state = self.lock();
         for link in to.iter().filter_map(|address| state.links.get(address)) {
-            // A full link is a slow one: its peer asks again by its heartbeat.
+            // A full queue belongs to a slow link: the peer's heartbeats show what it lacks.
             let _ = link.try_send(message.clone());
         }
     }
 }
 
-/// Sends new records at once to the nodes of this zone; others ask for them by heartbeat.
-pub(crate) fn push(node: &Node, from: Revision, to: Revision, entries: Vec<Entry>) {
+/// Sends new records at once to the nodes of this availability zone. Others receive them after
+/// their heartbeats show a stale view.
+pub(crate) fn push_records(node: &Node, from: Revision, to: Revision, entries: Vec<Entry>) {
     let zone = &node.settings.zone;
     let addresses: Vec<SocketAddr> = {
         let view = node.view();
@@ -203,48 +208,48 @@
 pub(crate) async fn dial(node: Arc<Node>) {
     let mut tick = tokio::time::interval(node.settings.timing.heartbeat);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut quiet = 0;
+    let mut idle_ticks = 0;
     loop {
         tick.tick().await;
         let now = Time::now();
-        let wanted = wanted(&node);
-        for address in &wanted {
+        let addresses = peer_addresses(&node);
+        for address in &addresses {
             if !node.peers.lock().links.contains_key(address) {
-                let (sender, receiver) = mpsc::channel(WAITING);
+                let (sender, receiver) = mpsc::channel(LINK_QUEUE_LEN);
                 node.peers.lock().links.insert(*address, sender);
-                tokio::spawn(keep_link(node.clone(), *address, receiver));
+                tokio::spawn(maintain_link(node.clone(), *address, receiver));
             }
         }
         let heartbeat = heartbeat(&node, now);
-        // Nodes that are not registered yet write as well.
-        let nodes = node.view().fleet.nodes.len().max(wanted.len() + 1) as u32;
-        node.pace.hear(nodes, node.peers.writes(now));
+        // Nodes that are not registered yet also write.
+        let nodes = node.view().fleet.nodes.len().max(addresses.len() + 1) as u32;
+        node.write_limiter.set_peer_demand(nodes, node.peers.writes(now));
         node.peers.note_in_force(node.id(), heartbeat.through, now);
-        // A node with nothing to tell says so half as often.
-        quiet = if heartbeat.is_quiet() { quiet + 1 } else { 0 };
-        if quiet % 2 == 0 {
-            node.peers.send(&wanted, &Message::Heartbeat(Box::new(heartbeat)));
+        // An idle node sends heartbeats half as often.
+        idle_ticks = if heartbeat.is_idle() { idle_ticks + 1 } else { 0 };
+        if idle_ticks % 2 == 0 {
+            node.peers.send(&addresses, &Message::Heartbeat(Box::new(heartbeat)));
         }
     }
 }
 
-fn wanted(node: &Node) -> Vec<SocketAddr> {
+fn peer_addresses(node: &Node) -> Vec<SocketAddr> {
     let own = node.settings.listen.peers;
     let registered: Vec<SocketAddr> = {
         let view = node.view();
         view.fleet.nodes.values().filter_map(|record| record.peers.parse().ok()).collect()
     };
-    let mut wanted: Vec<_> = node.settings.peers.iter().copied().chain(registered).collect();
-    wanted.sort();
-    wanted.dedup();
-    wanted.retain(|address| *address != own);
-    wanted
+    let mut addresses: Vec<_> = node.settings.peers.iter().copied().chain(registered).collect();
+    addresses.sort();
+    addresses.dedup();
+    addresses.retain(|address| *address != own);
+    addresses
 }
 
 fn heartbeat(node: &Node, now: Time) -> Heartbeat {
     let view = node.view();
-    let out = view.fleet.hosts.iter().filter(|(_, record)| !record.state.serves());
-    let leaving = out.map(|(host, record)| Quiet {
+    let not_serving = view.fleet.hosts.iter().filter(|(_, record)| !record.state.serves());
+    let leaving = not_serving.map(|(host, record)| LeaveAck {
         host: host.clone(),
         epoch: record.epoch,
         in_flight: node.routes.in_flight(host),
@@ -259,22 +264,26 @@
         leaving: leaving.collect(),
         busy: node.gates.busy(),
         demand: node.gates.demand(now),
-        writes: node.pace.demand(now),
+        writes: node.write_limiter.demand(now),
     }
 }
 
-/// Keeps one link open for as long as its node is wanted.
-async fn keep_link(node: Arc<Node>, address: SocketAddr, mut messages: mpsc::Receiver<Message>) {
+/// Keeps one link open for as long as its address is registered or in the settings.
+async fn maintain_link(
+    node: Arc<Node>,
+    address: SocketAddr,
+    mut messages: mpsc::Receiver<Message>,
+) {
     loop {
         if let Err(error) = send_over_link(&node, address, &mut messages).await {
             log::debug!("peer {address}: link: {error}");
         }
-        if !wanted(&node).contains(&address) {
+        if !peer_addresses(&node).contains(&address) {
             node.peers.lock().links.remove(&address);
             return;
         }
-        tokio::time::sleep(jittered(REDIAL)).await;
-        // What waited meanwhile is old by now.
+        tokio::time::sleep(jittered(REDIAL_DELAY)).await;
+        // Messages queued in the meantime are outdated.
         while messages.try_recv().is_ok() {}
     }
 }
@@ -284,22 +293,22 @@
     address: SocketAddr,
     messages: &mut mpsc::Receiver<Message>,
 ) -> eyre::Result<()> {
-    let stream = tokio::time::timeout(DIAL_LIMIT, TcpStream::connect(address)).await??;
+    let stream = tokio::time::timeout(DIAL_TIMEOUT, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let url = format!("ws://{address}/peers");
-    let dialled = client_async_with_config(url, stream, Some(config()));
-    let (mut link, _) = tokio::time::timeout(DIAL_LIMIT, dialled).await??;
+    let handshake = client_async_with_config(url, stream, Some(config()));
+    let (mut link, _) = tokio::time::timeout(DIAL_TIMEOUT, handshake).await??;
     loop {
         tokio::select! {
             message = messages.recv() => {
                 let Some(message) = message else { return Ok(()) };
                 let mut bytes = Vec::new();
                 ciborium::into_writer(&message, &mut bytes)?;
-                node.traffic.note(bytes.len());
+                node.traffic.record(bytes.len());
                 let sent = link.send(tungstenite::Message::binary(bytes));
-                tokio::time::timeout(SILENCE, sent).await??;
+                tokio::time::timeout(IDLE_TIMEOUT, sent).await??;
             }
-            // The other side sends nothing but its end.
+            // The peer sends nothing on this link except its close.
             received = link.next() => match received {
                 Some(Ok(_)) => {}
                 Some(Err(error)) => return Err(error.into()),
@@ -310,7 +319,9 @@
 }
 
 fn config() -> WebSocketConfig {
-    WebSocketConfig::default().max_message_size(Some(MOST_BYTES)).max_frame_size(Some(MOST_BYTES))
+    WebSocketConfig::default()
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 /// Accepts the links of other nodes for as long as the node runs.
@@ -326,7 +337,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("peers: not accepted: {error}");
+                log::warn!("peers: connection not accepted: {error}");
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         }
@@ -336,12 +347,12 @@
 async fn receive(node: &Node, stream: TcpStream) -> eyre::Result<()> {
     stream.set_nodelay(true)?;
     let accepted = accept_async_with_config(stream, Some(config()));
-    let mut link = tokio::time::timeout(DIAL_LIMIT, accepted).await??;
-    while let Some(message) = tokio::time::timeout(SILENCE, link.next()).await? {
+    let mut link = tokio::time::timeout(DIAL_TIMEOUT, accepted).await??;
+    while let Some(message) = tokio::time::timeout(IDLE_TIMEOUT, link.next()).await? {
         match message? {
             tungstenite::Message::Binary(bytes) => {
-                node.traffic.note(bytes.len());
-                take_in(node, ciborium::from_reader(&bytes[..])?, Time::now());
+                node.traffic.record(bytes.len());
+                handle_message(node, ciborium::from_reader(&bytes[..])?, Time::now());
             }
             tungstenite::Message::Close(_) => break,
             _ => {}
@@ -350,48 +361,49 @@
     Ok(())
 }
 
-fn take_in(node: &Node, message: Message, now: Time) {
+fn handle_message(node: &Node, message: Message, now: Time) {
     match message {
-        Message::Heartbeat(said) => hear(node, *said, now),
+        Message::Heartbeat(heartbeat) => handle_heartbeat(node, *heartbeat, now),
         Message::Records { from, to, entries } => {
             if node.view().extend(from, to, entries) {
-                node.note_change();
+                node.notify_change();
             }
         }
     }
 }
 
-fn hear(node: &Node, said: Heartbeat, now: Time) {
-    node.peers.note_in_force(&said.node, said.through, now);
-    let own = node.view().complete;
-    let (id, theirs) = (said.node.clone(), said.complete);
-    let behind = {
+fn handle_heartbeat(node: &Node, heartbeat: Heartbeat, now: Time) {
+    node.peers.note_in_force(&heartbeat.node, heartbeat.through, now);
+    let own_revision = node.view().complete;
+    let (id, peer_revision) = (heartbeat.node.clone(), heartbeat.complete);
+    let send_due = {
         let mut state = node.peers.lock();
-        let before = state.peers.get(&id).map_or(0, |peer| peer.behind);
-        let behind = if theirs < own { before + 1 } else { 0 };
-        // A node that has nothing yet must not wait.
-        let due = theirs < own && (BEHIND <= behind || theirs == Revision(0));
-        let counted = if due { 0 } else { behind };
-        state.peers.insert(id.clone(), Peer { said, at: now, behind: counted });
+        let before = state.peers.get(&id).map_or(0, |peer| peer.stale_count);
+        let stale = if peer_revision < own_revision { before + 1 } else { 0 };
+        // A node without any records must not wait.
+        let due = peer_revision < own_revision
+            && (STALE_HEARTBEATS <= stale || peer_revision == Revision(0));
+        let counted = if due { 0 } else { stale };
+        state.peers.insert(id.clone(), Peer { heartbeat, received_at: now, stale_count: counted });
         due
     };
-    if behind {
-        catch_up(node, &id, theirs);
+    if send_due {
+        send_missing(node, &id, peer_revision);
     }
 }
 
-/// Sends a node what it lacks.
-fn catch_up(node: &Node, id: &NodeId, from: Revision) {
+/// Sends a node all records that it lacks.
+fn send_missing(node: &Node, id: &NodeId, from: Revision) {
     let (message, address) = {
         let view = node.view();
         let (from, entries) = view.since(from);
         let address = view.fleet.nodes.get(id).and_then(|record| record.peers.parse().ok());
         (Message::Records { from, to: view.complete, entries }, address)
     };
-    let known: Vec<SocketAddr> = match address {
+    let targets: Vec<SocketAddr> = match address {
         Some(address) => vec![address],
-        // Not registered, perhaps because the store is down: it is one of those in the settings.
+        // Not registered, perhaps because the store is down: send to all peers in the settings.
         None => node.settings.peers.clone(),
     };
-    node.peers.send(&known, &message);
+    node.peers.send(&targets, &message);
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -1,4 +1,4 @@
-//! Starts a node, and has it leave without cutting anything off.
+//! Starts a node, and shuts it down without interrupting requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,30 +10,31 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    entry::{forward::Hold, gate::Gates, once::Once, routes::Routes, serve::Entry},
+    entry::{forward::MemoryLimits, gate::Gates, once::ClaimWriters, routes::Routes, serve::Entry},
     http,
     model::unit::Time,
     node::{
-        Node, assign, control, hosts, members, metrics::Metrics, pace::Pace, peers, peers::Peers,
-        sync, traffic::Traffic, view::View,
+        Node, assign, control, hosts, members, metrics::Metrics, pace::WriteLimiter, peers,
+        peers::Peers, sync, traffic::Traffic, view::View,
     },
     operator::api,
     platform::store::Store,
     settings::node::NodeSettings,
 };
 
-/// Connections that operators may have open.
-const OPERATORS: usize = 256;
-/// How long a leaving node goes on accepting callers, so that the balancer notices first.
-const NOTICE: Duration = Duration::from_millis(500);
-/// How long a leaving node waits for the ends of claims to be written.
-const SETTLE: Duration = Duration::from_secs(5);
-/// How old routes may become.
-const REBUILT: Duration = Duration::from_secs(1);
-/// Requests that may find a place when routes change.
-const WOKEN: usize = 64;
-/// Idle connections that are kept to an endpoint.
-const IDLE: usize = 16;
+/// Maximum number of open connections of operators.
+const MAX_OPERATOR_CONNECTIONS: usize = 256;
+/// How long a node accepts callers after its registration has ended, so that the load balancer can
+/// react first.
+const SHUTDOWN_NOTICE: Duration = Duration::from_millis(500);
+/// How long a node that shuts down waits until the results of claimed requests are written.
+const CLAIMS_TIMEOUT: Duration = Duration::from_secs(5);
+/// Routes are rebuilt at this age even without a change.
+const MAX_ROUTE_AGE: Duration = Duration::from_secs(1);
+/// Waiting requests of a service that are woken when routes are refreshed.
+const WAKE_COUNT: usize = 64;
+/// Maximum number of idle connections to an endpoint.
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// The sockets that a node listens on.
 pub(crate) struct Sockets {
@@ -51,7 +52,7 @@
 }
 
 impl Sockets {
-    /// Listens at the addresses of the settings.
+    /// Listens on the addresses of the settings.
     pub(crate) async fn open(settings: &NodeSettings) -> std::io::Result<Sockets> {
         let listen = &settings.listen;
         Ok(Sockets {
@@ -62,54 +63,54 @@
     }
 }
 
-/// A node that does nothing yet, and knows nothing.
-pub(crate) fn idle(settings: NodeSettings) -> Arc<Node> {
+/// Creates a node with an empty view and without running loops.
+pub(crate) fn create(settings: NodeSettings) -> Arc<Node> {
     let metrics = Metrics::new();
     let traffic = Arc::new(Traffic::default());
-    let noted = traffic.clone();
-    let note = move |bytes| noted.note(bytes);
-    let store = Store::over_http(settings.platform.store.as_str(), settings.timing.store, note)
+    let recorded = traffic.clone();
+    let record = move |bytes| recorded.record(bytes);
+    let store = Store::over_http(settings.platform.store.as_str(), settings.timing.store, record)
         .counting(metrics.store_counter());
-    let pace = Arc::new(Pace::new(
+    let write_limiter = Arc::new(WriteLimiter::new(
         settings.platform.writes,
         settings.peers.len().max(1) as u32,
         Time::now(),
     ));
-    let turn = pace.clone();
+    let shared_limiter = write_limiter.clone();
     let store = store.paced(move |priority| {
-        let pace = turn.clone();
-        Box::pin(async move { pace.turn(priority).await })
+        let limiter = shared_limiter.clone();
+        Box::pin(async move { limiter.acquire(priority).await })
     });
-    let once = Once::start(&store, &settings.node, &settings.claims);
+    let claims = ClaimWriters::start(&store, &settings.node, &settings.claims);
     Arc::new(Node {
         started: Time::now(),
         store,
-        pace,
+        write_limiter,
         client: reqwest::Client::new(),
         view: std::sync::Mutex::new(View::default()),
         changed: watch::Sender::new(0),
         peers: Peers::default(),
         routes: Routes::default(),
         gates: Gates::default(),
-        once,
+        claims,
         metrics,
         traffic,
-        leaving: CancellationToken::new(),
+        shutdown: CancellationToken::new(),
         settings,
     })
 }
 
 /// Starts a node on its sockets.
 pub(crate) fn start(settings: NodeSettings, sockets: Sockets) -> Running {
-    let node = idle(settings);
+    let node = create(settings);
     tokio::spawn(sync::watch(node.clone()));
     tokio::spawn(sync::verify(node.clone()));
-    tokio::spawn(hosts::follow(node.clone()));
+    tokio::spawn(hosts::poll(node.clone()));
     tokio::spawn(peers::dial(node.clone()));
     tokio::spawn(peers::accept(node.clone(), sockets.peers));
     tokio::spawn(assign::command(node.clone()));
     tokio::spawn(control::control(node.clone()));
-    tokio::spawn(route(node.clone()));
+    tokio::spawn(refresh_routes(node.clone()));
     let members = tokio::spawn(members::register(node.clone()));
     let stop = http::Stop::default();
     let callers = tokio::spawn(serve_callers(node.clone(), sockets.callers, stop.clone()));
@@ -123,11 +124,14 @@
     let entry = Entry {
         node,
         client: reqwest::Client::builder()
-            .pool_max_idle_per_host(IDLE)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
             .tcp_nodelay(true)
             .build()
-            .expect("a client without TLS needs nothing of the system"),
-        hold: Hold { most: limits.answer, memory: Arc::new(Semaphore::new(limits.held)) },
+            .expect("a client without TLS does not depend on the system"),
+        memory_limits: MemoryLimits {
+            max_answer_bytes: limits.answer,
+            memory: Arc::new(Semaphore::new(limits.held)),
+        },
     };
     let endpoint = make(move |request| {
         let entry = entry.clone();
@@ -141,52 +145,55 @@
         let node = node.clone();
         async move { Ok::<_, poem::Error>(api::answer(node, request).await) }
     });
-    http::serve(listener, OPERATORS, endpoint, http::Stop::default()).await;
+    http::serve(listener, MAX_OPERATOR_CONNECTIONS, endpoint, http::Stop::default()).await;
 }
 
-/// Keeps the routes those of the view, and has waiting requests look again.
-async fn route(node: Arc<Node>) {
+/// Keeps the routes up to date with the view, and wakes waiting requests.
+async fn refresh_routes(node: Arc<Node>) {
     let mut changed = node.changed.subscribe();
-    let mut built = Time::default();
+    let mut last_built = Time::default();
     loop {
         let now = Time::now();
-        // Without a change, only the age of what is known alters the routes.
-        if changed.has_changed().unwrap_or(true) || REBUILT <= now.since(built) {
+        // Without a change, only the age of the list of hosts affects the routes.
+        if changed.has_changed().unwrap_or(true) || MAX_ROUTE_AGE <= now.since(last_built) {
             changed.borrow_and_update();
-            built = now;
+            last_built = now;
             let view = node.view();
             node.routes.rebuild(&view.fleet, node.id().as_str(), now, &node.settings.rules);
         }
-        node.gates.wake_all(WOKEN);
+        node.gates.wake_all(WAKE_COUNT);
         let wait = tokio::time::sleep(node.settings.timing.control);
         tokio::select! {
             () = wait => {}
-            // Seen again above.
+            // Marked again for the check at the top of the loop.
             _ = changed.changed() => changed.mark_changed(),
         }
     }
 }
 
 impl Running {
-    /// Has the node leave: its work goes to others, its registration ends, and requests that run
-    /// are answered first.
+    /// Shuts the node down: ends its registration, so that other nodes take over its work, and
+    /// completes running requests.
     pub(crate) async fn leave(self) {
-        log::info!("node {}: leaving", self.node.id());
-        self.node.leaving.cancel();
-        // A task that panicked has told so itself; leaving goes on without it.
+        log::info!("node {}: shutting down", self.node.id());
+        self.node.shutdown.cancel();
+        // A panic of the task has been reported; the shutdown continues.
         let _ = self.members.await;
-        tokio::time::sleep(NOTICE).await;
+        tokio::time::sleep(SHUTDOWN_NOTICE).await;
         self.stop.gently.cancel();
-        // As above: what is left is only to wait for claims.
+        // As above; only the results of claimed requests remain to be written.
         let _ = self.callers.await;
-        let settled = async {
-            while !self.node.once.is_settled() {
+        let flushed = async {
+            while !self.node.claims.is_flushed() {
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        if tokio::time::timeout(SETTLE, settled).await.is_err() {
-            log::warn!("node {}: ends of some claims were not written", self.node.id());
+        if tokio::time::timeout(CLAIMS_TIMEOUT, flushed).await.is_err() {
+            log::warn!(
+                "node {}: the results of some claimed requests were not written",
+                self.node.id()
+            );
         }
-        log::info!("node {}: left", self.node.id());
+        log::info!("node {}: shut down", self.node.id());
     }
 }
--- a/src/node/sync.rs
+++ b/src/node/sync.rs
@@ -1,8 +1,8 @@
-//! Keeps the view that of the store: a watch, and now and then a comparison, in case a watch is
-//! silent without being cut.
+//! Keeps the view in sync with the store: by a watch, and by periodic comparisons in case a watch
+//! stays open but delivers nothing.
 //!
-//! Two nodes of each availability zone watch; the others hear through their peers. Which two, they
-//! work out by themselves: there is no election.
+//! Two nodes of each availability zone watch the store; the others receive updates from their
+//! peers. Each node determines the two by rendezvous hashing, without an election.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,45 +19,45 @@
     platform::store::StoreError,
 };
 
-/// Nodes of a zone that watch the store.
+/// Number of nodes of an availability zone that watch the store.
 const WATCHERS: usize = 2;
-/// The first wait after a failure; it doubles up to the longest.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
+/// Wait after the first failure; it doubles up to `MAX_BACKOFF`.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// Watches for as long as the node runs.
+/// Watches the store for as long as the node runs.
 pub(crate) async fn watch(node: Arc<Node>) {
-    let mut wait = FIRST_WAIT;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
         if !is_watcher(&node) {
             tokio::time::sleep(node.settings.timing.verify).await;
             continue;
         }
-        let began = Time::now();
+        let started_at = Time::now();
         match watch_once(&node).await {
             Ok(()) => log::debug!("store watch: ended"),
             Err(error) => log::warn!("store watch: {error}"),
         }
-        if LONGEST_WAIT < Time::now().since(began) {
-            wait = FIRST_WAIT;
+        if MAX_BACKOFF < Time::now().since(started_at) {
+            backoff = INITIAL_BACKOFF;
         }
-        tokio::time::sleep(jittered(wait)).await;
-        wait = (wait * 2).min(LONGEST_WAIT);
+        tokio::time::sleep(jittered(backoff)).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 /// Compares the view with the store for as long as the node runs.
 pub(crate) async fn verify(node: Arc<Node>) {
-    let every = node.settings.timing.verify;
+    let interval = node.settings.timing.verify;
     loop {
-        tokio::time::sleep(jittered(every)).await;
+        tokio::time::sleep(jittered(interval)).await;
         if let Err(error) = verify_once(&node).await {
             log::debug!("store comparison: {error}");
         }
     }
 }
 
-/// Reads everything once, if the view is not known to be complete.
+/// Reads all watched records into the view.
 pub(crate) async fn load(node: &Node) -> Result<(), StoreError> {
     let (entries, revision) = node.store.list(WATCHED).await?;
     {
@@ -65,23 +65,23 @@
         view.replace(entries, revision);
         view.verified = Time::now();
     }
-    node.note_change();
+    node.notify_change();
     Ok(())
 }
 
-/// A time drawn between half and all of `span`, so that nodes do not come back all at once.
+/// A random time between half of `span` and `span`, so that nodes do not retry all at once.
 pub(crate) fn jittered(span: Duration) -> Duration {
     span.mul_f64(0.5 + rand::random::<f64>() / 2.0)
 }
 
-/// Whether this node holds a watch of the store.
+/// Whether this node should watch the store.
 pub(crate) fn is_watcher(node: &Node) -> bool {
     let view = node.view();
     let zone = &node.settings.zone;
     let same_zone = view.fleet.nodes.iter().filter(|(_, record)| record.zone == *zone);
     let members = same_zone.map(|(id, _)| id.as_str());
     let chosen = rendezvous::first(members, zone.as_str(), WATCHERS);
-    // A node that is not registered yet must learn the members first.
+    // A node that is not registered yet watches to learn the members.
     chosen.is_empty() || chosen.contains(&node.id().as_str()) || !is_registered(&view, node.id())
 }
 
@@ -106,9 +106,9 @@
         };
         let changed = node.view().extend(from, to, batch.entries.clone());
         if changed {
-            node.note_change();
+            node.notify_change();
         }
-        peers::push(node, from, to, batch.entries);
+        peers::push_records(node, from, to, batch.entries);
         from = to;
         if !is_watcher(node) {
             return Ok(());
@@ -118,17 +118,17 @@
 }
 
 async fn verify_once(node: &Node) -> Result<(), StoreError> {
-    let began = Time::now();
+    let started_at = Time::now();
     let newest = node.store.newest(WATCHED).await?;
-    let held = node.view().newest();
-    if held < newest {
-        // The watch may just be on its way with it: look again before reading everything.
+    let own = node.view().newest();
+    if own < newest {
+        // The watch may be about to deliver the change: check again before reading everything.
         tokio::time::sleep(Duration::from_millis(300)).await;
         if node.view().newest() < newest {
-            log::info!("view is behind the store ({held} < {newest}): reading all of it");
+            log::info!("view is behind the store ({own} < {newest}): reading all records");
             return load(node).await;
         }
     }
-    node.view().verified = began;
+    node.view().verified = started_at;
     Ok(())
 }
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of the view: a node hears the store's changes by its watch, by whole reads and
-//! by peers whose views are older, late, twice, out of order and with parts lost.
+//! Stateful fuzzing of the view: a node receives the store's changes by its watch, by full reads
+//! and by messages of peers that are outdated, late, duplicated, reordered or lost.
 
 use std::collections::BTreeMap;
 
@@ -22,21 +22,21 @@
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
-    /// An operator's change of the configuration is accepted.
+    /// A change of the configuration is accepted.
     Accept { rate: u8 },
-    /// A host's record is written again.
-    Touch,
-    /// Old changes are folded into the base, and deleted.
+    /// A host's record is written with the next epoch.
+    WriteHost,
+    /// All changes are folded into the base, and deleted.
     Fold,
-    /// A node's watch delivers so many changes.
+    /// A node's watch delivers up to `count % 8` changes.
     Watch { view: u8, count: u8 },
-    /// A node reads everything.
+    /// A node reads the whole store.
     Load { view: u8 },
-    /// A node's message to another, with all that it holds since some revision, is on its way.
+    /// A node sends another one all that it holds after some revision.
     Push { from: u8, to: u8, since: u8 },
-    /// One of the messages under way arrives, and may come again.
-    Arrive { message: u8, again: bool },
-    /// A node is replaced by one that knows nothing.
+    /// A message in flight is delivered; with `again`, it stays in flight to be delivered again.
+    Deliver { message: u8, again: bool },
+    /// A node is replaced by one with an empty view.
     Replace { view: u8 },
 }
 
@@ -48,23 +48,23 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Harness {
     revision: u64,
     store: BTreeMap<String, Entry>,
     log: Vec<Entry>,
-    /// The truth: the rate after each change.
+    /// Oracle: the rate set by each change.
     rates: Vec<u32>,
     base: u64,
     views: Vec<View>,
-    /// The newest change that each view ever had in force.
+    /// The newest change that was ever in force in each view.
     through: Vec<u64>,
     epoch: u64,
-    /// The newest epoch of the host that each view ever held.
+    /// The newest epoch of the host that was ever in each view.
     epochs: Vec<u64>,
     messages: Vec<Message>,
 }
 
-/// Changes take turns, so that one that is left out shows.
+/// Changes alternate between two teams, so that a missing one is detected.
 fn team(number: u64) -> TeamId {
     format!("team-{}", number % 2).parse().unwrap()
 }
@@ -73,7 +73,7 @@
     "host".parse().unwrap()
 }
 
-impl World {
+impl Harness {
     fn write(&mut self, key: &Key, record: Option<Record>) {
         self.revision += 1;
         let (path, revision) = (key.path(), Revision(self.revision));
@@ -99,7 +99,7 @@
                 let record = ChangeRecord { op, by: String::new(), at, change };
                 self.write(&Key::Change(number), Some(Record::Change(number, record)));
             }
-            Op::Touch => {
+            Op::WriteHost => {
                 self.epoch += 1;
                 let record = HostRecord {
                     pool: "pool".parse().unwrap(),
@@ -125,7 +125,7 @@
                 let (to, until) = (usize::from(to) % VIEWS, view.complete);
                 self.messages.push(Message { to, from, until, entries });
             }
-            Op::Arrive { message, again } => {
+            Op::Deliver { message, again } => {
                 if self.messages.is_empty() {
                     return;
                 }
@@ -150,7 +150,7 @@
             return;
         }
         let mut base = ConfigBase { through, ..ConfigBase::default() };
-        base.config.teams = self.truth(through);
+        base.config.teams = self.expected_teams(through);
         self.write(&Key::Base, Some(Record::Base(base)));
         for number in self.base + 1..=through {
             self.write(&Key::Change(number), None);
@@ -158,8 +158,8 @@
         self.base = through;
     }
 
-    /// The teams after so many changes.
-    fn truth(&self, through: u64) -> BTreeMap<TeamId, Team> {
+    /// The expected teams after the given number of changes.
+    fn expected_teams(&self, through: u64) -> BTreeMap<TeamId, Team> {
         let changes = (1..=through).zip(&self.rates);
         changes.map(|(number, rate)| (team(number), Team { rate: PerSecond(*rate) })).collect()
     }
@@ -174,40 +174,49 @@
         }
     }
 
-    /// The oracle: no view goes back, and each has the rate of the change that it says is in force.
+    /// Checks that no view goes back, and that each has the teams of the change that it reports in
+    /// force.
     fn check(&mut self) {
         let known = self.views.iter().map(|view| view.fleet.through);
-        let truths: BTreeMap<u64, _> = known.map(|at| (at, self.truth(at))).collect();
-        let kept = self.through.iter_mut().zip(&mut self.epochs);
-        for (view, (through, held)) in self.views.iter().zip(kept) {
+        let expected: BTreeMap<u64, _> = known.map(|at| (at, self.expected_teams(at))).collect();
+        let newest = self.through.iter_mut().zip(&mut self.epochs);
+        for (view, (through, last_epoch)) in self.views.iter().zip(newest) {
             let fleet = &view.fleet;
             assert!(*through <= fleet.through, "went back from {through} to {}", fleet.through);
             *through = fleet.through;
-            assert_eq!(fleet.config.teams, truths[&fleet.through], "at {}", fleet.through);
+            assert_eq!(fleet.config.teams, expected[&fleet.through], "at {}", fleet.through);
             let epoch = fleet.hosts.get(&host()).map_or(0, |record| record.epoch.0);
-            assert!(*held <= epoch, "host went back from epoch {held} to {epoch}");
-            *held = epoch;
+            assert!(*last_epoch <= epoch, "host went back from epoch {last_epoch} to {epoch}");
+            *last_epoch = epoch;
             if view.complete.0 == self.revision {
-                assert_eq!(fleet.through, self.rates.len() as u64, "complete, but behind");
+                assert_eq!(
+                    fleet.through,
+                    self.rates.len() as u64,
+                    "the view is complete, but lacks changes"
+                );
             }
         }
     }
 }
 
 #[test]
-fn no_view_goes_back_whatever_arrives() {
+fn views_never_go_back_on_late_reordered_or_lost_updates() {
     fuzz(2000, 120, |ops: &[Op]| {
         let views = (0..VIEWS).map(|_| View::default()).collect();
-        let mut world =
-            World { views, through: vec![0; VIEWS], epochs: vec![0; VIEWS], ..World::default() };
+        let mut harness = Harness {
+            views,
+            through: vec![0; VIEWS],
+            epochs: vec![0; VIEWS],
+            ..Harness::default()
+        };
         for op in ops {
-            world.apply(*op);
-            world.check();
+            harness.apply(*op);
+            harness.check();
         }
-        // Whatever was lost, a whole read brings everything.
+        // After any loss, a full read restores everything.
         for view in 0..VIEWS as u8 {
-            world.apply(Op::Load { view });
+            harness.apply(Op::Load { view });
         }
-        world.check();
+        harness.check();
     });
 }
--- a/src/node/traffic.rs
+++ b/src/node/traffic.rs
@@ -1,4 +1,5 @@
-//! Counts the bytes of control: store, list of hosts, links and commands, without their headers.
+//! Counts the bytes of control traffic (store, list of hosts, peer links and commands), without
+//! HTTP headers.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -9,12 +10,12 @@
 }
 
 impl Traffic {
-    /// Notes bytes that were sent or received.
-    pub(crate) fn note(&self, bytes: usize) {
+    /// Adds bytes that were sent or received.
+    pub(crate) fn record(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// All bytes so far.
+    /// Total bytes so far.
     pub(crate) fn total(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,5 +1,5 @@
-//! What a node knows: every watched record at its newest revision. A record never gives way to an
-//! older one, whatever order the store's watch, peers and restarts deliver them in.
+//! A node's view: every watched record at its newest revision. A record is never replaced by an
+//! older one, in whatever order the store's watch, peers and restarts deliver them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,26 +12,27 @@
     platform::store::Entry,
 };
 
-/// Deleted keys that are remembered, so that no older peer brings them back.
+/// Maximum number of remembered deletions, so that peers with older views do not restore records.
 const TOMBSTONES: usize = 10_000;
 
-/// What a node knows.
+/// The records that a node holds.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) fleet: Fleet,
     entries: BTreeMap<String, Entry>,
     by_revision: BTreeSet<(Revision, String)>,
     tombstones: BTreeSet<(Revision, String)>,
-    /// Deletions up to here are forgotten: a key that is not held and is older was deleted.
+    /// Deletions up to this revision are forgotten: an entry that is not newer, and whose key is
+    /// not held, counts as deleted.
     floor: Revision,
-    /// Every change up to here is held.
+    /// Every change up to this revision is held.
     pub(crate) complete: Revision,
-    /// When the view was last known to be that of the store.
+    /// When the view was last known to match the store.
     pub(crate) verified: Time,
 }
 
 impl View {
-    /// Takes in an entry if it is newer than what is held. Tells whether it was.
+    /// Applies an entry if it is newer than the held one. Returns whether it was.
     pub(crate) fn apply(&mut self, entry: Entry) -> bool {
         let held = self.entries.get(&entry.key).map(|held| held.revision);
         if entry.revision <= held.unwrap_or(self.floor) {
@@ -47,7 +48,7 @@
         match &entry.value {
             Some(value) => match key.read(value) {
                 Ok(record) => self.fleet.put(record, entry.revision),
-                Err(error) => log::error!("record {}: not understood: {error}", entry.key),
+                Err(error) => log::error!("record {}: cannot be parsed: {error}", entry.key),
             },
             None => {
                 self.fleet.remove(&key);
@@ -60,41 +61,41 @@
         true
     }
 
-    /// Takes in all entries of the store as of a revision: what is held and not among them was
+    /// Applies all entries of the store as of a revision. Held entries that are not among them were
     /// deleted.
     pub(crate) fn replace(&mut self, entries: Vec<Entry>, revision: Revision) {
         let listed: BTreeSet<String> = entries.iter().map(|entry| entry.key.clone()).collect();
-        let gone: Vec<String> = self
+        let deleted: Vec<String> = self
             .entries
             .values()
             .filter(|held| held.value.is_some() && held.revision <= revision)
             .filter(|held| !listed.contains(&held.key))
             .map(|held| held.key.clone())
             .collect();
-        for key in gone {
+        for key in deleted {
             self.apply(Entry { key, revision, value: None });
         }
-        // The base comes before the changes that were folded into it, by the order of keys.
+        // By the order of keys, the base is applied before the changes that were folded into it.
         for entry in entries {
             self.apply(entry);
         }
         self.complete = self.complete.max(revision);
     }
 
-    /// Takes in all changes after `from` up to `to`. Tells whether any was new.
+    /// Applies all changes after `from` up to `to`. Returns whether any was new.
     pub(crate) fn extend(&mut self, from: Revision, to: Revision, entries: Vec<Entry>) -> bool {
-        let mut new = false;
+        let mut changed = false;
         for entry in entries {
-            new |= self.apply(entry);
+            changed |= self.apply(entry);
         }
         if from <= self.complete {
             self.complete = self.complete.max(to);
         }
-        new
+        changed
     }
 
-    /// Every change after a revision, with the revision that they really start from: the very
-    /// first if deletions since then are forgotten.
+    /// Every change after a revision, with the revision that they start from: 0 if deletions after
+    /// the given revision are forgotten.
     pub(crate) fn since(&self, from: Revision) -> (Revision, Vec<Entry>) {
         let from = if from < self.floor { Revision(0) } else { from };
         let after = self.by_revision.range((Revision(from.0 + 1), String::new())..);
@@ -102,15 +103,15 @@
         (from, entries)
     }
 
-    /// Bytes of all records that are held.
+    /// Bytes of all held records.
     pub(crate) fn size(&self) -> usize {
         let size = |entry: &Entry| entry.key.len() + entry.value.as_ref().map_or(0, |v| v.len());
         self.entries.values().map(size).sum()
     }
 
-    /// The newest revision of the records that are held.
+    /// The newest revision of the held records.
     pub(crate) fn newest(&self) -> Revision {
-        // An empty view stands at revision 0, before every record.
+        // An empty view is at revision 0, before every record.
         self.by_revision.last().map(|(revision, _)| *revision).unwrap_or_default()
     }
 
--- a/src/node/write.rs
+++ b/src/node/write.rs
@@ -1,4 +1,4 @@
-//! Conditional writes of records, with the view brought up to date by what the store answers.
+//! Conditional writes of records. The store's answer is applied to the view.
 
 use bytes::Bytes;
 
@@ -11,67 +11,67 @@
     platform::store::{Entry, Guard, StoreError, Swap},
 };
 
-/// How a write ended.
+/// Result of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Written {
-    /// It stands, at this revision.
-    Yes(Revision),
-    /// Somebody else wrote first: the view holds what stands now.
+pub(crate) enum WriteResult {
+    /// The record was written, at this revision.
+    Done(Revision),
+    /// The key was changed in the meantime; the view holds its current record.
     Conflict,
 }
 
-/// Writes a record if the store holds the one that it was made from, at `expect`.
+/// Writes a record if the revision in the store is still `expect`.
 pub(crate) async fn write(
     node: &Node,
     record: Record,
     expect: Revision,
-) -> Result<Written, StoreError> {
+) -> Result<WriteResult, StoreError> {
     write_guarded(node, record, expect, &[]).await
 }
 
-/// As [`write()`], if the records that it rests on are in the store as they were then, too.
+/// Like [`write()`], but only if its dependencies are unchanged in the store as well.
 pub(crate) async fn write_guarded(
     node: &Node,
     record: Record,
     expect: Revision,
-    rests_on: &[(Key, Revision)],
-) -> Result<Written, StoreError> {
+    dependencies: &[(Key, Revision)],
+) -> Result<WriteResult, StoreError> {
     let key = record.key().path();
     let value = Bytes::from(record.to_json());
-    let guards = rests_on.iter().filter(|(guard, _)| *guard != record.key());
+    let guards = dependencies.iter().filter(|(guard, _)| *guard != record.key());
     let guards = guards.map(|(key, revision)| Guard { key: key.path(), revision: *revision });
     let swapped = node.store.swap_surely(&key, expect, guards.collect(), value.clone()).await?;
-    Ok(take_in(node, &key, Some(value), swapped))
+    Ok(apply_swap(node, &key, Some(value), swapped))
 }
 
-/// Takes in what stands under a key now.
+/// Reads the current record of a key into the view.
 pub(crate) async fn refresh(node: &Node, key: &Key) -> Result<(), StoreError> {
     let entry = node.store.get(&key.path()).await?;
     if entry.is_some_and(|entry| node.view().apply(entry)) {
-        node.note_change();
+        node.notify_change();
     }
     Ok(())
 }
 
-/// Deletes a record if the store holds it at `expect`.
+/// Deletes a record if its revision in the store is still `expect`.
 pub(crate) async fn delete(
     node: &Node,
     key: &str,
     expect: Revision,
-) -> Result<Written, StoreError> {
+) -> Result<WriteResult, StoreError> {
     let swapped = node.store.swap(key, expect, None, None).await?;
-    Ok(take_in(node, key, None, swapped))
+    Ok(apply_swap(node, key, None, swapped))
 }
 
-fn take_in(node: &Node, key: &str, value: Option<Bytes>, swapped: Swap) -> Written {
-    let (entry, written) = match swapped {
+fn apply_swap(node: &Node, key: &str, value: Option<Bytes>, swapped: Swap) -> WriteResult {
+    let (entry, result) = match swapped {
         Swap::Done(revision) => {
-            (Some(Entry { key: key.to_owned(), revision, value }), Written::Yes(revision))
+            (Some(Entry { key: key.to_owned(), revision, value }), WriteResult::Done(revision))
         }
-        Swap::Conflict(entry) => (entry, Written::Conflict),
+        Swap::Conflict(entry) => (entry, WriteResult::Conflict),
     };
     if entry.is_some_and(|entry| node.view().apply(entry)) {
-        node.note_change();
+        node.notify_change();
     }
-    written
+    result
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: the API that every node serves, and the commands that call it.
+//! The operators' API that every node serves, and the commands that call it.
 
 pub(crate) mod api;
 pub(crate) mod client;
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -25,7 +25,7 @@
     },
     node::{
         Node,
-        write::{self, Written},
+        write::{self, WriteResult},
     },
     operator::{
         message::{
@@ -36,46 +36,45 @@
     platform::store::StoreError,
 };
 
-/// Largest body that is read.
-const MOST_BODY: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Why a call is refused.
+/// An error answer: its HTTP status and body.
 #[derive(Debug)]
-struct Refused {
+struct ApiError {
     status: StatusCode,
     refusal: Refusal,
 }
 
-impl Refused {
-    fn new(status: StatusCode, error: impl Into<String>) -> Refused {
-        Refused { status, refusal: Refusal { error: error.into(), fresh: None } }
+impl ApiError {
+    fn new(status: StatusCode, error: impl Into<String>) -> ApiError {
+        ApiError { status, refusal: Refusal { error: error.into(), fresh: None } }
     }
 }
 
-impl From<StoreError> for Refused {
-    fn from(error: StoreError) -> Refused {
+impl From<StoreError> for ApiError {
+    fn from(error: StoreError) -> ApiError {
         let text = if error.is_unknown() {
-            format!("{error}; look at the status before you try again")
+            format!("{error}; check the status before trying again")
         } else {
             format!("{error}; nothing was changed")
         };
-        Refused::new(StatusCode::SERVICE_UNAVAILABLE, text)
+        ApiError::new(StatusCode::SERVICE_UNAVAILABLE, text)
     }
 }
 
-impl From<http::BodyError> for Refused {
-    fn from(error: http::BodyError) -> Refused {
-        Refused::new(StatusCode::BAD_REQUEST, error.to_string())
+impl From<http::BodyError> for ApiError {
+    fn from(error: http::BodyError) -> ApiError {
+        ApiError::new(StatusCode::BAD_REQUEST, error.to_string())
     }
 }
 
-/// Who does a thing to a host.
+/// Request to release a host from quarantine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub(crate) struct ByWhom {
+pub(crate) struct ReleaseRequest {
     pub(crate) by: String,
 }
 
-/// Answers one call.
+/// Answers one API call.
 pub(crate) async fn answer(node: Arc<Node>, mut request: Request) -> Response {
     let path = request.uri().path().to_owned();
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -85,9 +84,9 @@
         ["metrics"] => return metrics(&node, now),
         ["v1", "status", list] => reply(status::rows(&node, list, now).ok_or_else(|| {
             let text = format!(
-                "there is no list {list}: hosts, pools, services, plans, nodes or changes are"
+                "unknown list {list}: hosts, pools, services, plans, nodes or changes are allowed"
             );
-            Refused::new(StatusCode::NOT_FOUND, text)
+            ApiError::new(StatusCode::NOT_FOUND, text)
         })),
         ["v1", "plans", id] => reply(show(&node, id, now)),
         ["v1", "apply"] if is_post => reply(apply(&node, &mut request, now).await),
@@ -101,26 +100,26 @@
         ["v1", "hosts", id, "release"] if is_post => {
             reply(release(&node, id, &mut request, now).await)
         }
-        _ => Err(Refused::new(StatusCode::NOT_FOUND, format!("there is no call {path}"))),
+        _ => Err(ApiError::new(StatusCode::NOT_FOUND, format!("there is no API call {path}"))),
     };
     answered.unwrap_or_else(|refused| http::json(refused.status, &refused.refusal))
 }
 
-fn reply<T: Serialize>(result: Result<T, Refused>) -> Result<Response, Refused> {
+fn reply<T: Serialize>(result: Result<T, ApiError>) -> Result<Response, ApiError> {
     result.map(|value| http::json(StatusCode::OK, &value))
 }
 
-async fn read<T: DeserializeOwned>(request: &mut Request) -> Result<T, Refused> {
-    Ok(http::read_json(request, MOST_BODY).await?)
+async fn read<T: DeserializeOwned>(request: &mut Request) -> Result<T, ApiError> {
+    Ok(http::read_json(request, MAX_BODY_BYTES).await?)
 }
 
 fn metrics(node: &Node, now: Time) -> Response {
     {
         let view = node.view();
         let age = now.since(view.verified);
-        node.metrics.view(age, view.size(), view.fleet.through);
+        node.metrics.set_view(age, view.size(), view.fleet.through);
         for (id, placement) in &view.fleet.placements {
-            node.metrics.permits(id.as_str(), placement.permits.len());
+            node.metrics.set_permits(id.as_str(), placement.permits.len());
         }
     }
     let mut response = http::text(StatusCode::OK, node.metrics.text());
@@ -130,35 +129,35 @@
     response
 }
 
-/// Accepts a configuration: one write, of which the number is the place in the order of changes.
-async fn apply(node: &Node, request: &mut Request, now: Time) -> Result<ApplyAnswer, Refused> {
-    let asked: ApplyRequest = read(request).await?;
+/// Accepts a configuration by one write, whose number is its position in the sequence of changes.
+async fn apply(node: &Node, request: &mut Request, now: Time) -> Result<ApplyAnswer, ApiError> {
+    let body: ApplyRequest = read(request).await?;
     let (change, next) = {
         let view = node.view();
-        let change = apply::check(&view.fleet, &asked.config, now, &node.settings.rules)
-            .map_err(|reasons| Refused::new(StatusCode::CONFLICT, reasons.join("\n")))?;
+        let change = apply::check(&view.fleet, &body.config, now, &node.settings.rules)
+            .map_err(|reasons| ApiError::new(StatusCode::CONFLICT, reasons.join("\n")))?;
         (change, view.fleet.through + 1)
     };
-    let changes = lines(&change);
-    if asked.dry || change.is_empty() {
+    let changes = change_lines(&change);
+    if body.dry || change.is_empty() {
         return Ok(ApplyAnswer { changes, number: None });
     }
-    let record = ChangeRecord { op: OpId::fresh(), by: asked.by, at: now, change };
+    let record = ChangeRecord { op: OpId::fresh(), by: body.by, at: now, change };
     let written = write::write(node, Record::Change(next, record), Revision(0)).await?;
-    if written == Written::Conflict {
+    if written == WriteResult::Conflict {
         let view = node.view();
         let by = view.fleet.changes.get(&next).map(|other| other.by.clone()).unwrap_or_default();
         let text = format!(
-            "{by} made change {next} at the same time; nothing of yours was applied: look at the \
-             differences and apply again"
+            "{by} made change {next} at the same time; nothing was applied: check the differences and \
+             apply again"
         );
-        return Err(Refused::new(StatusCode::CONFLICT, text));
+        return Err(ApiError::new(StatusCode::CONFLICT, text));
     }
     log::info!("configuration: change {next} accepted");
     Ok(ApplyAnswer { changes, number: Some(next) })
 }
 
-fn lines(change: &Change) -> Vec<String> {
+fn change_lines(change: &Change) -> Vec<String> {
     let pools = change.pools.iter().map(|(id, pool)| match pool {
         Some(pool) => format!("set pool {id}: {} hosts", pool.hosts),
         None => format!("remove pool {id}"),
@@ -177,36 +176,37 @@
     pools.chain(teams).chain(services).collect()
 }
 
-/// Works out a plan and stores it as proposed: nothing else happens until it is confirmed.
-async fn intent(node: &Node, request: &mut Request, now: Time) -> Result<Plan, Refused> {
-    let asked: IntentRequest = read(request).await?;
+/// Computes a plan and stores it as proposed. Nothing else happens until it is confirmed.
+async fn intent(node: &Node, request: &mut Request, now: Time) -> Result<Plan, ApiError> {
+    let body: IntentRequest = read(request).await?;
     let plan = {
         let view = node.view();
-        let hosts = select(&view.fleet, &asked.selection)?;
+        let hosts = select(&view.fleet, &body.selection)?;
         let intent = Intent {
-            action: asked.action,
+            action: body.action,
             hosts,
-            deadline: asked.deadline,
-            reason: asked.reason,
-            by: asked.by,
+            deadline: body.deadline,
+            reason: body.reason,
+            by: body.by,
         };
         let (id, op) = (PlanId::fresh(), OpId::fresh());
         plan::propose(&view.fleet, id, op, intent, now, &node.settings.rules)
     };
     let record = Record::Plan(plan.id.clone(), Box::new(plan.clone()));
     match write::write(node, record, Revision(0)).await? {
-        Written::Yes(_) => Ok(plan),
-        Written::Conflict => {
-            Err(Refused::new(StatusCode::CONFLICT, "the identifier is taken: try again"))
-        }
+        WriteResult::Done(_) => Ok(plan),
+        WriteResult::Conflict => Err(ApiError::new(
+            StatusCode::CONFLICT,
+            "the plan identifier is already in use: try again",
+        )),
     }
 }
 
-/// The hosts that a selection names. A name that is unknown refuses the whole.
+/// The hosts that a selection names. An unknown name is an error.
 fn select(
     fleet: &crate::model::fleet::Fleet,
     selection: &Selection,
-) -> Result<Vec<HostId>, Refused> {
+) -> Result<Vec<HostId>, ApiError> {
     let mut hosts: BTreeSet<HostId> = BTreeSet::new();
     let mut unknown = Vec::new();
     for host in &selection.hosts {
@@ -238,55 +238,65 @@
     }
     if !unknown.is_empty() {
         let text = format!("no host is known for: {}; nothing was planned", unknown.join(", "));
-        return Err(Refused::new(StatusCode::NOT_FOUND, text));
+        return Err(ApiError::new(StatusCode::NOT_FOUND, text));
     }
     if hosts.is_empty() {
-        return Err(Refused::new(StatusCode::BAD_REQUEST, "the intent names no hosts"));
+        return Err(ApiError::new(StatusCode::BAD_REQUEST, "the intent names no hosts"));
     }
     Ok(hosts.into_iter().collect())
 }
 
-fn show(node: &Node, id: &str, now: Time) -> Result<PlanView, Refused> {
+fn show(node: &Node, id: &str, now: Time) -> Result<PlanView, ApiError> {
     let id = plan_id(id)?;
     status::plan_view(node, &id, now).ok_or_else(|| unknown_plan(&id))
 }
 
-fn plan_id(id: &str) -> Result<PlanId, Refused> {
-    id.parse().map_err(|error| Refused::new(StatusCode::BAD_REQUEST, format!("{error}")))
+fn plan_id(id: &str) -> Result<PlanId, ApiError> {
+    id.parse().map_err(|error| ApiError::new(StatusCode::BAD_REQUEST, format!("{error}")))
 }
 
-fn unknown_plan(id: &PlanId) -> Refused {
-    Refused::new(StatusCode::NOT_FOUND, format!("there is no plan {id}"))
+fn unknown_plan(id: &PlanId) -> ApiError {
+    ApiError::new(StatusCode::NOT_FOUND, format!("there is no plan {id}"))
 }
 
-async fn confirm(node: &Node, id: &str, request: &mut Request, now: Time) -> Result<Plan, Refused> {
+async fn confirm(
+    node: &Node,
+    id: &str,
+    request: &mut Request,
+    now: Time,
+) -> Result<Plan, ApiError> {
     let id = plan_id(id)?;
-    let asked: Decision = read(request).await?;
-    let Some(digest) = asked.digest else {
-        return Err(Refused::new(StatusCode::BAD_REQUEST, "a confirmation names the digest"));
+    let body: Decision = read(request).await?;
+    let Some(digest) = body.digest else {
+        return Err(ApiError::new(
+            StatusCode::BAD_REQUEST,
+            "the digest is missing from the confirmation",
+        ));
     };
-    hear_of(node, &id).await?;
+    load_plan(node, &id).await?;
     let rules = &node.settings.rules;
     let (decided, expect) = {
         let view = node.view();
         let op = OpId::fresh();
-        let decided = plan::confirm(&view.fleet, &id, &digest, &asked.by, op, now, rules);
+        let decided = plan::confirm(&view.fleet, &id, &digest, &body.by, op, now, rules);
         (decided, view.fleet.revision(&Key::Plan(id.clone())))
     };
     match decided {
         Ok(plan) => store_plan(node, plan, expect).await,
-        Err(error @ PlanError::Stale { .. }) => Err(replaced(node, &id, error, now).await?),
-        Err(error) => Err(refused(error)),
+        Err(error @ PlanError::Stale { .. }) => {
+            Err(propose_replacement(node, &id, error, now).await?)
+        }
+        Err(error) => Err(plan_error(error)),
     }
 }
 
-/// Stores a fresh plan next to one that no longer holds, and tells both.
-async fn replaced(
+/// Stores a new plan to replace a stale one, and returns the refusal with the new plan.
+async fn propose_replacement(
     node: &Node,
     id: &PlanId,
     error: PlanError,
     now: Time,
-) -> Result<Refused, Refused> {
+) -> Result<ApiError, ApiError> {
     let fresh = {
         let view = node.view();
         let Some(old) = view.fleet.plans.get(id) else {
@@ -298,24 +308,24 @@
     let record = Record::Plan(fresh.id.clone(), Box::new(fresh.clone()));
     write::write(node, record, Revision(0)).await?;
     let refusal = Refusal { error: error.to_string(), fresh: Some(Box::new(fresh)) };
-    Ok(Refused { status: StatusCode::CONFLICT, refusal })
+    Ok(ApiError { status: StatusCode::CONFLICT, refusal })
 }
 
-async fn cancel(node: &Node, id: &str, request: &mut Request, now: Time) -> Result<Plan, Refused> {
+async fn cancel(node: &Node, id: &str, request: &mut Request, now: Time) -> Result<Plan, ApiError> {
     let id = plan_id(id)?;
-    let asked: Decision = read(request).await?;
-    hear_of(node, &id).await?;
+    let body: Decision = read(request).await?;
+    load_plan(node, &id).await?;
     loop {
         let (decided, expect) = {
             let view = node.view();
-            let decided = plan::cancel(&view.fleet, &id, &asked.by, OpId::fresh(), now);
+            let decided = plan::cancel(&view.fleet, &id, &body.by, OpId::fresh(), now);
             (decided, view.fleet.revision(&Key::Plan(id.clone())))
         };
-        let stored = store_plan(node, decided.map_err(refused)?, expect).await;
+        let stored = store_plan(node, decided.map_err(plan_error)?, expect).await;
         let is_conflict =
             stored.as_ref().is_err_and(|refused| refused.status == StatusCode::CONFLICT);
-        // What was decided at another node meanwhile, a confirmation, can be cancelled as well. The
-        // view holds it now, so that each round meets a later state of the plan.
+        // A confirmation at another node in the meantime can be cancelled as well. The view holds
+        // it now, so that each iteration handles a later state of the plan.
         let newer = expect < node.view().fleet.revision(&Key::Plan(id.clone()));
         if !(is_conflict && newer) {
             return stored;
@@ -323,69 +333,74 @@
     }
 }
 
-/// Has the node know of a plan that was made at another one.
-async fn hear_of(node: &Node, id: &PlanId) -> Result<(), StoreError> {
+/// Loads a plan that was created at another node and is not in the view yet.
+async fn load_plan(node: &Node, id: &PlanId) -> Result<(), StoreError> {
     if node.view().fleet.plans.contains_key(id) {
         return Ok(());
     }
     write::refresh(node, &Key::Plan(id.clone())).await
 }
 
-async fn store_plan(node: &Node, plan: Plan, expect: Revision) -> Result<Plan, Refused> {
+async fn store_plan(node: &Node, plan: Plan, expect: Revision) -> Result<Plan, ApiError> {
     let record = Record::Plan(plan.id.clone(), Box::new(plan.clone()));
     match write::write(node, record, expect).await? {
-        Written::Yes(_) => {
+        WriteResult::Done(_) => {
             log::info!("plan {}: {} by {}", plan.id, plan.state.as_str(), plan.by);
             Ok(plan)
         }
-        Written::Conflict => {
+        WriteResult::Conflict => {
             let view = node.view();
             let now = view.fleet.plans.get(&plan.id);
             if now.is_some_and(|now| plan.is_decided_as(now)) {
-                // The write had won before: its answer was lost, and it was sent again.
+                // The first write took effect, but its answer was lost, and it was sent again.
                 return Ok(plan);
             }
             let text = match now {
                 Some(now) => {
-                    format!("{} was faster: plan {} is {} now", now.by, plan.id, now.state.as_str())
+                    format!(
+                        "changed by {} at the same time: plan {} is {} now",
+                        now.by,
+                        plan.id,
+                        now.state.as_str()
+                    )
                 }
-                None => format!("plan {} is gone", plan.id),
+                None => format!("plan {} no longer exists", plan.id),
             };
-            Err(Refused::new(StatusCode::CONFLICT, text))
+            Err(ApiError::new(StatusCode::CONFLICT, text))
         }
     }
 }
 
-fn refused(error: PlanError) -> Refused {
+fn plan_error(error: PlanError) -> ApiError {
     let status = match error {
         PlanError::Unknown(_) => StatusCode::NOT_FOUND,
         _ => StatusCode::CONFLICT,
     };
-    Refused::new(status, error.to_string())
+    ApiError::new(status, error.to_string())
 }
 
-/// Has a quarantined host serve again.
+/// Returns a quarantined host to service.
 async fn release(
     node: &Node,
     id: &str,
     request: &mut Request,
     now: Time,
-) -> Result<String, Refused> {
+) -> Result<String, ApiError> {
     let host: HostId =
-        id.parse().map_err(|error| Refused::new(StatusCode::BAD_REQUEST, format!("{error}")))?;
-    let asked: ByWhom = read(request).await?;
+        id.parse().map_err(|error| ApiError::new(StatusCode::BAD_REQUEST, format!("{error}")))?;
+    let body: ReleaseRequest = read(request).await?;
     let (record, expect) = {
         let view = node.view();
         let state = view.fleet.hosts.get(&host).map(|record| record.state);
         match state {
             None => {
                 let text = format!("there is no host {host}");
-                return Err(Refused::new(StatusCode::NOT_FOUND, text));
+                return Err(ApiError::new(StatusCode::NOT_FOUND, text));
             }
             Some(HostState::Quarantined) => {}
             Some(state) => {
                 let text = format!("host {host} is {state:?}, not quarantined").to_lowercase();
-                return Err(Refused::new(StatusCode::CONFLICT, text));
+                return Err(ApiError::new(StatusCode::CONFLICT, text));
             }
         }
         let record = wave::change_host(&view.fleet, &host, &OpId::fresh(), now, |record| {
@@ -394,16 +409,17 @@
         (record, view.fleet.revision(&Key::Host(host.clone())))
     };
     let Some(record) = record else {
-        return Err(Refused::new(StatusCode::NOT_FOUND, "gone"));
+        return Err(ApiError::new(StatusCode::NOT_FOUND, "the host no longer exists"));
     };
     match write::write(node, record, expect).await? {
-        Written::Yes(_) => {
-            log::info!("host {host}: released by {}", asked.by);
+        WriteResult::Done(_) => {
+            log::info!("host {host}: released by {}", body.by);
             Ok(format!("host {host} serves again"))
         }
-        Written::Conflict => {
-            let text = format!("host {host} was changed at the same time: look again");
-            Err(Refused::new(StatusCode::CONFLICT, text))
+        WriteResult::Conflict => {
+            let text =
+                format!("host {host} was changed at the same time: check its state and try again");
+            Err(ApiError::new(StatusCode::CONFLICT, text))
         }
     }
 }
--- a/src/operator/client.rs
+++ b/src/operator/client.rs
@@ -1,56 +1,55 @@
-//! Calls a node's operators' API.
+//! Client of a node's operators' API.
 
 use reqwest::Method;
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{error::Error, operator::message::Refusal, platform::store::chain};
 
-/// How long a call may take.
-const LIMIT: std::time::Duration = std::time::Duration::from_secs(30);
+const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(30);
 
-/// A node, as operators reach it.
+/// A client of one node's operators' API.
 #[derive(Clone)]
 pub(crate) struct Client {
     http: reqwest::Client,
-    /// IP address and port of its operators' API.
+    /// IP address and port of the node's operators' API.
     pub(crate) node: String,
 }
 
-/// What a node answered.
+/// A node's answer.
 pub(crate) enum Answer<T> {
     Done(T),
     Refused(Refusal),
 }
 
 impl Client {
-    /// A client of the node at an address.
+    /// Creates a client for the node at an address.
     pub(crate) fn new(node: &str) -> Client {
         Client { http: reqwest::Client::new(), node: node.to_owned() }
     }
 
-    /// Reads.
+    /// Sends a GET request.
     pub(crate) async fn get<T: DeserializeOwned>(
         &self,
         step: &'static str,
         path: &str,
     ) -> Result<T, Error> {
         let answer = self.call(step, Method::GET, path, None::<&()>).await?;
-        self.done(answer)
+        self.require_done(answer)
     }
 
-    /// Asks for something, and takes a refusal for an error.
+    /// Sends a POST request. A refusal is an error.
     pub(crate) async fn post<Q: Serialize, T: DeserializeOwned>(
         &self,
         step: &'static str,
         path: &str,
         request: &Q,
     ) -> Result<T, Error> {
-        let answer = self.ask(step, path, request).await?;
-        self.done(answer)
+        let answer = self.try_post(step, path, request).await?;
+        self.require_done(answer)
     }
 
-    /// Asks for something that may be refused.
-    pub(crate) async fn ask<Q: Serialize, T: DeserializeOwned>(
+    /// Sends a POST request. A refusal is returned as an answer.
+    pub(crate) async fn try_post<Q: Serialize, T: DeserializeOwned>(
         &self,
         step: &'static str,
         path: &str,
@@ -59,7 +58,7 @@
         self.call(step, Method::POST, path, Some(request)).await
     }
 
-    fn done<T>(&self, answer: Answer<T>) -> Result<T, Error> {
+    fn require_done<T>(&self, answer: Answer<T>) -> Result<T, Error> {
         match answer {
             Answer::Done(value) => Ok(value),
             Answer::Refused(refusal) => {
@@ -77,7 +76,7 @@
     ) -> Result<Answer<T>, Error> {
         let failed = |cause: String| Error::NotReached { node: self.node.clone(), step, cause };
         let mut builder =
-            self.http.request(method, format!("http://{}/v1/{path}", self.node)).timeout(LIMIT);
+            self.http.request(method, format!("http://{}/v1/{path}", self.node)).timeout(TIMEOUT);
         if let Some(request) = request {
             builder = builder.json(request);
         }
--- a/src/operator/commands.rs
+++ b/src/operator/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands: each calls one node and shows what it answers.
+//! The operators' commands: each calls one node and prints its answer.
 
 use std::{io::IsTerminal, path::PathBuf, time::Duration};
 
@@ -11,7 +11,7 @@
         plan::{Action, Plan, PlanState},
     },
     operator::{
-        api::ByWhom,
+        api::ReleaseRequest,
         client::{Answer, Client},
         message::{ApplyAnswer, ApplyRequest, Decision, IntentRequest, PlanView, Rows, Selection},
         show::{self, Format},
@@ -19,10 +19,10 @@
     settings,
 };
 
-/// Time between two looks at a plan that is followed.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Time between two requests for a plan that is watched.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A command with the node that it calls.
+/// A command, with the node that it calls.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Command {
     pub(crate) node: String,
@@ -30,7 +30,7 @@
     pub(crate) verb: Verb,
 }
 
-/// What an operator asks.
+/// The operation of a command.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Verb {
     Status { list: String },
@@ -44,7 +44,7 @@
     Release { host: HostId, by: String },
 }
 
-/// Carries a command out.
+/// Runs a command.
 pub(crate) async fn run(command: Command) -> Result<(), Error> {
     let client = Client::new(&command.node);
     let format = command.format;
@@ -68,7 +68,7 @@
             let path = format!("plans/{plan}/cancel");
             let plan: Plan = client.post("plan cancel", &path, &request).await?;
             print(format, &plan, |plan| {
-                format!("plan {} is cancelled; what it holds is given back", plan.id)
+                format!("plan {} is cancelled; what it holds is released", plan.id)
             });
         }
         Verb::Quarantine { host, reason, by } => {
@@ -79,8 +79,9 @@
         }
         Verb::Release { host, by } => {
             let path = format!("hosts/{host}/release");
-            let told: String = client.post("host release", &path, &ByWhom { by }).await?;
-            print(format, &told, String::clone);
+            let message: String =
+                client.post("host release", &path, &ReleaseRequest { by }).await?;
+            print(format, &message, String::clone);
         }
     }
     Ok(())
@@ -108,7 +109,7 @@
         lines.push(match answer.number {
             Some(number) => format!("accepted as change {number}"),
             None if answer.changes.is_empty() => "nothing changes".to_owned(),
-            None => "nothing was changed: give --yes to have this accepted".to_owned(),
+            None => "nothing was changed: use --yes to apply these changes".to_owned(),
         });
         lines.join("\n")
     });
@@ -117,11 +118,11 @@
 
 async fn propose(client: &Client, format: Format, request: &IntentRequest) -> Result<(), Error> {
     let plan: Plan = client.post("intent", "intents", request).await?;
-    print(format, &plan, shown_with_confirmation);
+    print(format, &plan, with_confirm_command);
     Ok(())
 }
 
-fn shown_with_confirmation(plan: &Plan) -> String {
+fn with_confirm_command(plan: &Plan) -> String {
     format!(
         "{}\nNothing moves until you confirm: caperhollow plan confirm {} --digest {}",
         show::plan(plan),
@@ -139,7 +140,7 @@
 ) -> Result<(), Error> {
     let request = Decision { digest: Some(digest), by };
     let path = format!("plans/{id}/confirm");
-    match client.ask::<_, Plan>("plan confirm", &path, &request).await? {
+    match client.try_post::<_, Plan>("plan confirm", &path, &request).await? {
         Answer::Done(plan) => {
             print(format, &plan, |plan| {
                 format!(
@@ -151,7 +152,7 @@
         }
         Answer::Refused(refusal) => {
             if let Some(fresh) = &refusal.fresh {
-                print(format, fresh.as_ref(), shown_with_confirmation);
+                print(format, fresh.as_ref(), with_confirm_command);
             }
             Err(Error::Refused { node: client.node.clone(), reason: refusal.error })
         }
@@ -161,7 +162,7 @@
 async fn watch(client: &Client, format: Format, id: &PlanId) -> Result<(), Error> {
     let path = format!("plans/{id}");
     let mut bar: Option<ProgressBar> = None;
-    let mut shown = String::new();
+    let mut last_line = String::new();
     loop {
         let view: PlanView = client.get("plan watch", &path).await?;
         let total = view.plan.hosts().count();
@@ -176,9 +177,9 @@
             let bar = bar.get_or_insert_with(|| progress_bar(total));
             bar.set_position((view.done + view.skipped) as u64);
             bar.set_message(format!("{} skipped", view.skipped));
-        } else if line != shown {
+        } else if line != last_line {
             print(format, &view, |_| line.clone());
-            shown = line;
+            last_line = line;
         }
         if matches!(view.plan.state, PlanState::Done | PlanState::Cancelled) {
             if let Some(bar) = bar {
@@ -186,7 +187,7 @@
             }
             return Ok(());
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/src/operator/message.rs
+++ b/src/operator/message.rs
@@ -1,4 +1,4 @@
-//! What operators' commands and nodes say to each other, in JSON.
+//! JSON messages between operators' commands and nodes.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,7 +11,7 @@
     unit::{Epoch, Time},
 };
 
-/// Asks for a configuration to be accepted, or with `dry` only looked at.
+/// Requests that a configuration is accepted, or with `dry` only compared.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ApplyRequest {
     pub(crate) config: Config,
@@ -19,16 +19,16 @@
     pub(crate) dry: bool,
 }
 
-/// What applying a configuration changes.
+/// Changes made by applying a configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ApplyAnswer {
-    /// The entries that change, one line each.
+    /// The changed entries, one line each.
     pub(crate) changes: Vec<String>,
     /// The number of the change, once it is accepted.
     pub(crate) number: Option<u64>,
 }
 
-/// Hosts by name, rack, zone and pool.
+/// Hosts by name, rack, availability zone and pool.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub(crate) struct Selection {
     pub(crate) hosts: Vec<HostId>,
@@ -37,7 +37,7 @@
     pub(crate) pools: Vec<PoolId>,
 }
 
-/// States an intent.
+/// Requests a plan for an intent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct IntentRequest {
     pub(crate) action: Action,
@@ -50,26 +50,26 @@
 /// Confirms or cancels a plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Decision {
-    /// The digest that the operator was shown; not needed to cancel.
+    /// The digest of the plan as shown to the operator; not needed to cancel.
     pub(crate) digest: Option<String>,
     pub(crate) by: String,
 }
 
-/// A plan with how far it is.
+/// A plan and its progress.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct PlanView {
     pub(crate) plan: Plan,
-    /// What each host of the plan is doing.
+    /// The progress of each host of the plan.
     pub(crate) hosts: BTreeMap<HostId, String>,
     pub(crate) done: usize,
     pub(crate) skipped: usize,
 }
 
-/// Why a node refused, as it is told.
+/// Why a node refused a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Refusal {
     pub(crate) error: String,
-    /// A fresh plan in place of one that no longer holds.
+    /// A new plan to replace a stale one.
     pub(crate) fresh: Option<Box<Plan>>,
 }
 
@@ -97,11 +97,11 @@
     pub(crate) serving: usize,
     pub(crate) live: usize,
     pub(crate) services: usize,
-    /// Share of the pool's cores that its tasks need, in hundredths.
+    /// Percentage of the pool's cores that its tasks need.
     pub(crate) used_percent: u32,
 }
 
-/// One service against its budget.
+/// One service and its budget.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ServiceRow {
     pub(crate) service: ServiceId,
@@ -130,7 +130,7 @@
     pub(crate) reason: String,
 }
 
-/// One node, as the node that was asked sees it.
+/// One node, as known to the node that answers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct NodeRow {
     pub(crate) node: NodeId,
@@ -140,7 +140,7 @@
     pub(crate) config: u64,
     /// How old its view is.
     pub(crate) view_age: Option<Duration>,
-    /// How long ago it was heard.
+    /// Time since its last heartbeat.
     pub(crate) heard: Option<Duration>,
 }
 
@@ -151,11 +151,11 @@
     pub(crate) by: String,
     pub(crate) accepted: Option<Time>,
     pub(crate) nodes: BTreeMap<NodeId, Time>,
-    /// Whether every registered node has it.
+    /// Whether it is in force on every registered node.
     pub(crate) everywhere: bool,
 }
 
-/// Any list that `status` shows.
+/// A list shown by `status`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Rows {
--- a/src/operator/show.rs
+++ b/src/operator/show.rs
@@ -1,4 +1,4 @@
-//! Shows answers to operators: tables for people, JSON for programs.
+//! Formats answers for operators: tables for people, JSON for programs.
 
 use std::{str::FromStr, time::Duration};
 
@@ -10,7 +10,7 @@
     operator::message::{PlanView, Rows},
 };
 
-/// How answers are shown.
+/// Output format of answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Format {
     Table,
@@ -29,7 +29,7 @@
     }
 }
 
-/// A table with a heading.
+/// Formats a table with a heading.
 pub(crate) fn table<const N: usize>(
     heading: [&str; N],
     rows: impl IntoIterator<Item = [String; N]>,
@@ -43,12 +43,13 @@
     table.trim_fmt()
 }
 
-/// A value as JSON.
+/// Formats a value as JSON.
 pub(crate) fn json(value: &impl Serialize) -> String {
-    serde_json::to_string_pretty(value).unwrap_or_else(|error| format!("not shown: {error}"))
+    serde_json::to_string_pretty(value)
+        .unwrap_or_else(|error| format!("cannot be shown as JSON: {error}"))
 }
 
-/// A time as people read it.
+/// Formats a duration for people: in milliseconds below 10 s, in seconds above.
 pub(crate) fn span(span: Duration) -> String {
     let rounded = if span < Duration::from_secs(10) {
         Duration::from_millis(span.as_millis() as u64)
@@ -58,7 +59,7 @@
     humantime::format_duration(rounded).to_string()
 }
 
-/// A list as a table.
+/// Formats a list as a table.
 pub(crate) fn rows(rows: &Rows) -> String {
     let yes = |flag: bool| if flag { "yes" } else { "no" }.to_owned();
     match rows {
@@ -168,7 +169,7 @@
     }
 }
 
-/// A plan as it is shown before it is confirmed.
+/// Formats a plan as it is shown before its confirmation.
 pub(crate) fn plan(plan: &Plan) -> String {
     let mut lines = vec![
         format!("plan       {}", plan.id),
@@ -192,8 +193,8 @@
     ));
     if let Some(deadline) = plan.intent.deadline {
         let ends = plan.created + Duration::from_secs(cost.seconds);
-        let word = if deadline < ends { "missed: it would end" } else { "met: it would end" };
-        lines.push(format!("deadline   {word} at {ends}"));
+        let verdict = if deadline < ends { "missed: it would end" } else { "met: it would end" };
+        lines.push(format!("deadline   {verdict} at {ends}"));
     }
     for (pool, part) in &plan.pools {
         lines.push(format!("choices    of pool {pool}, by hosts out at one time:"));
@@ -235,7 +236,7 @@
     lines.join("\n")
 }
 
-/// How far a plan is.
+/// Formats a plan's progress.
 pub(crate) fn progress(view: &PlanView) -> String {
     let hosts = view.hosts.iter().map(|(host, text)| [host.to_string(), text.clone()]);
     format!(
--- a/src/operator/status.rs
+++ b/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! What operators see: rows made from what a node knows.
+//! Status lists for operators, made from a node's view and its peers' heartbeats.
 
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     },
 };
 
-/// The rows of a list, by its name; nothing if there is no such list.
+/// The rows of a list by name, or `None` if there is no such list.
 pub(crate) fn rows(node: &Node, list: &str, now: Time) -> Option<Rows> {
     Some(match list {
         "hosts" => Rows::Hosts(hosts(&node.view().fleet)),
@@ -73,7 +73,7 @@
         let hosts: Vec<&HostId> = fleet.hosts_of(id).collect();
         let serving = hosts.iter().filter(|h| fleet.hosts[**h].state == HostState::Serving);
         let live = hosts.iter().filter(|h| fleet.reports.get(**h).is_some_and(|r| r.live));
-        let has: u64 = hosts
+        let capacity: u64 = hosts
             .iter()
             .filter_map(|host| fleet.reports.get(*host))
             .map(|report| u64::from(report.capacity.cores.0))
@@ -86,7 +86,7 @@
             serving: serving.count(),
             live: live.count(),
             services: fleet.config.services.values().filter(|s| s.pool == *id).count(),
-            used_percent: (used * 100 / has.max(1)) as u32,
+            used_percent: (used * 100 / capacity.max(1)) as u32,
         }
     };
     fleet.config.pools.iter().map(row).collect()
@@ -96,25 +96,25 @@
     let view = node.view();
     let fleet = &view.fleet;
     let rows = fleet.config.services.iter().map(|(id, service)| {
-        let standing = budget::standing(fleet, id, service, now, &node.settings.rules);
+        let status = budget::standing(fleet, id, service, now, &node.settings.rules);
         let placement = fleet.placements.get(id);
         ServiceRow {
             service: id.clone(),
             pool: service.pool.clone(),
             team: service.team.to_string(),
             tasks: service.tasks,
-            available: service.tasks - standing.down.len() as u32,
+            available: service.tasks - status.down.len() as u32,
             max_down: service.max_down,
-            reserve: standing.reserve(),
+            reserve: status.reserve(),
             permits: placement.map_or(0, |placement| placement.permits.len()),
             moves: placement.map_or(0, |placement| placement.moves),
-            holds: standing.holds(),
+            holds: status.holds(),
         }
     });
     rows.collect()
 }
 
-fn count(fleet: &Fleet, plan: &Plan) -> (usize, usize) {
+fn count_ended(fleet: &Fleet, plan: &Plan) -> (usize, usize) {
     let ended = plan.hosts().filter_map(|host| fleet.hosts.get(host)?.outcome(&plan.id));
     let ended: Vec<&HostOutcome> = ended.collect();
     let done = ended.iter().filter(|outcome| ***outcome == HostOutcome::Done).count();
@@ -123,7 +123,7 @@
 
 fn plans(fleet: &Fleet) -> Vec<PlanRow> {
     let row = |plan: &Plan| {
-        let (done, skipped) = count(fleet, plan);
+        let (done, skipped) = count_ended(fleet, plan);
         PlanRow {
             plan: plan.id.clone(),
             state: plan.state.as_str().to_owned(),
@@ -138,17 +138,17 @@
     fleet.plans.values().map(row).collect()
 }
 
-/// A plan with how far it is; nothing if there is none of that name.
+/// A plan and its progress, or `None` if there is no such plan.
 pub(crate) fn plan_view(node: &Node, id: &PlanId, now: Time) -> Option<PlanView> {
-    let waiting = control::waiting(node, id, now);
+    let wait_reasons = control::wait_reasons(node, id, now);
     let view = node.view();
     let plan = view.fleet.plans.get(id)?;
-    let (done, skipped) = count(&view.fleet, plan);
+    let (done, skipped) = count_ended(&view.fleet, plan);
     let hosts = plan.hosts().map(|host| {
         let text = match view.fleet.hosts.get(host) {
             None => "gone".to_owned(),
             Some(record) if record.plan.as_ref() == Some(id) => state_of(record),
-            Some(record) => match (record.outcome(id), plan.state, waiting.get(host)) {
+            Some(record) => match (record.outcome(id), plan.state, wait_reasons.get(host)) {
                 (Some(outcome), ..) => outcome_text(outcome),
                 (None, PlanState::Running, Some(reason)) => format!("waits: {reason}"),
                 (None, PlanState::Running, None) => "starts".to_owned(),
@@ -186,11 +186,11 @@
         let registered = view.fleet.nodes.contains_key(&id);
         let row = NodeRow {
             node: id.clone(),
-            zone: peer.said.zone.clone(),
+            zone: peer.heartbeat.zone.clone(),
             registered,
-            config: peer.said.through,
-            view_age: Some(peer.said.age + now.since(peer.at)),
-            heard: Some(now.since(peer.at)),
+            config: peer.heartbeat.through,
+            view_age: Some(peer.heartbeat.age + now.since(peer.received_at)),
+            heard: Some(now.since(peer.received_at)),
         };
         rows.insert(id, row);
     }
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the operators' API at nodes that hear of nothing by themselves.
+//! Tests of the operators' API at nodes without running loops: their views are not updated in the
+//! background.
 
 use std::sync::Arc;
 
@@ -20,7 +21,7 @@
     },
     node::{
         Node, run,
-        write::{self, Written},
+        write::{self, WriteResult},
     },
     preset, settings,
     standin::platform::{self, Platform},
@@ -37,10 +38,10 @@
             "timing": {{ "store_ms": 30000 }},
         }}"#
     );
-    run::idle(settings::node::parse("test", &text).unwrap())
+    run::create(settings::node::parse("test", &text).unwrap())
 }
 
-/// A plan that was proposed to drain one host.
+/// A proposed plan to drain one host.
 fn proposed() -> Plan {
     let rules = Rules::default();
     let fleet = shape::build(&preset::tyrehub(), &rules);
@@ -50,14 +51,14 @@
     plan::propose(&fleet, "p-1".parse().unwrap(), "op".parse().unwrap(), intent, BEGIN, &rules)
 }
 
-/// Writes a plan in a state, by a node.
+/// Writes a plan in the given state through a node.
 async fn write(node: &Node, plan: &Plan, state: PlanState, expect: Revision) -> Revision {
     let op = format!("op-{state:?}").to_lowercase().parse().unwrap();
     let plan = Plan { state, op, ..plan.clone() };
     let record = Record::Plan(plan.id.clone(), Box::new(plan));
     match write::write(node, record, expect).await.unwrap() {
-        Written::Yes(revision) => revision,
-        Written::Conflict => panic!("nobody else writes"),
+        WriteResult::Done(revision) => revision,
+        WriteResult::Conflict => panic!("unexpected conflict: there is no other writer"),
     }
 }
 
@@ -74,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_plan_is_cancelled_at_a_node_that_has_not_heard_of_its_confirmation() {
+async fn cancel_succeeds_at_a_node_that_missed_the_confirmation() {
     let platform = platform::start(platform::Options::default()).await.unwrap();
     let (first, second) = (node("entry-0", &platform), node("entry-1", &platform));
     let plan = proposed();
@@ -86,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_plan_is_cancelled_at_a_node_that_has_not_heard_of_it() {
+async fn cancel_succeeds_at_a_node_that_does_not_know_the_plan() {
     let platform = platform::start(platform::Options::default()).await.unwrap();
     let (first, second) = (node("entry-0", &platform), node("entry-1", &platform));
     let plan = proposed();
@@ -96,24 +97,24 @@
 }
 
 #[tokio::test]
-async fn a_write_is_refused_once_a_record_that_it_rests_on_has_changed() {
+async fn guarded_write_conflicts_after_a_dependency_has_changed() {
     let platform = platform::start(platform::Options::default()).await.unwrap();
     let node = node("entry-0", &platform);
     let (first, second) = (proposed(), Plan { id: "p-2".parse().unwrap(), ..proposed() });
     let at = write(&node, &first, PlanState::Proposed, Revision(0)).await;
     let key = Key::Plan(first.id.clone());
     write(&node, &first, PlanState::Running, at).await;
-    let stands = node.view().fleet.revision(&key);
-    for (rests_on, written) in [(at, false), (stands, true)] {
+    let current = node.view().fleet.revision(&key);
+    for (expected, is_written) in [(at, false), (current, true)] {
         let record = Record::Plan(second.id.clone(), Box::new(second.clone()));
-        let rests_on = [(key.clone(), rests_on)];
-        let end = write::write_guarded(&node, record, Revision(0), &rests_on).await.unwrap();
-        assert_eq!(matches!(end, Written::Yes(_)), written);
+        let dependencies = [(key.clone(), expected)];
+        let result = write::write_guarded(&node, record, Revision(0), &dependencies).await.unwrap();
+        assert_eq!(matches!(result, WriteResult::Done(_)), is_written);
     }
 }
 
 #[tokio::test]
-async fn a_plan_that_is_done_is_not_cancelled_at_a_node_that_has_not_heard_so() {
+async fn cancel_conflicts_at_a_node_that_missed_the_end_of_the_plan() {
     let platform = platform::start(platform::Options::default()).await.unwrap();
     let (first, second) = (node("entry-0", &platform), node("entry-1", &platform));
     let plan = proposed();
