--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -92,8 +92,8 @@
     pub(crate) async fn answer(self, request: Request) -> Response {
         let started_at = Time::now();
         let options = headers::read(request.headers());
-        let id = options.as_ref().map_or_else(|_| OpId::fresh().to_string(), |w| w.request.clone());
-        let team = options.as_ref().map_or("none".to_owned(), |w| w.team.to_string());
+        let id = options.as_ref().map_or_else(|_| OpId::fresh().to_string(), |o| o.request.clone());
+        let team = options.as_ref().map_or("none".to_owned(), |o| o.team.to_string());
         let (service, path) = split_path(&request);
         let label = self.service_label(&service);
         let has_body = http::has_body(&request);
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -148,8 +148,8 @@
         let view = node.view();
         let by = view.fleet.changes.get(&next).map(|other| other.by.clone()).unwrap_or_default();
         let text = format!(
-            "{by} made change {next} at the same time; nothing was applied: check the differences and \
-             apply again"
+            "{by} made change {next} at the same time; nothing was applied: check the differences \
+             and apply again"
         );
         return Err(ApiError::new(StatusCode::CONFLICT, text));
     }
