--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -83,14 +83,14 @@
     endpoint: &Endpoint,
     outgoing: &Outgoing,
     limits: &MemoryLimits,
-    limit: Duration,
+    timeout: Duration,
 ) -> Attempt {
-    match tokio::time::timeout(limit, exchange(client, endpoint, outgoing, limits)).await {
+    match tokio::time::timeout(timeout, exchange(client, endpoint, outgoing, limits)).await {
         Ok(attempt) => attempt,
         Err(_) => Attempt::Unknown(format!(
             "endpoint {}: no complete answer within {}",
             endpoint.address,
-            humantime::format_duration(limit)
+            humantime::format_duration(timeout)
         )),
     }
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -98,8 +98,7 @@
         let label = self.service_label(&service);
         let has_body = http::has_body(&request);
         let mut unread = false;
-        let (failure, class) = match self.admit(request, options, &service, path, started_at).await
-        {
+        let (result, class) = match self.admit(request, options, &service, path, started_at).await {
             Ok(admitted) => {
                 let class = admitted.class;
                 (self.run(admitted).await, class)
@@ -109,13 +108,13 @@
                 (Err(failure), Class::Normal)
             }
         };
-        let outcome = failure.as_ref().map_or_else(|failure| failure.outcome, |_| Outcome::Ran);
+        let outcome = result.as_ref().map_or_else(|failure| failure.outcome, |_| Outcome::Ran);
         let elapsed = Time::now().since(started_at);
         self.node.metrics.record_answer(&team, class, &label, outcome, elapsed);
-        if let Err(failure) = &failure {
+        if let Err(failure) = &result {
             log::debug!("request {id}: service {service}: {outcome}: {}", failure.text);
         }
-        let mut response = failure.map_or_else(failure_response, answer_response);
+        let mut response = result.map_or_else(failure_response, answer_response);
         if unread {
             http::close_after(&mut response);
         }
@@ -287,7 +286,7 @@
         result
     }
 
-    /// Sends a request until it is answered. Also returns whether it may have run.
+    /// Sends a request, with retries. Also returns whether it may have run.
     async fn send(&self, request: &AdmittedRequest) -> (Result<Answer, Failure>, bool) {
         let gate = self.node.gates.of(&request.service);
         let mut tried = Vec::new();
@@ -331,7 +330,7 @@
                 }
                 Attempt::TooLarge(size) => {
                     let text = format!(
-                        "it ran, but its answer of {size} bytes or more is over the limit of {}",
+                        "it ran, but its answer of {size} bytes or more exceeds the limit of {}",
                         self.memory_limits.max_answer_bytes
                     );
                     let outcome = Outcome::Ran;
@@ -341,7 +340,7 @@
                 // preferred.
                 Attempt::Refused(busy) => {
                     endpoint.record_refusal(busy, now);
-                    last_error = format!("endpoint {} refused it", endpoint.address);
+                    last_error = format!("endpoint {} refused the request", endpoint.address);
                 }
                 Attempt::Unsent(cause) => {
                     endpoint.record_failure(now);
@@ -395,7 +394,10 @@
                 rounds += 1;
                 let pause = gate.typical_run_time().max(Duration::from_millis(5));
                 if rounds == MAX_ROUNDS || request.deadline.since(now) < pause {
-                    let text = format!("every endpoint of service {} refused it", request.service);
+                    let text = format!(
+                        "every endpoint of service {} refused the request",
+                        request.service
+                    );
                     return Err(Failure::unavailable(text, pause.max(Duration::from_millis(100))));
                 }
                 tokio::time::sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
@@ -416,14 +418,14 @@
             match tokio::time::timeout(request.deadline.since(now), place.wait_turn()).await {
                 Ok(true) => {}
                 Ok(false) => {
-                    let text = "a more urgent request took its place";
+                    let text = "a more urgent request took its place in the queue";
                     return Err(Failure::unavailable(
                         text,
                         gate.typical_run_time().max(DEFAULT_RETRY_AFTER),
                     ));
                 }
                 Err(_) => {
-                    let text = "no place at an endpoint came free before the deadline";
+                    let text = "no slot at an endpoint became free before the deadline";
                     return Err(Failure::unavailable(
                         text,
                         gate.typical_run_time().max(DEFAULT_RETRY_AFTER),
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: one process between callers and endpoints. All nodes are equal and stateless.
+//! A node: one process between callers and endpoints. All nodes are equal and persist nothing.
 
 pub(crate) mod assign;
 pub(crate) mod control;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -169,7 +169,7 @@
     }
 
     /// Demand of other nodes in writes of the store per second.
-    fn writes(&self, now: Time) -> u32 {
+    fn write_demand(&self, now: Time) -> u32 {
         let state = self.lock();
         let live = state.peers.values().filter(|peer| now.since(peer.received_at) < IDLE_TIMEOUT);
         live.map(|peer| peer.heartbeat.writes).sum()
@@ -223,7 +223,7 @@
         let heartbeat = heartbeat(&node, now);
         // Nodes that are not registered yet also write.
         let nodes = node.view().fleet.nodes.len().max(addresses.len() + 1) as u32;
-        node.write_limiter.set_peer_demand(nodes, node.peers.writes(now));
+        node.write_limiter.set_peer_demand(nodes, node.peers.write_demand(now));
         node.peers.note_in_force(node.id(), heartbeat.through, now);
         // An idle node sends heartbeats half as often.
         idle_ticks = if heartbeat.is_idle() { idle_ticks + 1 } else { 0 };
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -222,15 +222,15 @@
         }
         hosts.extend(found);
     };
-    let placed = |is_in: &dyn Fn(&HostId) -> bool| -> Vec<HostId> {
+    let matching = |is_in: &dyn Fn(&HostId) -> bool| -> Vec<HostId> {
         fleet.hosts.keys().filter(|host| is_in(host)).cloned().collect()
     };
     for rack in &selection.racks {
-        let found = placed(&|host| fleet.reports.get(host).is_some_and(|r| r.rack == *rack));
+        let found = matching(&|host| fleet.reports.get(host).is_some_and(|r| r.rack == *rack));
         add("rack", rack.as_str(), found);
     }
     for zone in &selection.zones {
-        let found = placed(&|host| fleet.reports.get(host).is_some_and(|r| r.zone == *zone));
+        let found = matching(&|host| fleet.reports.get(host).is_some_and(|r| r.zone == *zone));
         add("availability zone", zone.as_str(), found);
     }
     for pool in &selection.pools {
