--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -330,7 +330,7 @@
                 }
                 Attempt::TooLarge(size) => {
                     let text = format!(
-                        "it ran, but its answer of {size} bytes or more exceeds the limit of {}",
+                        "it ran, but its answer of {size} bytes or more is over the limit of {}",
                         self.memory_limits.max_answer_bytes
                     );
                     let outcome = Outcome::Ran;
