--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,5 +1,5 @@
-//! The demo: the main job on embedded stand-ins, over real sockets. It checks what must always
-//! hold while it runs, and fails if anything of it was broken.
+//! The demo: the main job on embedded stand-ins, over real sockets. It checks invariants while it
+//! runs, and fails if any was violated.
 
 mod callers;
 mod checks;
@@ -37,47 +37,46 @@
     standin::worker::{self, HostFaults},
 };
 
-/// Nodes of the demo.
+/// Number of nodes.
 const NODES: u32 = 6;
-/// Callers of the demo.
+/// Number of callers.
 const CALLERS: u32 = 24;
-/// How long things may take until the fleet serves.
+/// Time limit until the fleet serves.
 const READY_LIMIT: Duration = Duration::from_secs(20);
-/// How long the wave may take.
+/// Time limit of the wave.
 const WAVE_LIMIT: Duration = Duration::from_secs(40);
 /// How long callers run before the intent, and after the wave.
 const STEADY: Duration = Duration::from_secs(2);
-/// How long the demo waits between the plan and its confirmation, to see that nothing moves.
-const UNCONFIRMED: Duration = Duration::from_millis(1500);
-/// How soon a change must be in force on every node.
-const IN_FORCE: Duration = Duration::from_secs(4);
+/// How long the demo waits between the plan and its confirmation, to check that nothing moves.
+const UNCONFIRMED_WAIT: Duration = Duration::from_millis(1500);
+/// Time limit until a change is in force on every node.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(4);
 
-/// How the demo is run.
+/// Options of the demo.
 pub(crate) struct Options {
     pub(crate) preset: Preset,
     pub(crate) seed: u64,
     pub(crate) export: Option<PathBuf>,
 }
 
-/// Runs the demo.
 pub(crate) fn run(options: Options) -> Result<(), Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|error| Error::system("start threads", error))?;
-    let summary = runtime.block_on(play(&options))?;
+    let summary = runtime.block_on(run_demo(&options))?;
     println!("{}", summary.text());
     if let Some(path) = &options.export {
         let step = || format!("write {}", path.display());
         std::fs::write(path, show::json(&summary)).map_err(|e| Error::system(step(), e))?;
     }
-    // The runtimes of nodes that still run are ended by the process.
+    // The runtimes of nodes that still run end with the process.
     runtime.shutdown_background();
-    match summary.broken.len() {
+    match summary.violations.len() {
         0 => Ok(()),
-        count => Err(Error::Failed(format!("{count} promises were broken"))),
+        count => Err(Error::Failed(format!("{count} invariants were violated"))),
     }
 }
 
-async fn play(options: &Options) -> Result<Summary, Error> {
+async fn run_demo(options: &Options) -> Result<Summary, Error> {
     let preset = &options.preset;
     let mut rng = Pcg64::seed_from_u64(options.seed);
     println!("Starting {} hosts and {NODES} nodes ({}).", preset.hosts, preset.name);
@@ -94,47 +93,47 @@
     let (drained, failing) = racks.split_at(2);
     let plan = propose(&client, drained).await?;
     println!("\n{}\n", show::plan(&plan));
-    summary.plan(&plan);
-    tokio::time::sleep(UNCONFIRMED).await;
-    checks.nothing_moved(&client).await?;
+    summary.record_plan(&plan);
+    tokio::time::sleep(UNCONFIRMED_WAIT).await;
+    checks.check_unmoved(&client).await?;
 
     println!("Confirming the plan; rack {} will fail and a node will be killed.", failing[0]);
-    let began = Instant::now();
+    let started_at = Instant::now();
     let path = format!("plans/{}/confirm", plan.id);
     let decision = Decision { digest: Some(plan.digest.clone()), by: "demo".to_owned() };
     let _: Plan = client.post("plan confirm", &path, &decision).await?;
     tokio::time::sleep(Duration::from_millis(1500)).await;
     let dead = HostFaults { dead: true, ..HostFaults::default() };
     fleet.workers.set_faults(&[failing[0].to_string()], &dead);
-    summary.phase(Phase::RackFailed, began.elapsed());
+    summary.record_phase(Phase::RackFailed, started_at.elapsed());
     tokio::time::sleep(Duration::from_millis(700)).await;
     let killed = fleet.kill(NODES as usize - 1);
-    checks.node_gone(&killed);
-    summary.phase(Phase::NodeKilled, began.elapsed());
+    checks.ignore_node(&killed);
+    summary.record_phase(Phase::NodeKilled, started_at.elapsed());
     let changed = change_config(&client, preset).await?;
-    follow(&client, &plan, &mut summary, began).await?;
-    summary.phase(Phase::WaveEnded, began.elapsed());
+    follow_plan(&client, &plan, &mut summary, started_at).await?;
+    summary.record_phase(Phase::WaveEnded, started_at.elapsed());
     summary.in_force = in_force(&client, changed).await?;
     tokio::time::sleep(STEADY).await;
 
-    let served = callers.stop().await;
+    let results = callers.stop().await;
     let rows: Rows = client.get("status", "status/services").await?;
     let counts = fleet.platform.counts();
-    let runs = fleet.workers.log.all();
-    summary.finish(&served, &rows, &counts, &runs);
-    summary.broken.extend(checks.stop().await);
-    summary.broken.extend(checks::of_requests(&served, &runs));
-    summary.broken.extend(checks::of_change(summary.in_force, IN_FORCE));
+    let runs = fleet.workers.log.snapshot();
+    summary.record_totals(&results, &rows, &counts, &runs);
+    summary.violations.extend(checks.stop().await);
+    summary.violations.extend(checks::check_requests(&results, &runs));
+    summary.violations.extend(checks::check_change(summary.in_force, IN_FORCE_LIMIT));
     Ok(summary)
 }
 
-/// Has a configuration accepted, as soon as the node can; returns the number of the change.
+/// Applies a configuration, as soon as the node can, and returns the number of the change.
 pub(crate) async fn accept(client: &Client, config: &Config) -> Result<u64, Error> {
     let by = "demo".to_owned();
     let request = ApplyRequest { config: config.clone(), by, dry: false };
     let deadline = Instant::now() + READY_LIMIT;
     loop {
-        // A node that has just started may not know its own store yet.
+        // A node that has just started may not have read the store yet.
         match client.post::<_, ApplyAnswer>("apply", "apply", &request).await {
             Ok(ApplyAnswer { number: Some(number), .. }) => return Ok(number),
             Ok(_) => {
@@ -191,32 +190,32 @@
     accept(client, &config).await
 }
 
-async fn follow(
+async fn follow_plan(
     client: &Client,
     plan: &Plan,
     summary: &mut Summary,
-    began: Instant,
+    started_at: Instant,
 ) -> Result<(), Error> {
     let path = format!("plans/{}", plan.id);
-    let mut shown = (0, 0);
+    let mut printed = (0, 0);
     loop {
         let view: PlanView = client.get("plan watch", &path).await?;
-        if (view.done, view.skipped) != shown {
-            shown = (view.done, view.skipped);
+        if (view.done, view.skipped) != printed {
+            printed = (view.done, view.skipped);
             let total = view.plan.hosts().count();
             println!(
                 "{:6.1} s  {} of {total} hosts done, {} skipped",
-                began.elapsed().as_secs_f64(),
+                started_at.elapsed().as_secs_f64(),
                 view.done,
                 view.skipped
             );
         }
         if view.plan.state == PlanState::Done {
-            summary.rolled_out(&view, began.elapsed());
+            summary.record_rollout(&view, started_at.elapsed());
             return Ok(());
         }
-        if WAVE_LIMIT < began.elapsed() {
-            summary.broken.push(format!(
+        if WAVE_LIMIT < started_at.elapsed() {
+            summary.violations.push(format!(
                 "the wave did not end within {WAVE_LIMIT:?}:\n{}",
                 show::progress(&view)
             ));
--- a/src/demo/nodes.rs
+++ b/src/demo/nodes.rs
@@ -1,5 +1,5 @@
-//! The embedded fleet: stand-ins, and nodes that each have threads of their own, so that one can
-//! be killed without the others noticing anything but its silence.
+//! The embedded fleet: stand-ins, and nodes that each have threads of their own. One can be killed,
+//! and the others notice only that it no longer answers.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -38,7 +38,7 @@
     pub(crate) nodes: Vec<DemoNode>,
 }
 
-/// Sockets that are bound before the nodes start, so that each can be told of the others.
+/// Sockets that are bound before the nodes start, so that each node gets the others' addresses.
 struct Bound {
     callers: std::net::TcpListener,
     operators: std::net::TcpListener,
@@ -74,7 +74,7 @@
 }
 
 impl Fleet {
-    /// Starts stand-ins and nodes of a shape.
+    /// Starts stand-ins and nodes with a preset.
     pub(crate) async fn start(preset: &Preset, nodes: u32) -> Result<Fleet, Error> {
         let failed = |error: std::io::Error| Error::system("listen on loopback", error);
         let platform = platform::start(platform::Options::default()).await.map_err(failed)?;
@@ -102,12 +102,12 @@
         Ok(Fleet { platform, workers, nodes: started })
     }
 
-    /// A client of one node's operators' API.
+    /// A client of the operators' API of one node.
     pub(crate) fn client(&self, node: usize) -> Client {
         Client::new(&self.nodes[node].operators.to_string())
     }
 
-    /// Bytes that all nodes' control has sent and received.
+    /// Bytes that the control traffic of all nodes has sent and received.
     pub(crate) fn traffic(&self) -> u64 {
         self.nodes.iter().map(|node| node.running.traffic.total()).sum()
     }
@@ -167,7 +167,7 @@
     settings.peers = peers.to_vec();
     settings.rules = Rules {
         weights: preset.weights(),
-        // What the stand-ins take.
+        // Expected durations at the stand-ins.
         expected: Expected {
             quiet: Duration::from_millis(1500),
             start: Duration::from_millis(1500),
--- a/src/demo/summary.rs
+++ b/src/demo/summary.rs
@@ -1,11 +1,11 @@
-//! What the demo ends with.
+//! The summary that the demo prints and exports in the end.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use serde::Serialize;
 
 use crate::{
-    demo::callers::{Served, Told},
+    demo::callers::{CallerResults, Outcome},
     model::plan::Plan,
     operator::{
         message::{PlanView, Rows},
@@ -14,7 +14,7 @@
     standin::{endpoint::Runs, platform::Counts},
 };
 
-/// Something that the demo did, or waited for.
+/// An event of the demo.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Phase {
@@ -23,7 +23,7 @@
     WaveEnded,
 }
 
-/// Times until whole answers, in milliseconds.
+/// Times until complete answers, in milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(crate) struct Latency {
     pub(crate) count: u64,
@@ -31,15 +31,15 @@
     pub(crate) p99: f64,
 }
 
-/// All that the demo found.
+/// Results of the demo.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct Summary {
     preset: String,
     seed: u64,
-    /// Requests by what their callers were told.
+    /// Number of requests by their outcome.
     requests: BTreeMap<&'static str, u64>,
     latency: BTreeMap<String, Latency>,
-    /// Spare cores held back, as the plan foresaw.
+    /// Spare cores held back, as planned.
     buffer_cores: u32,
     planned_seconds: u64,
     planned_moves: u32,
@@ -49,14 +49,15 @@
     /// Tasks moved by the plan and by repair together.
     moves: u64,
     phases: BTreeMap<Phase, f64>,
-    /// How long it took until a change was in force on every node.
+    /// Time until a change was in force on every node.
     pub(crate) in_force: Option<Duration>,
     store_calls: u64,
     store_refused: u64,
     store_peak_writes: u64,
     latest_ms_after_leave: u64,
-    /// Every promise that was broken.
-    pub(crate) broken: Vec<String>,
+    /// Descriptions of all violated invariants.
+    #[serde(rename = "broken")]
+    pub(crate) violations: Vec<String>,
 }
 
 impl Summary {
@@ -79,34 +80,40 @@
             store_refused: 0,
             store_peak_writes: 0,
             latest_ms_after_leave: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Notes what a plan foresees.
-    pub(crate) fn plan(&mut self, plan: &Plan) {
+    /// Records the cost that a plan expects.
+    pub(crate) fn record_plan(&mut self, plan: &Plan) {
         self.buffer_cores = plan.cost.buffer.0 / 1000;
         self.planned_seconds = plan.cost.seconds;
         self.planned_moves = plan.cost.moves;
     }
 
-    /// Notes when something was done.
-    pub(crate) fn phase(&mut self, phase: Phase, after: Duration) {
+    /// Records when an event happened.
+    pub(crate) fn record_phase(&mut self, phase: Phase, after: Duration) {
         self.phases.insert(phase, after.as_secs_f64());
     }
 
-    /// Notes how a plan ended.
-    pub(crate) fn rolled_out(&mut self, view: &PlanView, took: Duration) {
+    /// Records how a plan ended.
+    pub(crate) fn record_rollout(&mut self, view: &PlanView, took: Duration) {
         self.rollout_seconds = took.as_secs_f64();
         (self.hosts_done, self.hosts_skipped) = (view.done, view.skipped);
     }
 
-    /// Notes the figures of the whole run.
-    pub(crate) fn finish(&mut self, served: &Served, rows: &Rows, counts: &Counts, runs: &Runs) {
-        for seen in &served.seen {
-            *self.requests.entry(word(seen.told)).or_default() += 1;
+    /// Records the totals of the whole run.
+    pub(crate) fn record_totals(
+        &mut self,
+        results: &CallerResults,
+        rows: &Rows,
+        counts: &Counts,
+        runs: &Runs,
+    ) {
+        for request in &results.requests {
+            *self.requests.entry(outcome_name(request.result)).or_default() += 1;
         }
-        for (class, histogram) in &served.latency {
+        for (class, histogram) in &results.latency {
             let millis = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
             let count = histogram.len();
             let latency = Latency { count, p50: millis(0.5), p99: millis(0.99) };
@@ -121,10 +128,10 @@
         self.latest_ms_after_leave = runs.latest_ms;
     }
 
-    /// The summary for people.
+    /// The summary as text.
     pub(crate) fn text(&self) -> String {
         let requests: Vec<String> =
-            self.requests.iter().map(|(word, count)| format!("{count} {word}")).collect();
+            self.requests.iter().map(|(name, count)| format!("{count} {name}")).collect();
         let mut lines = vec![
             format!("\nSummary ({}, seed {})", self.preset, self.seed),
             format!("requests        {}", requests.join(", ")),
@@ -135,22 +142,22 @@
                 latency.p50, latency.p99, latency.count
             ));
         }
-        lines.push(format!("buffer cost     {} cores held back at the most", self.buffer_cores));
+        lines.push(format!("buffer cost     {} cores held back at most", self.buffer_cores));
         lines.push(format!(
             "roll-out time   {:.1} s (planned {} s): {} hosts done, {} skipped",
             self.rollout_seconds, self.planned_seconds, self.hosts_done, self.hosts_skipped
         ));
         lines.push(format!(
-            "moves           {} tasks, of which the plan foresaw {}",
+            "moves           {} tasks, of which {} were planned",
             self.moves, self.planned_moves
         ));
         for (phase, at) in &self.phases {
-            let word = match phase {
+            let name = match phase {
                 Phase::RackFailed => "rack failed",
                 Phase::NodeKilled => "node killed",
                 Phase::WaveEnded => "wave ended",
             };
-            lines.push(format!("{word:<15} {at:.1} s after the confirmation"));
+            lines.push(format!("{name:<15} {at:.1} s after the confirmation"));
         }
         let in_force = self.in_force.map_or("never".to_owned(), show::span);
         lines.push(format!("config change   in force on every node after {in_force}"));
@@ -162,19 +169,19 @@
             "leave notice    last request {} ms after a leave",
             self.latest_ms_after_leave
         ));
-        lines.push(format!("broken promises {}", self.broken.len()));
-        lines.extend(self.broken.iter().map(|text| format!("  BROKEN: {text}")));
+        lines.push(format!("violations      {}", self.violations.len()));
+        lines.extend(self.violations.iter().map(|text| format!("  VIOLATION: {text}")));
         lines.join("\n")
     }
 }
 
-fn word(told: Told) -> &'static str {
-    match told {
-        Told::Whole => "ran",
-        Told::Wrong => "wrong",
-        Told::NotRun => "not-run",
-        Told::Unknown => "unknown",
-        Told::RanBefore => "ran before",
-        Told::Silence => "without an answer (node killed)",
+fn outcome_name(result: Outcome) -> &'static str {
+    match result {
+        Outcome::Complete => "ran",
+        Outcome::Wrong => "wrong",
+        Outcome::NotRun => "not-run",
+        Outcome::Unknown => "unknown",
+        Outcome::AlreadyRan => "ran before",
+        Outcome::NoAnswer => "without an answer (node killed)",
     }
 }
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,6 +1,6 @@
 //! Small stand-ins for the systems that the program works with: the platform's store and list of
-//! hosts, workers, and endpoints. They speak the real protocols over real sockets, and fail when
-//! they are told to. Nothing but `main`, `measure`, `demo` and tests uses them.
+//! hosts, workers, and endpoints. They speak the real protocols over real sockets, and inject
+//! faults on request. Only `main`, `measure`, `demo` and tests use them.
 
 pub(crate) mod endpoint;
 pub(crate) mod kv;
--- a/src/standin/kv.rs
+++ b/src/standin/kv.rs
@@ -12,8 +12,8 @@
     platform::store::{Call, Entry, Guard, LeaseId, Reply},
 };
 
-/// Events that are kept for watches; older ones are compacted away.
-const LOG_LEN: usize = 20_000;
+/// Number of events kept for watches; older ones are compacted.
+const MAX_LOG_EVENTS: usize = 20_000;
 
 #[derive(Debug, Clone)]
 struct Stored {
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 struct Lease {
     ttl: Duration,
-    ends: Time,
+    expires_at: Time,
 }
 
 /// The store's state.
@@ -40,14 +40,15 @@
 }
 
 impl Kv {
-    /// Carries out a call.
+    /// Executes a call.
     pub(crate) fn call(&mut self, call: Call, now: Time) -> Reply {
         self.expire(now);
         match call {
             Call::Get { key } => self.reply(self.entry(&key).into_iter().collect()),
-            Call::List { prefix } => self.reply(self.below(&prefix)),
+            Call::List { prefix } => self.reply(self.list_prefix(&prefix)),
             Call::Newest { prefix } => {
-                let newest = self.below(&prefix).into_iter().max_by_key(|entry| entry.revision);
+                let newest =
+                    self.list_prefix(&prefix).into_iter().max_by_key(|entry| entry.revision);
                 self.reply(newest.into_iter().collect())
             }
             Call::Swap { key, expect, guards, value, lease } => {
@@ -55,13 +56,13 @@
             }
             Call::Grant { ttl } => {
                 self.last_lease += 1;
-                self.leases.insert(self.last_lease, Lease { ttl, ends: now + ttl });
+                self.leases.insert(self.last_lease, Lease { ttl, expires_at: now + ttl });
                 Reply::Lease { lease: self.last_lease, left: ttl }
             }
             Call::Renew { lease } => {
                 let held = self.leases.get_mut(&lease);
                 let left = held.map_or(Duration::ZERO, |held| {
-                    held.ends = now + held.ttl;
+                    held.expires_at = now + held.ttl;
                     held.ttl
                 });
                 Reply::Lease { lease, left }
@@ -78,32 +79,32 @@
         self.revision
     }
 
-    /// Events below a prefix from a revision on; or the revision through which they are gone.
+    /// Events under a prefix from a revision on, or the compacted revision if some are missing.
     pub(crate) fn events(&self, prefix: &str, from: Revision) -> Result<Vec<Entry>, Revision> {
         if from <= self.compacted {
             return Err(self.compacted);
         }
-        let wanted = |e: &&Entry| from <= e.revision && e.key.starts_with(prefix);
-        Ok(self.log.iter().filter(wanted).cloned().collect())
+        let is_match = |e: &&Entry| from <= e.revision && e.key.starts_with(prefix);
+        Ok(self.log.iter().filter(is_match).cloned().collect())
     }
 
-    /// Forgets all events up to now.
+    /// Compacts all events so far.
     pub(crate) fn compact(&mut self) {
         self.log.clear();
         self.compacted = self.revision;
     }
 
-    /// Ends every lease, as if its holder had been away.
-    pub(crate) fn lapse_leases(&mut self) {
+    /// Ends every lease, as if no holder had renewed it.
+    pub(crate) fn expire_all(&mut self) {
         let leases: Vec<LeaseId> = self.leases.keys().copied().collect();
         leases.into_iter().for_each(|lease| self.end_lease(lease));
     }
 
-    /// Ends the leases whose time is up.
+    /// Ends the leases that have expired.
     pub(crate) fn expire(&mut self, now: Time) {
-        let ended = self.leases.iter().filter(|(_, lease)| lease.ends <= now);
-        let ended: Vec<LeaseId> = ended.map(|(id, _)| *id).collect();
-        ended.into_iter().for_each(|lease| self.end_lease(lease));
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<LeaseId> = expired.map(|(id, _)| *id).collect();
+        expired.into_iter().for_each(|lease| self.end_lease(lease));
     }
 
     fn end_lease(&mut self, lease: LeaseId) {
@@ -121,11 +122,11 @@
         value: Option<Bytes>,
         lease: Option<LeaseId>,
     ) -> Reply {
-        let stands = |key: &str| self.entries.get(key).map(|s| s.revision).unwrap_or_default();
-        let holds = guards.iter().all(|guard| stands(&guard.key) == guard.revision);
-        let now = stands(&key);
-        let lapsed = lease.is_some_and(|lease| !self.leases.contains_key(&lease));
-        if now != expect || !holds || lapsed {
+        let revision_of = |key: &str| self.entries.get(key).map(|s| s.revision).unwrap_or_default();
+        let guards_hold = guards.iter().all(|guard| revision_of(&guard.key) == guard.revision);
+        let current = revision_of(&key);
+        let lease_expired = lease.is_some_and(|lease| !self.leases.contains_key(&lease));
+        if current != expect || !guards_hold || lease_expired {
             return Reply::Conflict(self.entry(&key));
         }
         self.write(key, value, lease);
@@ -136,7 +137,7 @@
         self.revision.0 += 1;
         let revision = self.revision;
         self.log.push_back(Entry { key: key.clone(), revision, value: value.clone() });
-        if LOG_LEN < self.log.len()
+        if MAX_LOG_EVENTS < self.log.len()
             && let Some(oldest) = self.log.pop_front()
         {
             self.compacted = oldest.revision;
@@ -153,7 +154,7 @@
         Some(Entry { key: key.to_owned(), revision: stored.revision, value })
     }
 
-    fn below(&self, prefix: &str) -> Vec<Entry> {
+    fn list_prefix(&self, prefix: &str) -> Vec<Entry> {
         let from = self.entries.range(prefix.to_owned()..);
         let keys = from.take_while(|(key, _)| key.starts_with(prefix));
         keys.filter_map(|(key, _)| self.entry(key)).collect()
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,5 +1,5 @@
-//! The stand-in platform: the store in etcd's JSON mapping, with its rates enforced and its calls
-//! counted, the lagging list of hosts, and faults that are switched over HTTP.
+//! The stand-in platform: the store in etcd's JSON mapping, with rate limits and counts of calls, a
+//! lagging list of hosts, and faults that are switched over HTTP.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -34,25 +34,25 @@
     standin::kv::Kv,
 };
 
-/// Largest body that the stand-in reads.
-const MOST_BODY: usize = 4 << 20;
-/// Connections that the stand-in accepts.
-const MOST_CONNECTIONS: usize = 4096;
-/// How long an answer that is to be lost is held: longer than any caller waits.
-const LOST_FOR: Duration = Duration::from_secs(30);
-/// A worker that is silent for this long is not live.
-const SILENT_AFTER: Duration = Duration::from_millis(2500);
+/// Maximum size of a body that the stand-in reads.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Maximum number of connections that the stand-in accepts.
+const MAX_CONNECTIONS: usize = 4096;
+/// How long a lost answer is delayed: longer than any caller waits.
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(30);
+/// A host without a report for this long is listed as not live.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How the stand-in platform is set up.
+/// Settings of the stand-in platform.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
     /// IP address and port; port 0 takes a free one.
     pub(crate) listen: String,
-    /// Writes a second that the store takes.
+    /// Writes per second that the store accepts.
     pub(crate) writes: u32,
-    /// Reads a second that the store takes.
+    /// Reads per second that the store accepts.
     pub(crate) reads: u32,
-    /// How far the list of hosts lags.
+    /// Delay until a report appears in the list of hosts.
     pub(crate) lag: Duration,
 }
 
@@ -67,39 +67,39 @@
     }
 }
 
-/// What fails now.
+/// Faults that are in effect.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct Faults {
-    /// Each store call takes so much longer, in milliseconds.
+    /// Delay added to each store call, in milliseconds.
     pub(crate) delay_ms: u64,
     /// The store refuses every call.
     pub(crate) outage: bool,
-    /// So many of the next writes take effect, but their answers are lost.
+    /// Number of next writes that take effect but whose answers are lost.
     pub(crate) lose_answers: u32,
     /// The list of hosts cannot be read.
     pub(crate) list_outage: bool,
 }
 
-/// Something that happens once.
+/// A fault that occurs once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum Once {
+pub(crate) enum OneTimeFault {
     /// Every watch is cut.
     CutWatches,
-    /// Every lease lapses.
+    /// Every lease expires.
     LapseLeases,
-    /// Old revisions are compacted away.
+    /// All earlier events are compacted.
     Compact,
 }
 
-/// Calls by kind, refused ones, and the highest count in one second.
+/// Counts of calls by kind, of refused calls, and the highest counts within one second.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Counts {
     pub(crate) calls: BTreeMap<String, u64>,
-    /// Calls above the rates, which were refused.
+    /// Calls refused because they exceeded the rates.
     pub(crate) refused: u64,
-    /// Watches that are open.
+    /// Open watches.
     pub(crate) watches: u64,
     pub(crate) peak_writes: u64,
     pub(crate) peak_reads: u64,
@@ -114,16 +114,17 @@
     faults: Faults,
     counts: Counts,
     hosts: BTreeMap<HostId, Listed>,
-    /// Reports that are not shown yet, because the list lags.
+    /// Reports that are not listed yet, because the list lags.
     pending: VecDeque<(Time, HostReport)>,
     sequence: u64,
-    cuts: u64,
+    /// How often all watches were cut.
+    watch_cuts: u64,
 }
 
 #[derive(Debug)]
 struct Listed {
     report: HostReport,
-    heard: Time,
+    last_report: Time,
     sequence: u64,
 }
 
@@ -151,7 +152,7 @@
         let platform = served.clone();
         async move { Ok::<_, poem::Error>(platform.answer(request).await) }
     });
-    tokio::spawn(http::serve(listener, MOST_CONNECTIONS, endpoint, http::Stop::default()));
+    tokio::spawn(http::serve(listener, MAX_CONNECTIONS, endpoint, http::Stop::default()));
     let ticking = platform.clone();
     tokio::spawn(async move {
         let mut tick = tokio::time::interval(Duration::from_millis(50));
@@ -164,18 +165,18 @@
 }
 
 impl Platform {
-    /// Has something happen once.
-    pub(crate) fn once(&self, once: Once) {
+    /// Triggers a one-time fault.
+    pub(crate) fn trigger(&self, fault: OneTimeFault) {
         let mut state = self.lock();
-        match once {
-            Once::CutWatches => state.cuts += 1,
-            Once::LapseLeases => state.kv.lapse_leases(),
-            Once::Compact => state.kv.compact(),
+        match fault {
+            OneTimeFault::CutWatches => state.watch_cuts += 1,
+            OneTimeFault::LapseLeases => state.kv.expire_all(),
+            OneTimeFault::Compact => state.kv.compact(),
         }
-        self.announce(&state);
+        self.notify_watches(&state);
     }
 
-    /// Calls so far.
+    /// Counts of calls so far.
     pub(crate) fn counts(&self) -> Counts {
         self.lock().counts.clone()
     }
@@ -184,8 +185,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn announce(&self, state: &State) {
-        // Sent even if the revision is the same: a cut must be noticed too.
+    fn notify_watches(&self, state: &State) {
+        // Sent even for an unchanged revision, so that the watches notice a cut.
         self.changed.send_replace(state.kv.revision());
     }
 
@@ -196,13 +197,13 @@
         state.kv.expire(now);
         while state.pending.front().is_some_and(|(due, _)| *due <= now) {
             if let Some((_, report)) = state.pending.pop_front() {
-                state.show(report, now);
+                state.update_listed(report, now);
             }
         }
         let silent = state
             .hosts
             .values()
-            .filter(|listed| listed.report.live && SILENT_AFTER < now.since(listed.heard));
+            .filter(|listed| listed.report.live && REPORT_TIMEOUT < now.since(listed.last_report));
         let silent: Vec<HostId> = silent.map(|listed| listed.report.host.clone()).collect();
         for host in silent {
             state.sequence += 1;
@@ -213,7 +214,7 @@
             }
         }
         if before < state.kv.revision() {
-            self.announce(&state);
+            self.notify_watches(&state);
         }
     }
 
@@ -232,22 +233,22 @@
         match path.as_str() {
             "/hosts" => self.list(&request),
             "/hosts/report" => {
-                match http::read_json::<Vec<HostReport>>(&mut request, MOST_BODY).await {
+                match http::read_json::<Vec<HostReport>>(&mut request, MAX_BODY_BYTES).await {
                     Ok(reports) => self.report(reports),
                     Err(error) => http::text(StatusCode::BAD_REQUEST, error.to_string()),
                 }
             }
             "/counts" => http::json(StatusCode::OK, &self.counts()),
-            "/faults" => match http::read_json::<Faults>(&mut request, MOST_BODY).await {
+            "/faults" => match http::read_json::<Faults>(&mut request, MAX_BODY_BYTES).await {
                 Ok(faults) => {
                     self.lock().faults = faults;
                     http::text(StatusCode::OK, "")
                 }
                 Err(error) => http::text(StatusCode::BAD_REQUEST, error.to_string()),
             },
-            "/once" => match http::read_json::<Once>(&mut request, MOST_BODY).await {
-                Ok(once) => {
-                    self.once(once);
+            "/once" => match http::read_json::<OneTimeFault>(&mut request, MAX_BODY_BYTES).await {
+                Ok(fault) => {
+                    self.trigger(fault);
                     http::text(StatusCode::OK, "")
                 }
                 Err(error) => http::text(StatusCode::BAD_REQUEST, error.to_string()),
@@ -268,9 +269,9 @@
         let since = query.strip_prefix("since=").and_then(|text| text.parse().ok()).unwrap_or(0);
         let state = self.lock();
         if state.faults.list_outage {
-            return http::text(StatusCode::SERVICE_UNAVAILABLE, "host list is down");
+            return http::text(StatusCode::SERVICE_UNAVAILABLE, "the list of hosts is unavailable");
         }
-        // A number from before a restart of the platform says nothing: tell all.
+        // A sequence number from before a restart of the platform is meaningless: list all hosts.
         let since = if state.sequence < since { 0 } else { since };
         let newer = state.hosts.values().filter(|listed| since < listed.sequence);
         let hosts = newer.map(|listed| listed.report.clone()).collect();
@@ -283,7 +284,7 @@
             let body = "{\"error\":\"too many requests\",\"code\":8}";
             return http::text(StatusCode::TOO_MANY_REQUESTS, body);
         }
-        let body = match http::read_body(request.take_body(), MOST_BODY).await {
+        let body = match http::read_body(request.take_body(), MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(error) => return http::text(StatusCode::BAD_REQUEST, error.to_string()),
         };
@@ -310,7 +311,7 @@
         answered.unwrap_or_else(|error| http::text(StatusCode::BAD_REQUEST, error))
     }
 
-    /// Counts a call, and refuses it if it is above the rates.
+    /// Counts a call and returns whether it is within the rates.
     fn admit(&self, path: &str, _request: &Request) -> bool {
         let is_write = matches!(path, "kv/txn" | "lease/grant" | "lease/revoke");
         let second = Time::now().as_millis() / 1000;
@@ -338,13 +339,13 @@
         let before = state.kv.revision();
         let reply = state.kv.call(call, Time::now());
         if before < state.kv.revision() {
-            self.announce(&state);
+            self.notify_watches(&state);
         }
         reply
     }
 
     fn range(&self, request: &RangeRequest) -> Response {
-        let key = text_of(&request.key);
+        let key = decode_text(&request.key);
         let call = match (request.range_end.is_empty(), request.limit) {
             (true, _) => Call::Get { key },
             (false, Some(_)) => Call::Newest { prefix: key },
@@ -359,14 +360,14 @@
 
     async fn txn(&self, request: &TxnRequest) -> Response {
         let Some(write) = request.success.first() else {
-            return http::text(StatusCode::BAD_REQUEST, "one write is served");
+            return http::text(StatusCode::BAD_REQUEST, "the transaction contains no write");
         };
         let mut compared = request.compare.iter().map(|compare| Guard {
-            key: text_of(&compare.key),
+            key: decode_text(&compare.key),
             revision: Revision(u64::try_from(compare.mod_revision.0).unwrap_or(0)),
         });
         let Some(Guard { key, revision: expect }) = compared.next() else {
-            return http::text(StatusCode::BAD_REQUEST, "a compare is needed");
+            return http::text(StatusCode::BAD_REQUEST, "the transaction contains no compare");
         };
         let guards = compared.collect();
         let put = write.request_put.as_ref();
@@ -380,7 +381,7 @@
             lost
         };
         if lost {
-            tokio::time::sleep(LOST_FOR).await;
+            tokio::time::sleep(LOST_ANSWER_DELAY).await;
             return http::text(StatusCode::GATEWAY_TIMEOUT, "answer lost");
         }
         let answer = match reply {
@@ -410,35 +411,38 @@
 
     fn watch(&self, request: &WatchRequest) -> Response {
         let create = &request.create_request;
-        let prefix = text_of(&create.key);
+        let prefix = decode_text(&create.key);
         let from = Revision(u64::try_from(create.start_revision.0).unwrap_or(0));
-        let cuts = self.lock().cuts;
+        let watch_cuts = self.lock().watch_cuts;
         self.lock().counts.watches += 1;
-        let open = Open(self.clone());
+        let open = OpenWatch(self.clone());
         let changed = self.changed.subscribe();
         let first = WatchResponse { created: true, ..WatchResponse::default() };
-        let first = stream::iter([line(first)]);
+        let first = stream::iter([json_line(first)]);
         let state = (open, changed, prefix, from);
         let rest = stream::unfold(Some(state), move |state| async move {
             let (open, mut changed, prefix, from) = state?;
             loop {
                 changed.borrow_and_update();
-                let (events, now_cut) = {
+                let (events, is_cut) = {
                     let state = open.0.lock();
-                    (state.kv.events(&prefix, from), state.cuts != cuts || state.faults.outage)
+                    (
+                        state.kv.events(&prefix, from),
+                        state.watch_cuts != watch_cuts || state.faults.outage,
+                    )
                 };
-                if now_cut {
+                if is_cut {
                     return None;
                 }
                 match events {
                     Err(through) => {
                         let compact_revision = Int(through.0 as i64);
-                        let gone = WatchResponse {
+                        let compacted = WatchResponse {
                             canceled: true,
                             compact_revision,
                             ..WatchResponse::default()
                         };
-                        return Some((line(gone), None));
+                        return Some((json_line(compacted), None));
                     }
                     Ok(entries) if !entries.is_empty() => {
                         let next = entries.last().map_or(from, |e| Revision(e.revision.0 + 1));
@@ -447,11 +451,11 @@
                             events: entries.iter().map(event).collect(),
                             ..WatchResponse::default()
                         };
-                        return Some((line(answer), Some((open, changed, prefix, next))));
+                        return Some((json_line(answer), Some((open, changed, prefix, next))));
                     }
                     Ok(_) => {}
                 }
-                // Woken now and then, to notice an outage that no write announces.
+                // Wakes up regularly to notice an outage, which no write signals.
                 let wait = changed.changed();
                 let _ = tokio::time::timeout(Duration::from_millis(200), wait).await;
             }
@@ -461,27 +465,27 @@
     }
 }
 
-/// A watch that is counted while it is open.
-struct Open(Platform);
+/// An open watch, counted until this is dropped.
+struct OpenWatch(Platform);
 
-impl Drop for Open {
+impl Drop for OpenWatch {
     fn drop(&mut self) {
         self.0.lock().counts.watches -= 1;
     }
 }
 
 impl State {
-    fn show(&mut self, report: HostReport, now: Time) {
+    fn update_listed(&mut self, report: HostReport, now: Time) {
         let same = self.hosts.get(&report.host).is_some_and(|listed| listed.report == report);
         if same {
             if let Some(listed) = self.hosts.get_mut(&report.host) {
-                listed.heard = now;
+                listed.last_report = now;
             }
             return;
         }
         self.sequence += 1;
         let sequence = self.sequence;
-        self.hosts.insert(report.host.clone(), Listed { report, heard: now, sequence });
+        self.hosts.insert(report.host.clone(), Listed { report, last_report: now, sequence });
     }
 }
 
@@ -489,7 +493,7 @@
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
-fn text_of(encoded: &str) -> String {
+fn decode_text(encoded: &str) -> String {
     String::from_utf8(etcd::decode(encoded).unwrap_or_default()).unwrap_or_default()
 }
 
@@ -511,7 +515,7 @@
     WatchEvent { kind, kv: key_value(entry) }
 }
 
-fn line(answer: WatchResponse) -> Bytes {
+fn json_line(answer: WatchResponse) -> Bytes {
     let mut line = serde_json::to_vec(&Streamed { result: answer }).unwrap_or_default();
     line.push(b'\n');
     line.into()
--- a/src/standin/site.rs
+++ b/src/standin/site.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the platform that scheduler nodes run on: its store, its list of hosts, and
-//! workers that run tasks, each at an address of its own. It speaks what the platform speaks, and
-//! counts what must never happen.
+//! workers that run tasks, each at an address of its own. It speaks the platform's protocols, and
+//! counts starts, ends and double runs of tasks.
 
 mod hosts;
 mod life;
@@ -28,111 +28,112 @@
     standin::site::{log::Log, store::Store, worker::Worker},
 };
 
-/// Largest body that the stand-in reads.
-const MAX_BODY: usize = 4 << 20;
-/// Connections that each address takes.
+/// Maximum size of a body that the stand-in reads.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Maximum number of connections of each address.
 const MAX_CONNECTIONS: usize = 1_024;
-/// How long an answer that is to be lost is held: longer than any caller waits.
-const LOST_FOR: Duration = Duration::from_secs(20);
-/// How often leases and runs are looked at.
-const TICK: Duration = Duration::from_millis(20);
+/// How long a lost answer is delayed: longer than any caller waits.
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(20);
+/// Interval at which leases and runs are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Ticks between two reports of a worker.
 const TICKS_PER_REPORT: u32 = 25;
 
-/// How the stand-in is set up.
+/// Settings of the stand-in.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
-    /// Where store, hosts and faults are; port 0 takes a free one.
+    /// Address of the store, the list of hosts and the faults; port 0 takes a free one.
     pub(crate) listen: String,
     pub(crate) workers: u32,
-    /// Pools that the workers are spread over: `work`, `work-1` and so on.
+    /// Number of pools that the workers are spread over: `work`, `work-1` and so on.
     pub(crate) pools: u32,
-    /// How long a worker takes for a task whose payload names no time.
+    /// Run time of a task whose payload names none.
     pub(crate) work: Duration,
-    /// Whether workers tell when they started, and every other one starts again under the
-    /// identifier that it had.
+    /// Whether workers report their start time, and every other one keeps its identifier when it
+    /// restarts.
     pub(crate) keep_ids: bool,
 }
 
-/// What is wrong with the store, as switched over HTTP.
+/// Faults of the store, switched over HTTP.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
     /// Every call gets a 503.
     store_down: bool,
-    /// Writes are done and not answered.
+    /// Writes are executed but not answered.
     store_lost: bool,
-    /// Watches that are far behind get no answer, as if it were too long for the link.
+    /// Watches that are far behind get no answer, as if the answer were too long for the link.
     store_long_history: bool,
-    /// Watches hear nothing while all other calls are answered, and are cut once that is over.
+    /// Watches receive nothing while all other calls are answered, and are cut once this is
+    /// switched off.
     store_watches_silent: bool,
-    /// The watches' history is gone, once.
+    /// The history for watches is compacted, once.
     store_compact: bool,
-    /// Every call takes that much longer.
+    /// Delay added to every call.
     store_slow_ms: u64,
-    /// Writes are done that much later, and not answered.
+    /// Delay after which writes are executed, without an answer; off if 0.
     store_late_ms: u64,
-    /// Only every so many writes, if not 0; the others are done at once.
+    /// If not 0, only one write in this many is late; the others are executed at once.
     store_late_every: u64,
-    /// The leases that are held end, once: all, or the one of a number.
-    leases_over: Option<LeasesOver>,
+    /// Leases that end, once: all, or a single one.
+    leases_over: Option<EndedLeases>,
 }
 
-/// Which leases end though they were renewed.
+/// Which leases end even though they were renewed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum LeasesOver {
+enum EndedLeases {
     All,
-    /// Counted from the oldest, and from it again after the newest.
+    /// The lease with this index in the order of grants, modulo the number of leases.
     Nth(usize),
 }
 
-/// Orders that a worker does not hear, by their tokens: they get no answer.
+/// A range of tokens whose orders a worker does not receive: they get no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct Unheard {
+struct DroppedOrders {
     worker: usize,
     from: u64,
-    /// The last of the tokens.
+    /// The last token, inclusive.
     to: u64,
 }
 
-/// The orders that a worker has heard under a token.
+/// Number of orders that a worker has received with a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-struct Heard {
+struct ReceivedOrders {
     worker: usize,
     token: u64,
     orders: u32,
 }
 
-/// What must never happen, as counted.
+/// Counts of runs, for checks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 struct Counted {
-    /// Runs that began while another of their task ran.
+    /// Runs that started while another run of their task was running.
     twice: u32,
-    /// Runs that began.
+    /// Runs that started.
     starts: u32,
-    /// Ends of runs as done.
+    /// Runs that ended as done.
     done: u32,
 }
 
-/// Everything, behind one lock that is held for short looks only.
+/// The whole state, behind one lock that is only held briefly.
 struct State {
-    began: Instant,
+    started_at: Instant,
     store: Store,
     workers: Vec<Worker>,
     faults: Faults,
-    unheard: Vec<Unheard>,
+    dropped: Vec<DroppedOrders>,
     counted: Counted,
-    /// Orders that were heard, by worker and token.
-    heard: BTreeMap<(usize, u64), u32>,
+    /// Number of orders received, by worker and token.
+    received: BTreeMap<(usize, u64), u32>,
     log: Log,
 }
 
-/// The stand-in, as its addresses share it.
+/// The stand-in, shared by its addresses.
 #[derive(Clone)]
 struct Site {
     state: Arc<Mutex<State>>,
-    /// Counts what watches and looks wait for.
+    /// Counts the changes that watches and polls wait for.
     changed: watch::Sender<u64>,
 }
 
@@ -153,23 +154,23 @@
 
 impl State {
     fn now_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Takes note of an order; whether the worker hears it.
-    fn hears(&mut self, worker: usize, token: u64) -> bool {
-        let deaf = |fault: &&Unheard| fault.worker == worker && fault.from <= token;
-        if self.unheard.iter().filter(deaf).any(|fault| token <= fault.to) {
+    /// Records an order, and returns whether the worker receives it.
+    fn receive_order(&mut self, worker: usize, token: u64) -> bool {
+        let drops = |fault: &&DroppedOrders| fault.worker == worker && fault.from <= token;
+        if self.dropped.iter().filter(drops).any(|fault| token <= fault.to) {
             return false;
         }
-        *self.heard.entry((worker, token)).or_default() += 1;
+        *self.received.entry((worker, token)).or_default() += 1;
         true
     }
 
-    fn heard(&self) -> Vec<Heard> {
-        let heard = self.heard.iter();
-        heard
-            .map(|((worker, token), orders)| Heard {
+    fn received(&self) -> Vec<ReceivedOrders> {
+        let received = self.received.iter();
+        received
+            .map(|((worker, token), orders)| ReceivedOrders {
                 worker: *worker,
                 token: *token,
                 orders: *orders,
@@ -178,30 +179,29 @@
     }
 }
 
-/// Starts the stand-in.
 pub(crate) async fn start(options: Options) -> io::Result<Running> {
     let state = State {
-        began: Instant::now(),
+        started_at: Instant::now(),
         store: Store::default(),
         workers: Vec::new(),
         faults: Faults::default(),
-        unheard: Vec::new(),
+        dropped: Vec::new(),
         counted: Counted::default(),
-        heard: BTreeMap::new(),
+        received: BTreeMap::new(),
         log: Log::default(),
     };
     let site = Site { state: Arc::new(Mutex::new(state)), changed: watch::channel(0).0 };
     for number in 0..options.workers {
         let (listener, address) = http::listen("127.0.0.1:0").await?;
         let pool = worker::pool(number % options.pools.max(1));
-        let born = options.keep_ids.then(life::today);
-        let worker = Worker::new(number, pool, &address.to_string(), options.work, born);
+        let start_time = options.keep_ids.then(life::unix_ms);
+        let worker = Worker::new(number, pool, &address.to_string(), options.work, start_time);
         site.state().workers.push(worker);
-        let endpoint = worker::Face { site: site.clone(), number: number as usize };
+        let endpoint = worker::WorkerApi { site: site.clone(), number: number as usize };
         tokio::spawn(http::serve(listener, MAX_CONNECTIONS, endpoint, http::Stop::default()));
     }
     let (listener, address) = http::listen(&options.listen).await?;
-    let endpoint = Face { site: site.clone() };
+    let endpoint = SiteApi { site: site.clone() };
     tokio::spawn(http::serve(listener, MAX_CONNECTIONS, endpoint, http::Stop::default()));
     tokio::spawn(tick(site));
     Ok(Running { address: address.to_string() })
@@ -216,10 +216,10 @@
             let now = state.now_ms();
             let mut changed = state.store.expire(now);
             for worker in &mut state.workers {
-                worker.come_back(now);
-                changed |= worker.run(now, &mut state.counted, &mut state.log);
-                for key in worker.take_stale(now) {
-                    state.store.take_away(&key);
+                worker.restart_if_due(now);
+                changed |= worker.advance(now, &mut state.counted, &mut state.log);
+                for key in worker.take_stale_reports(now) {
+                    state.store.delete(&key);
                     changed = true;
                 }
                 if ticks % TICKS_PER_REPORT == 0 && worker.is_up() {
@@ -233,24 +233,24 @@
         if changed {
             site.note_change();
         }
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
     }
 }
 
-/// The address of store, hosts and faults.
-struct Face {
+/// Serves the address of the store, the list of hosts and the faults.
+struct SiteApi {
     site: Site,
 }
 
-impl Endpoint for Face {
+impl Endpoint for SiteApi {
     type Output = Response;
 
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
         let path = request.uri().path().to_owned();
         let response = match path.as_str() {
             "/faults" => self.set_faults(&mut request).await,
-            "/unheard" => self.set_unheard(&mut request).await,
-            "/heard" => http::json(StatusCode::OK, &self.site.state().heard()),
+            "/unheard" => self.set_dropped(&mut request).await,
+            "/heard" => http::json(StatusCode::OK, &self.site.state().received()),
             "/trouble" => trouble::set(&self.site, &mut request).await,
             "/log" => self.log(&request),
             "/put" => self.put(&mut request).await,
@@ -264,17 +264,17 @@
     }
 }
 
-impl Face {
+impl SiteApi {
     async fn set_faults(&self, request: &mut Request) -> Response {
-        match http::read_json::<Faults>(request, MAX_BODY).await {
+        match http::read_json::<Faults>(request, MAX_BODY_BYTES).await {
             Ok(faults) => {
                 let mut state = self.site.state();
                 if faults.store_compact {
                     state.store.compact();
                 }
                 match faults.leases_over {
-                    Some(LeasesOver::All) => state.store.end_leases(None),
-                    Some(LeasesOver::Nth(number)) => state.store.end_leases(Some(number)),
+                    Some(EndedLeases::All) => state.store.end_leases(None),
+                    Some(EndedLeases::Nth(number)) => state.store.end_leases(Some(number)),
                     None => {}
                 }
                 state.faults = faults;
@@ -286,26 +286,26 @@
         }
     }
 
-    async fn set_unheard(&self, request: &mut Request) -> Response {
-        match http::read_json::<Vec<Unheard>>(request, MAX_BODY).await {
-            Ok(unheard) => {
-                self.site.state().unheard = unheard;
+    async fn set_dropped(&self, request: &mut Request) -> Response {
+        match http::read_json::<Vec<DroppedOrders>>(request, MAX_BODY_BYTES).await {
+            Ok(dropped) => {
+                self.site.state().dropped = dropped;
                 http::text(StatusCode::OK, "")
             }
             Err(error) => http::text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         }
     }
 
-    /// What workers did, from the event on whose number the path's query is.
+    /// The log of the workers' events, from the index in the path's query on.
     fn log(&self, request: &Request) -> Response {
         let first = request.uri().query().and_then(|query| query.parse().ok());
         http::json(StatusCode::OK, &self.site.state().log.since(first.unwrap_or_default()))
     }
 
-    /// Writes a record in the operator's name: the path's query is the key.
+    /// Writes a record as an operator would. The path's query is the key.
     async fn put(&self, request: &mut Request) -> Response {
         let key = request.uri().query().unwrap_or_default().to_owned();
-        match http::read_body(request.take_body(), MAX_BODY).await {
+        match http::read_body(request.take_body(), MAX_BODY_BYTES).await {
             Ok(body) => {
                 let revision = self.site.state().store.put(&key, body.to_vec(), 0);
                 self.site.note_change();
--- a/src/standin/site/hosts.rs
+++ b/src/standin/site/hosts.rs
@@ -1,23 +1,23 @@
-//! The stand-in's hosts: they are listed, and change their pool when they are told to.
+//! The stand-in's hosts: their list, and the calls that move a host to another pool or maintain it.
 
 use poem::{Request, Response, http::StatusCode};
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use super::{MAX_BODY, Site};
+use super::{MAX_BODY_BYTES, Site};
 use crate::http;
 
-/// How long a host is away when it changes its pool or is maintained, in milliseconds.
-const AWAY_MS: u64 = 1_000;
+/// How long a host is unavailable for a move or for maintenance, in milliseconds.
+const DOWNTIME_MS: u64 = 1_000;
 
 #[derive(Deserialize)]
-struct Change {
+struct ChangeRequest {
     machine: String,
     #[serde(default)]
     pool: String,
 }
 
-/// All hosts.
+/// Lists all hosts.
 pub(super) fn list(site: &Site) -> Response {
     let state = site.state();
     let hosts: Vec<Value> = state
@@ -25,7 +25,7 @@
         .iter()
         .map(|worker| {
             json!({
-                "machine": worker.host, "pool": worker.pool, "state": worker.phase_name(),
+                "machine": worker.host, "pool": worker.pool, "state": worker.state_name(),
                 "zone": "hall-a", "labels": ["a", "r1"],
                 "id": worker.is_up().then_some(&worker.id),
                 "capacity": { "cpu": 8_000, "mem_mb": 16_000, "gpu": 0 },
@@ -35,19 +35,19 @@
     http::json(StatusCode::OK, &json!({ "machines": hosts, "next_page_token": null }))
 }
 
-/// Moves a host to another pool: what runs there dies, and a new worker joins that pool.
+/// Moves a host to another pool: its runs crash, and a new worker joins that pool.
 pub(super) async fn move_host(site: &Site, request: &mut Request) -> Response {
     change(site, request, "moving").await
 }
 
-/// Maintains a host: what runs there dies.
+/// Maintains a host: its runs crash.
 pub(super) async fn maintain(site: &Site, request: &mut Request) -> Response {
     change(site, request, "upkeep").await
 }
 
 async fn change(site: &Site, request: &mut Request, phase: &'static str) -> Response {
     let token = request.header("Fencing-Token").and_then(|token| token.parse::<u64>().ok());
-    let change = match http::read_json::<Change>(request, MAX_BODY).await {
+    let change = match http::read_json::<ChangeRequest>(request, MAX_BODY_BYTES).await {
         Ok(change) => change,
         Err(error) => return http::text(StatusCode::BAD_REQUEST, format!("{error}\n")),
     };
@@ -57,10 +57,10 @@
     let Some(worker) = state.workers.iter_mut().find(|worker| worker.host == change.machine) else {
         return http::text(StatusCode::BAD_REQUEST, "no such host\n");
     };
-    if token.unwrap_or_default() < worker.host_fence {
+    if token.unwrap_or_default() < worker.host_token {
         return http::json(StatusCode::CONFLICT, &json!({ "reason": "fence" }));
     }
-    worker.host_fence = token.unwrap_or_default();
+    worker.host_token = token.unwrap_or_default();
     if phase == "moving" && worker.pool == change.pool {
         return http::text(StatusCode::OK, "");
     }
@@ -70,6 +70,6 @@
     if phase == "moving" {
         worker.pool = change.pool;
     }
-    worker.end_life(phase, now, AWAY_MS, &mut state.log);
+    worker.end_incarnation(phase, now, DOWNTIME_MS, &mut state.log);
     http::text(StatusCode::OK, "")
 }
--- a/src/standin/site/life.rs
+++ b/src/standin/site/life.rs
@@ -1,4 +1,4 @@
-//! The lives of a worker: how one ends and the next begins, and the clock that each has.
+//! The incarnations of a worker: how one ends and the next starts, and the clock of each.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -7,56 +7,56 @@
     worker::Worker,
 };
 
-/// How long the report of a life that is over stays in the store, in milliseconds.
-const REPORT_STAYS_MS: u64 = 1_500;
+/// How long the report of an ended incarnation stays in the store, in milliseconds.
+const STALE_REPORT_MS: u64 = 1_500;
 
-/// How much one worker's clock differs from the next one's, in milliseconds.
+/// Difference between the clocks of successive workers, in milliseconds.
 const CLOCK_STEP_MS: u64 = 100_003;
 
-/// Every so many workers have a clock that is 2 % slow.
-const SLOW_EVERY: u32 = 3;
+/// One worker in this many has a clock that is 2 % slow.
+const SLOW_CLOCK_EVERY: u32 = 3;
 
-/// Every so many lives begin under a time of day that has jumped back, and by how much, in
+/// One incarnation in this many starts after the time of day has jumped back, and by how much, in
 /// milliseconds.
 const JUMP_EVERY: u32 = 3;
 const JUMP_MS: u64 = 3_600_000;
 
-/// What a host is doing.
+/// The state of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
     Up,
-    /// Away until a time, for a cause that the list of hosts names.
-    Away(&'static str, u64),
+    /// Unavailable until a time, under a state that the list of hosts shows.
+    Unavailable(&'static str, u64),
 }
 
-/// A clock of its own.
+/// The clock of one worker.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Clock {
     offset: u64,
     slow: bool,
-    /// The stand-in's time at which it began.
-    since: u64,
+    /// The stand-in's time at which the clock started.
+    started_at: u64,
 }
 
-/// The Unix millisecond of now.
-pub(super) fn today() -> u64 {
+/// The current Unix time, in milliseconds.
+pub(super) fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
 impl Clock {
     pub(super) fn new(number: u32) -> Clock {
         let offset = u64::from(number) * CLOCK_STEP_MS;
-        Clock { offset, slow: number % SLOW_EVERY == 1, since: 0 }
+        Clock { offset, slow: number % SLOW_CLOCK_EVERY == 1, started_at: 0 }
     }
 
-    /// The clock of the next life, which begins anew.
+    /// The clock of the next incarnation, which starts again from the beginning.
     fn restarted(self, now: u64) -> Clock {
-        Clock { offset: 1, since: now, ..self }
+        Clock { offset: 1, started_at: now, ..self }
     }
 
-    /// What the clock shows at a time of the stand-in.
+    /// The reading of the clock at a time of the stand-in.
     pub(super) fn at(&self, now: u64) -> u64 {
-        let passed = now.saturating_sub(self.since);
+        let passed = now.saturating_sub(self.started_at);
         self.offset + if self.slow { passed - passed / 50 } else { passed }
     }
 }
@@ -66,37 +66,43 @@
         self.phase == Phase::Up
     }
 
-    /// What the list of hosts says.
-    pub(super) fn phase_name(&self) -> &'static str {
+    /// The state as the list of hosts shows it.
+    pub(super) fn state_name(&self) -> &'static str {
         match self.phase {
             Phase::Up => "up",
-            Phase::Away(name, _) => name,
+            Phase::Unavailable(name, _) => name,
         }
     }
 
-    /// Ends all runs with the worker's life; the next one begins after so long.
-    pub(super) fn end_life(&mut self, why: &'static str, now: u64, away_ms: u64, log: &mut Log) {
+    /// Ends the worker's incarnation with all its runs; the next one starts after `downtime_ms`.
+    pub(super) fn end_incarnation(
+        &mut self,
+        state: &'static str,
+        now: u64,
+        downtime_ms: u64,
+        log: &mut Log,
+    ) {
         for (task, run) in std::mem::take(&mut self.runs) {
-            log.note(now, (&self.id, run.token), Kind::Crashed, (&task, run.run));
+            log.record(now, (&self.id, run.token), Kind::Crashed, (&task, run.run));
         }
-        self.phase = Phase::Away(why, now + away_ms);
-        self.life += 1;
+        self.phase = Phase::Unavailable(state, now + downtime_ms);
+        self.incarnation += 1;
         if !self.keeps_id {
-            self.stale_reports.push((self.report_key(), now + REPORT_STAYS_MS));
-            self.id = format!("w{}-{}", self.number, self.life);
+            self.stale_reports.push((self.report_key(), now + STALE_REPORT_MS));
+            self.id = format!("w{}-{}", self.number, self.incarnation);
         }
-        self.forget();
+        self.reset();
     }
 
-    /// Begins the next life if it is time.
-    pub(super) fn come_back(&mut self, now: u64) {
-        if let Phase::Away(_, until) = self.phase
+    /// Starts the next incarnation if it is due.
+    pub(super) fn restart_if_due(&mut self, now: u64) {
+        if let Phase::Unavailable(_, until) = self.phase
             && until <= now
         {
             self.phase = Phase::Up;
-            if self.born.is_some() {
-                let jump = if self.life % JUMP_EVERY == 2 { JUMP_MS } else { 0 };
-                self.born = Some(today().saturating_sub(jump));
+            if self.start_time.is_some() {
+                let jump = if self.incarnation % JUMP_EVERY == 2 { JUMP_MS } else { 0 };
+                self.start_time = Some(unix_ms().saturating_sub(jump));
             }
             if self.keeps_id {
                 self.clock = self.clock.restarted(now);
@@ -104,8 +110,8 @@
         }
     }
 
-    /// The keys of reports that are over by now.
-    pub(super) fn take_stale(&mut self, now: u64) -> Vec<String> {
+    /// Takes the keys of the reports that are to be removed by now.
+    pub(super) fn take_stale_reports(&mut self, now: u64) -> Vec<String> {
         let stale = self.stale_reports.extract_if(.., |(_, at)| *at <= now);
         stale.map(|(key, _)| key).collect()
     }
--- a/src/standin/site/log.rs
+++ b/src/standin/site/log.rs
@@ -1,11 +1,11 @@
-//! What the stand-in's workers really did, in the order in which it happened.
+//! The log of what happened at the stand-in's workers, in order.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// What happened at a worker.
+/// Kind of an event at a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Kind {
@@ -14,15 +14,15 @@
     Failed,
     Stopped,
     Lapsed,
-    /// The worker's life ended, and the run with it.
+    /// The worker's incarnation ended, and the run with it.
     Crashed,
-    /// A caller has taken note of the end of a run.
+    /// A caller has acknowledged the end of a run.
     Acknowledged,
-    /// The worker's lease is over: whatever ran has lapsed.
+    /// The worker's lease has expired: its runs have lapsed.
     Expired,
 }
 
-/// One event of one run; of the whole worker where no task is named.
+/// One event of a run, or of the whole worker if no task is named.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub(super) struct Entry {
     /// In milliseconds since 1970.
@@ -37,26 +37,32 @@
 
 /// All events so far.
 pub(super) struct Log {
-    began: u64,
+    started_at: u64,
     entries: Vec<Entry>,
 }
 
 impl Default for Log {
     fn default() -> Log {
-        let began = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Log { began: began.as_millis() as u64, entries: Vec::new() }
+        let started_at = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Log { started_at: started_at.as_millis() as u64, entries: Vec::new() }
     }
 }
 
 impl Log {
-    /// Notes an event at so many milliseconds after the start.
-    pub(super) fn note(&mut self, now: u64, by: (&str, u64), kind: Kind, (task, run): (&str, u32)) {
+    /// Records an event at `now` milliseconds after the start.
+    pub(super) fn record(
+        &mut self,
+        now: u64,
+        by: (&str, u64),
+        kind: Kind,
+        (task, run): (&str, u32),
+    ) {
         let (worker, token) = (by.0.to_owned(), by.1);
-        let (at, task) = (self.began + now, task.to_owned());
+        let (at, task) = (self.started_at + now, task.to_owned());
         self.entries.push(Entry { at, worker, kind, task, run, token });
     }
 
-    /// The events from one on.
+    /// The events from an index on.
     pub(super) fn since(&self, first: usize) -> Value {
         json!(self.entries.get(first..).unwrap_or_default())
     }
--- a/src/standin/site/store.rs
+++ b/src/standin/site/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in's store: transactions under conditions, leases, and watches by long poll.
+//! The stand-in's store: conditional transactions, leases, and watches by long poll.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,22 +11,23 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::{Faults, LOST_FOR, MAX_BODY, Site};
+use super::{Faults, LOST_ANSWER_DELAY, MAX_BODY_BYTES, Site};
 use crate::http;
 
-/// Changes that are kept for watches.
-const HISTORY: usize = 10_000;
+/// Number of changes kept for watches.
+const MAX_HISTORY: usize = 10_000;
 
-/// Changes that a watch may have missed before a link is too slow for them, if that is switched on.
-const FAR_BEHIND: usize = 2;
+/// Number of missed changes above which a watch gets no answer, if `store_long_history` is set.
+const MAX_MISSED_CHANGES: usize = 2;
 
-/// How often a silent watch looks whether it may end.
-const SILENT_CHECK: Duration = Duration::from_millis(20);
+/// How often a silent watch checks whether it may end.
+const SILENT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Most items of one page, and of one answer of a watch but for the rest of a transaction.
-const PAGE: usize = 500;
+/// Maximum items of one page, and of one answer of a watch, which is exceeded only to complete a
+/// transaction.
+const MAX_PAGE_ITEMS: usize = 500;
 
-/// A value in the store.
+/// A stored value.
 #[derive(Debug, Clone)]
 struct Stored {
     value: Vec<u8>,
@@ -36,7 +37,7 @@
 
 /// One change, for watches.
 #[derive(Debug, Clone)]
-struct Changed {
+struct Change {
     key: String,
     revision: u64,
     value: Option<Vec<u8>>,
@@ -47,17 +48,17 @@
 pub(super) struct Store {
     revision: u64,
     items: BTreeMap<String, Stored>,
-    history: VecDeque<Changed>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
-    /// Leases with their length and end, in milliseconds.
+    history: VecDeque<Change>,
+    /// Changes up to this revision are compacted.
+    compacted: u64,
+    /// Leases with their duration and their end, in milliseconds.
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     writes: u64,
 }
 
 #[derive(Deserialize)]
-struct Expect {
+struct Expectation {
     private_key: String,
     revision: u64,
 }
@@ -73,7 +74,7 @@
 #[derive(Deserialize)]
 struct Txn {
     #[serde(default)]
-    expected_revision: Vec<Expect>,
+    expected_revision: Vec<Expectation>,
     #[serde(default)]
     put: Vec<Put>,
     #[serde(default)]
@@ -86,49 +87,49 @@
 }
 
 impl Store {
-    /// Writes a value; the new revision.
+    /// Writes a value and returns the new revision.
     pub(super) fn put(&mut self, key: &str, value: Vec<u8>, lease: u64) -> u64 {
         self.revision += 1;
         self.set(key, value, lease);
         self.revision
     }
 
-    /// Writes a value at the present revision: all writes of a transaction share one.
+    /// Writes a value at the current revision, which all writes of a transaction share.
     fn set(&mut self, key: &str, value: Vec<u8>, lease: u64) {
         let stored = Stored { value: value.clone(), revision: self.revision, lease };
         self.items.insert(key.to_owned(), stored);
-        self.note(key, Some(value));
+        self.record_change(key, Some(value));
     }
 
     fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
-            self.note(key, None);
+            self.record_change(key, None);
         }
     }
 
-    /// Removes a key by itself.
-    pub(super) fn take_away(&mut self, key: &str) {
+    /// Removes a key at a new revision.
+    pub(super) fn delete(&mut self, key: &str) {
         self.revision += 1;
         self.remove(key);
     }
 
-    fn note(&mut self, key: &str, value: Option<Vec<u8>>) {
+    fn record_change(&mut self, key: &str, value: Option<Vec<u8>>) {
         let (key, revision) = (key.to_owned(), self.revision);
-        self.history.push_back(Changed { key, revision, value });
-        if HISTORY < self.history.len()
+        self.history.push_back(Change { key, revision, value });
+        if MAX_HISTORY < self.history.len()
             && let Some(oldest) = self.history.pop_front()
         {
-            self.forgotten = oldest.revision;
+            self.compacted = oldest.revision;
         }
     }
 
-    /// Forgets all changes up to now.
+    /// Compacts all changes so far.
     pub(super) fn compact(&mut self) {
         self.history.clear();
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
     }
 
-    /// Ends the leases whose time is up; whether there were any.
+    /// Ends the leases that have expired, and returns whether there were any.
     pub(super) fn expire(&mut self, now: u64) -> bool {
         let over = self.leases.iter().filter(|(_, (_, end))| *end <= now);
         let over: Vec<u64> = over.map(|(lease, _)| *lease).collect();
@@ -136,10 +137,10 @@
         !over.is_empty()
     }
 
-    /// Ends all leases, or the one of a number.
-    pub(super) fn end_leases(&mut self, number: Option<usize>) {
+    /// Ends all leases, or the one with an index, modulo their number.
+    pub(super) fn end_leases(&mut self, index: Option<usize>) {
         let leases: Vec<u64> = self.leases.keys().copied().collect();
-        let chosen = |at: usize| number.is_none_or(|number| number % leases.len() == at);
+        let chosen = |at: usize| index.is_none_or(|index| index % leases.len() == at);
         let over = leases.iter().enumerate().filter(|(at, _)| chosen(*at));
         over.for_each(|(_, lease)| self.end_lease(*lease));
     }
@@ -186,32 +187,32 @@
     fn range(&self, prefix: &str, after: &str) -> Response {
         let keys = self.items.keys().filter(|key| key.starts_with(prefix));
         let keys: Vec<&String> = keys.filter(|key| after < key.as_str()).collect();
-        let more = PAGE < keys.len();
+        let more = MAX_PAGE_ITEMS < keys.len();
         let items: Vec<Value> =
-            keys.into_iter().take(PAGE).filter_map(|key| self.item(key)).collect();
+            keys.into_iter().take(MAX_PAGE_ITEMS).filter_map(|key| self.item(key)).collect();
         let page = json!({ "items": items, "more": more, "at": self.revision });
         http::json(StatusCode::OK, &page)
     }
 
-    /// Changes below a prefix since a revision.
-    fn behind(&self, prefix: &str, since: u64) -> usize {
-        let missed = |change: &&Changed| since < change.revision && change.key.starts_with(prefix);
+    /// Number of changes under a prefix since a revision.
+    fn missed_changes(&self, prefix: &str, since: u64) -> usize {
+        let missed = |change: &&Change| since < change.revision && change.key.starts_with(prefix);
         self.history.iter().filter(missed).count()
     }
 
-    /// The changes after a revision; nothing if there are none yet.
+    /// The changes after a revision, or nothing if there are none yet.
     fn events(&self, prefix: &str, since: u64) -> Option<Response> {
-        if since < self.forgotten {
-            return Some(http::text(StatusCode::GONE, "the history is gone\n"));
+        if since < self.compacted {
+            return Some(http::text(StatusCode::GONE, "the history is compacted\n"));
         }
-        let news = |change: &&Changed| since < change.revision && change.key.starts_with(prefix);
-        let mut news = self.history.iter().filter(news).peekable();
-        news.peek()?;
+        let newer = |change: &&Change| since < change.revision && change.key.starts_with(prefix);
+        let mut newer = self.history.iter().filter(newer).peekable();
+        newer.peek()?;
         let (mut events, mut at) = (Vec::new(), self.revision);
-        while let Some(change) = news.next() {
+        while let Some(change) = newer.next() {
             events.push(event(change));
-            if PAGE <= events.len()
-                && news.peek().is_some_and(|next| next.revision != change.revision)
+            if MAX_PAGE_ITEMS <= events.len()
+                && newer.peek().is_some_and(|next| next.revision != change.revision)
             {
                 at = change.revision;
                 break;
@@ -221,8 +222,8 @@
     }
 }
 
-fn event(change: &Changed) -> Value {
-    let Changed { key, revision, value } = change;
+fn event(change: &Change) -> Value {
+    let Change { key, revision, value } = change;
     match value {
         Some(value) => json!({
             "private_key": key,
@@ -256,11 +257,11 @@
             let wait = Duration::from_millis(number("wait_ms"));
             watch(site, &text("path_prefix"), number("since_revision"), wait).await
         }
-        "kv-txn" => match http::read_json::<Txn>(request, MAX_BODY).await {
+        "kv-txn" => match http::read_json::<Txn>(request, MAX_BODY_BYTES).await {
             Ok(txn) => write(site, txn, faults).await,
             Err(error) => http::text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         },
-        "kv-lease" => match http::read_json::<Ttl>(request, MAX_BODY).await {
+        "kv-lease" => match http::read_json::<Ttl>(request, MAX_BODY_BYTES).await {
             Ok(ttl) => grant(site, ttl.ttl_ms),
             Err(error) => http::text(StatusCode::BAD_REQUEST, format!("{error}\n")),
         },
@@ -268,8 +269,8 @@
     }
 }
 
-/// Does a transaction, late if that is switched on. What has arrived is done, also if the caller
-/// hangs up meanwhile.
+/// Executes a transaction, late if that is switched on. A transaction that has arrived is executed
+/// even if the caller disconnects.
 async fn write(site: &Site, txn: Txn, faults: Faults) -> Response {
     let number = {
         let mut state = site.state();
@@ -282,19 +283,19 @@
         let answer = site.state().store.commit(txn);
         site.note_change();
         if faults.store_lost {
-            sleep(LOST_FOR).await;
+            sleep(LOST_ANSWER_DELAY).await;
         }
         return answer;
     }
     let site = site.clone();
-    let late = tokio::spawn(async move {
+    let late_write = tokio::spawn(async move {
         sleep(Duration::from_millis(faults.store_late_ms)).await;
         let answer = site.state().store.commit(txn);
         site.note_change();
         log::debug!("store: late write: {}", answer.status());
     });
-    sleep(LOST_FOR).await;
-    match late.await {
+    sleep(LOST_ANSWER_DELAY).await;
+    match late_write.await {
         Ok(()) => http::text(StatusCode::GATEWAY_TIMEOUT, ""),
         Err(error) => http::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
     }
@@ -304,35 +305,35 @@
     let until = Instant::now() + wait;
     let mut changed = site.changed.subscribe();
     if site.state().faults.store_long_history
-        && FAR_BEHIND < site.state().store.behind(prefix, since)
+        && MAX_MISSED_CHANGES < site.state().store.missed_changes(prefix, since)
     {
-        sleep(LOST_FOR).await;
+        sleep(LOST_ANSWER_DELAY).await;
     }
     loop {
         if site.state().faults.store_watches_silent {
-            return cut_once_heard(site).await;
+            return cut_after_silence(site).await;
         }
         if let Some(answer) = site.state().store.events(prefix, since) {
             return answer;
         }
         if timeout_at(until, changed.changed()).await.is_err() {
             if site.state().faults.store_watches_silent {
-                return cut_once_heard(site).await;
+                return cut_after_silence(site).await;
             }
-            // A change is noted after it is made: one may have come in between, and a revision
-            // that is told without it would hide it for ever.
+            // Watches are notified only after a change is made, so one may have been made since the
+            // check: an answer with its revision but without the change would hide it for ever.
             let state = site.state();
             let at = state.store.revision;
-            let quiet = || http::json(StatusCode::OK, &json!({ "events": [], "at": at }));
-            return state.store.events(prefix, since).unwrap_or_else(quiet);
+            let empty = || http::json(StatusCode::OK, &json!({ "events": [], "at": at }));
+            return state.store.events(prefix, since).unwrap_or_else(empty);
         }
     }
 }
 
-/// Ends a watch that hears nothing, once watches do again.
-async fn cut_once_heard(site: &Site) -> Response {
+/// Ends a silent watch once watches receive changes again.
+async fn cut_after_silence(site: &Site) -> Response {
     while site.state().faults.store_watches_silent {
-        sleep(SILENT_CHECK).await;
+        sleep(SILENT_CHECK_INTERVAL).await;
     }
     http::text(StatusCode::SERVICE_UNAVAILABLE, "the watch is cut\n")
 }
@@ -355,7 +356,7 @@
                 *end = now + *ttl_ms;
                 http::json(StatusCode::OK, &json!({ "ttl_ms": *ttl_ms }))
             }
-            None => http::text(StatusCode::NOT_FOUND, "it is over\n"),
+            None => http::text(StatusCode::NOT_FOUND, "the lease is over\n"),
         };
     }
     if let Some(Ok(lease)) = call.strip_prefix("kv-lease-end/").map(str::parse::<u64>) {
--- a/src/standin/site/tests.rs
+++ b/src/standin/site/tests.rs
@@ -11,18 +11,18 @@
 
 use super::{Counted, Faults, Site, State, log::Log, store};
 
-/// Found by CI beside load: a watch that ended between a change and its note told the revision of
-/// the change without the change, and a node waited for ever for the end of another's ownership.
+/// A watch that ended between a change and its notification answered with the revision of the change
+/// but without the change. A node then waited for ever for the end of another node's ownership.
 #[tokio::test]
-async fn a_watch_that_ends_tells_of_a_change_that_was_not_noted_yet() {
+async fn an_ending_watch_includes_a_change_before_its_notification() {
     let state = State {
-        began: Instant::now(),
+        started_at: Instant::now(),
         store: store::Store::default(),
         workers: Vec::new(),
         faults: Faults::default(),
-        unheard: Vec::new(),
+        dropped: Vec::new(),
         counted: Counted::default(),
-        heard: BTreeMap::new(),
+        received: BTreeMap::new(),
         log: Log::default(),
     };
     let site = Site { state: Arc::new(Mutex::new(state)), changed: watch::channel(0).0 };
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,5 +1,5 @@
-//! Stand-in workers: one process holds many. Each takes commands for its host, runs tasks as
-//! endpoints, reboots on command, and reports to the platform. Hosts fail when they are told to.
+//! Stand-in workers, many in one process. Each takes commands for its host, runs tasks as endpoints,
+//! reboots on command, and reports to the platform. Faults of hosts are switched over HTTP.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,15 +22,15 @@
     standin::endpoint::{self, Endpoint, RunLog},
 };
 
-/// Largest body that is read.
-const MOST_BODY: usize = 4 << 20;
-/// How long an endpoint that has ended goes on refusing newcomers, so that each is told that it
-/// did not run.
-const REFUSING: Duration = Duration::from_secs(5);
-/// Connections that commands may come over.
-const MOST_CONNECTIONS: usize = 4096;
+/// Maximum size of a body that a worker reads.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// How long an endpoint that has ended keeps refusing new requests, so that each is answered as not
+/// run.
+const REFUSAL_PERIOD: Duration = Duration::from_secs(5);
+/// Maximum number of connections for commands.
+const MAX_CONNECTIONS: usize = 4096;
 
-/// How stand-in workers are set up.
+/// Settings of stand-in workers.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
     /// IP address and port for commands; port 0 takes a free one.
@@ -41,13 +41,13 @@
     pub(crate) rack_size: u32,
     pub(crate) zones: u32,
     pub(crate) capacity: Resources,
-    /// How often workers report.
-    pub(crate) every: Duration,
-    /// How long a task takes to start.
+    /// Interval between reports.
+    pub(crate) report_interval: Duration,
+    /// Time that a task takes to start.
     pub(crate) start: Duration,
-    /// How long a reboot takes.
+    /// Time that a reboot takes.
     pub(crate) reboot: Duration,
-    /// How long a request runs that does not say.
+    /// Run time of a request that names none.
     pub(crate) work: Duration,
 }
 
@@ -64,7 +64,7 @@
                 memory: Megabytes(128 * 1024),
                 accelerators: 0,
             },
-            every: Duration::from_millis(500),
+            report_interval: Duration::from_millis(500),
             start: Duration::from_millis(300),
             reboot: Duration::from_secs(3),
             work: Duration::from_millis(5),
@@ -76,16 +76,16 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct HostFaults {
-    /// The host is dead: its endpoints are cut off and it reports nothing.
+    /// The host is dead: its requests are interrupted and it reports nothing.
     pub(crate) dead: bool,
     /// Its endpoints never become ready.
     pub(crate) never_ready: bool,
-    /// It does not come back from a reboot.
+    /// The host does not come back from a reboot.
     pub(crate) stuck: bool,
     pub(crate) endpoint: endpoint::Faults,
 }
 
-/// A change of faults of some hosts, as it is sent over HTTP.
+/// New faults of some hosts, as sent over HTTP.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct FaultOrder {
@@ -94,7 +94,7 @@
     pub(crate) faults: HostFaults,
 }
 
-struct Running {
+struct RunningTask {
     order: TaskOrder,
     endpoint: Option<Endpoint>,
     opening: bool,
@@ -109,12 +109,12 @@
     epoch: Epoch,
     revision: Revision,
     booted: Epoch,
-    /// Until when it reboots.
-    away_until: Option<Time>,
+    /// When its reboot ends, while it reboots.
+    reboot_until: Option<Time>,
     accept: bool,
     lease_until: Time,
-    tasks: BTreeMap<(ServiceId, u32), Running>,
-    /// Endpoints that refuse newcomers, since when, and end when their last request has.
+    tasks: BTreeMap<(ServiceId, u32), RunningTask>,
+    /// Endpoints that refuse new requests, and since when; each is dropped after its last request.
     ending: Vec<(Endpoint, Time)>,
     faults: HostFaults,
 }
@@ -124,13 +124,13 @@
 pub(crate) struct Workers {
     hosts: Arc<Mutex<BTreeMap<HostId, Host>>>,
     options: Arc<Options>,
-    /// Where commands are taken.
+    /// Address for commands.
     pub(crate) address: String,
-    /// What the endpoints ran.
+    /// Log of the requests that the endpoints ran.
     pub(crate) log: Arc<RunLog>,
 }
 
-/// What really runs.
+/// Ground truth: what runs now.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Truth {
     /// Tasks that answer requests, by service.
@@ -154,7 +154,7 @@
         let workers = served.clone();
         async move { Ok::<_, poem::Error>(workers.answer(request).await) }
     });
-    tokio::spawn(http::serve(listener, MOST_CONNECTIONS, endpoint, http::Stop::default()));
+    tokio::spawn(http::serve(listener, MAX_CONNECTIONS, endpoint, http::Stop::default()));
     tokio::spawn(report(workers.clone()));
     let ticking = workers.clone();
     tokio::spawn(async move {
@@ -167,17 +167,17 @@
     Ok(workers)
 }
 
-/// The name of a host, by its number.
+/// The name of the host with a number.
 pub(crate) fn host_id(number: u32) -> HostId {
     format!("w{number:04}").parse().expect("the text is an identifier")
 }
 
-/// The name of the rack of a host, by the host's number.
+/// The name of the rack of the host with a number.
 pub(crate) fn rack_id(number: u32, rack_size: u32) -> RackId {
     format!("r{:03}", number / rack_size.max(1)).parse().expect("the text is an identifier")
 }
 
-/// The name of the zone of a host, by the host's number. Racks go round the zones.
+/// The name of the zone of the host with a number. Racks are assigned to the zones in turn.
 pub(crate) fn zone_id(number: u32, rack_size: u32, zones: u32) -> ZoneId {
     let zone = number / rack_size.max(1) % zones.max(1);
     format!("z{zone}").parse().expect("the text is an identifier")
@@ -191,7 +191,7 @@
         epoch: Epoch(0),
         revision: Revision(0),
         booted: Epoch(0),
-        away_until: None,
+        reboot_until: None,
         accept: true,
         lease_until: Time::default(),
         tasks: BTreeMap::new(),
@@ -202,20 +202,20 @@
 
 async fn report(workers: Workers) {
     let client = reqwest::Client::new();
-    let mut tick = tokio::time::interval(workers.options.every);
+    let mut tick = tokio::time::interval(workers.options.report_interval);
     loop {
         tick.tick().await;
         let reports = workers.reports(Time::now());
         let url = format!("{}/hosts/report", workers.options.platform);
         let sent = client.post(url).timeout(Duration::from_secs(2)).json(&reports).send().await;
         if let Err(error) = sent {
-            log::debug!("worker report: {error}");
+            log::debug!("worker report: not sent: {error}");
         }
     }
 }
 
 impl Workers {
-    /// Changes how hosts misbehave, by host or by rack.
+    /// Sets the faults of hosts, by host or by rack.
     pub(crate) fn set_faults(&self, at: &[String], faults: &HostFaults) {
         let mut hosts = self.lock();
         let named = |host: &&mut Host| {
@@ -226,8 +226,7 @@
         }
     }
 
-    /// The tasks that answer requests now, and the services that each host runs: the truth,
-    /// without any lag.
+    /// The tasks that answer requests now, and the services that each host runs, without any lag.
     pub(crate) fn truth(&self, now: Time) -> Truth {
         let hosts = self.lock();
         let mut truth = Truth::default();
@@ -249,8 +248,9 @@
 
     fn reports(&self, now: Time) -> Vec<HostReport> {
         let hosts = self.lock();
-        let speaking = hosts.values().filter(|host| !host.faults.dead && host.away_until.is_none());
-        speaking.map(|host| host.report(&self.options, &self.address, now)).collect()
+        let reporting =
+            hosts.values().filter(|host| !host.faults.dead && host.reboot_until.is_none());
+        reporting.map(|host| host.report(&self.options, &self.address, now)).collect()
     }
 
     async fn tick(&self, now: Time) {
@@ -259,12 +259,12 @@
             hosts.values_mut().flat_map(|host| host.tick(now)).collect::<Vec<_>>()
         };
         for (host, order) in starts {
-            self.open(host, order).await;
+            self.open_endpoint(host, order).await;
         }
     }
 
-    /// Opens the endpoint of a task whose start is over.
-    async fn open(&self, host: HostId, order: TaskOrder) {
+    /// Opens the endpoint of a task that has started.
+    async fn open_endpoint(&self, host: HostId, order: TaskOrder) {
         let options = endpoint::Options {
             listen: "127.0.0.1:0".to_owned(),
             slots: order.slots,
@@ -279,7 +279,7 @@
         let Some(host) = hosts.get_mut(&host) else {
             return;
         };
-        endpoint.accept(host.accept);
+        endpoint.set_accept(host.accept);
         endpoint.set_faults(host.faults.endpoint.clone());
         let key = (order.service.clone(), order.index);
         if let Some(task) = host.tasks.get_mut(&key).filter(|task| task.order == order) {
@@ -290,20 +290,20 @@
     async fn answer(&self, mut request: Request) -> Response {
         let path = request.uri().path().to_owned();
         if path.ends_with("/assignment") {
-            return match http::read_json::<Assignment>(&mut request, MOST_BODY).await {
+            return match http::read_json::<Assignment>(&mut request, MAX_BODY_BYTES).await {
                 Ok(assignment) => self.assign(assignment),
                 Err(error) => http::text(StatusCode::BAD_REQUEST, error.to_string()),
             };
         }
         match path.as_str() {
-            "/faults" => match http::read_json::<FaultOrder>(&mut request, MOST_BODY).await {
+            "/faults" => match http::read_json::<FaultOrder>(&mut request, MAX_BODY_BYTES).await {
                 Ok(order) => {
                     self.set_faults(&order.at, &order.faults);
                     http::text(StatusCode::OK, "")
                 }
                 Err(error) => http::text(StatusCode::BAD_REQUEST, error.to_string()),
             },
-            "/runs" => http::json(StatusCode::OK, &self.log.all()),
+            "/runs" => http::json(StatusCode::OK, &self.log.snapshot()),
             _ => http::text(StatusCode::NOT_FOUND, "no such path"),
         }
     }
@@ -313,22 +313,25 @@
         let Some(host) = hosts.get_mut(&assignment.host) else {
             return http::text(StatusCode::NOT_FOUND, "no such host");
         };
-        if host.faults.dead || host.away_until.is_some() {
-            return http::text(StatusCode::SERVICE_UNAVAILABLE, "the host is away");
+        if host.faults.dead || host.reboot_until.is_some() {
+            return http::text(StatusCode::SERVICE_UNAVAILABLE, "the host is unavailable");
         }
-        let newer = (assignment.epoch, assignment.revision);
-        if newer < (host.epoch, host.revision) {
-            return http::text(StatusCode::CONFLICT, "an older command than the host has");
+        let version = (assignment.epoch, assignment.revision);
+        if version < (host.epoch, host.revision) {
+            return http::text(
+                StatusCode::CONFLICT,
+                "the command is older than the host's last one",
+            );
         }
         let cut = host.assign(assignment, &self.options, Time::now());
-        self.log.note_cut(cut);
+        self.log.record_cut(cut);
         http::text(StatusCode::OK, "")
     }
 }
 
 impl Host {
     fn report(&self, options: &Options, address: &str, now: Time) -> HostReport {
-        let ready = |task: &Running| {
+        let ready = |task: &RunningTask| {
             task.endpoint.is_some() && task.ready_at <= now && !self.faults.never_ready
         };
         let tasks = self.tasks.iter().map(|((service, index), task)| TaskReport {
@@ -337,7 +340,8 @@
             generation: task.order.generation,
             ready: ready(task),
             address: task.endpoint.as_ref().map(|e| e.address.to_string()).unwrap_or_default(),
-            // Told only while it matters, so that a list of quiet hosts does not change.
+            // Reported only while the host does not accept, so that the list of serving hosts does
+            // not change with their load.
             in_flight: if self.accept { 0 } else { task.in_flight() },
         });
         HostReport {
@@ -355,14 +359,14 @@
     }
 
     fn in_flight(&self) -> u32 {
-        self.tasks.values().map(Running::in_flight).sum()
+        self.tasks.values().map(RunningTask::in_flight).sum()
     }
 
     fn ending_in_flight(&self) -> u32 {
         self.ending.iter().map(|(endpoint, _)| endpoint.in_flight()).sum()
     }
 
-    /// Takes a command; returns how many requests in flight it cut off.
+    /// Executes a command, and returns how many requests in flight it interrupted.
     fn assign(&mut self, assignment: Assignment, options: &Options, now: Time) -> u32 {
         self.epoch = assignment.epoch;
         self.revision = assignment.revision;
@@ -379,41 +383,42 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in stale {
-            self.end(&key, now);
+            self.end_task(&key, now);
         }
         for (key, order) in wanted {
             let ready_at = now + options.start;
-            let starting = || Running { order, endpoint: None, opening: false, ready_at };
+            let starting = || RunningTask { order, endpoint: None, opening: false, ready_at };
             self.tasks.entry(key).or_insert_with(starting);
         }
         for task in self.tasks.values() {
             if let Some(endpoint) = &task.endpoint {
-                endpoint.accept(self.accept);
+                endpoint.set_accept(self.accept);
             }
         }
-        if !assignment.reboot || self.epoch <= self.booted || self.away_until.is_some() {
+        if !assignment.reboot || self.epoch <= self.booted || self.reboot_until.is_some() {
             return 0;
         }
         let cut = self.in_flight() + self.ending_in_flight();
         self.tasks.clear();
         self.ending.clear();
-        self.away_until = Some(now + options.reboot);
+        self.reboot_until = Some(now + options.reboot);
         cut
     }
 
-    /// Lets time pass; returns the tasks whose endpoints are to be opened now.
+    /// Advances to a time, and returns the tasks whose endpoints are to be opened now.
     fn tick(&mut self, now: Time) -> Vec<(HostId, TaskOrder)> {
         if self.faults.dead {
             return Vec::new();
         }
-        if self.away_until.is_some_and(|until| until <= now) && !self.faults.stuck {
-            self.away_until = None;
+        if self.reboot_until.is_some_and(|until| until <= now) && !self.faults.stuck {
+            self.reboot_until = None;
             self.booted = self.epoch;
         }
-        self.ending.retain(|(endpoint, at)| endpoint.in_flight() != 0 || now.since(*at) < REFUSING);
+        self.ending
+            .retain(|(endpoint, at)| endpoint.in_flight() != 0 || now.since(*at) < REFUSAL_PERIOD);
         if self.lease_until < now && !self.tasks.is_empty() {
             let keys: Vec<_> = self.tasks.keys().cloned().collect();
-            keys.iter().for_each(|key| self.end(key, now));
+            keys.iter().for_each(|key| self.end_task(key, now));
         }
         let mut due = Vec::new();
         for task in self.tasks.values_mut() {
@@ -425,9 +430,9 @@
         due
     }
 
-    fn end(&mut self, key: &(ServiceId, u32), now: Time) {
+    fn end_task(&mut self, key: &(ServiceId, u32), now: Time) {
         if let Some(endpoint) = self.tasks.remove(key).and_then(|task| task.endpoint) {
-            endpoint.accept(false);
+            endpoint.set_accept(false);
             self.ending.push((endpoint, now));
         }
     }
@@ -436,7 +441,7 @@
         if faults.dead {
             self.tasks.clear();
             self.ending.clear();
-            self.away_until = None;
+            self.reboot_until = None;
         }
         if self.faults.dead && !faults.dead {
             // A host that comes back has been restarted and runs nothing.
@@ -451,7 +456,7 @@
     }
 }
 
-impl Running {
+impl RunningTask {
     fn in_flight(&self) -> u32 {
         self.endpoint.as_ref().map_or(0, Endpoint::in_flight)
     }
--- a/src/tests/sample.rs
+++ b/src/tests/sample.rs
@@ -1,12 +1,12 @@
-//! Samples of records.
+//! Sample records.
 
 use crate::model::{
     job::{JobRecord, Step},
     unit::Time,
 };
 
-/// A job of `pool` that came at one million milliseconds, to be done once, in time within twice its
-/// work and 600 ms.
+/// A job of `pool`, accepted at one million milliseconds, to run once, in time if it ends within twice
+/// its work plus 600 ms.
 pub(crate) fn record(steps: Vec<Step>) -> JobRecord {
     JobRecord {
         queue: "q".to_owned(),
