--- a/src/standin/site/tests.rs
+++ b/src/standin/site/tests.rs
@@ -11,8 +11,9 @@
 
 use super::{Counted, Faults, Site, State, log::Log, store};
 
-/// A watch that ended between a change and its notification answered with the revision of the change
-/// but without the change. A node then waited for ever for the end of another node's ownership.
+/// A watch that ended between a change and its notification answered with the revision of the
+/// change but without the change. A node then waited for ever for the end of another node's
+/// ownership.
 #[tokio::test]
 async fn an_ending_watch_includes_a_change_before_its_notification() {
     let state = State {
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,5 +1,6 @@
-//! Stand-in workers, many in one process. Each takes commands for its host, runs tasks as endpoints,
-//! reboots on command, and reports to the platform. Faults of hosts are switched over HTTP.
+//! Stand-in workers, many in one process. Each takes commands for its host, runs tasks as
+//! endpoints, reboots on command, and reports to the platform. Faults of hosts are switched over
+//! HTTP.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/src/tests.rs
+++ b/src/tests.rs
@@ -22,8 +22,8 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Runs sequences of generated operations. A failing one is shortened as long as it still fails, and
-/// printed with its seed.
+/// Runs sequences of generated operations. A failing one is shortened as long as it still fails,
+/// and printed with its seed.
 pub(crate) fn fuzz<T>(runs: u64, len: usize, test: impl Fn(&[T]))
 where
     T: TypeGenerator + Clone + std::fmt::Debug,
--- a/src/tests/sample.rs
+++ b/src/tests/sample.rs
@@ -5,8 +5,8 @@
     unit::Time,
 };
 
-/// A job of `pool`, accepted at one million milliseconds, to run once, in time if it ends within twice
-/// its work plus 600 ms.
+/// A job of `pool`, accepted at one million milliseconds, to run once, in time if it ends within
+/// twice its work plus 600 ms.
 pub(crate) fn record(steps: Vec<Step>) -> JobRecord {
     JobRecord {
         queue: "q".to_owned(),
