--- a/src/decide/apply.rs
+++ b/src/decide/apply.rs
@@ -69,7 +69,7 @@
             old.pool, service.pool
         ));
     }
-    let down = budget::standing(fleet, id, old, now, rules).down.len() as u32;
+    let down = budget::status(fleet, id, old, now, rules).down.len() as u32;
     if service.max_down < old.max_down && service.max_down < down {
         reasons.push(format!(
             "service {id}: {down} of its tasks are unavailable now, more than the new budget of {}",
--- a/src/decide/budget.rs
+++ b/src/decide/budget.rs
@@ -9,7 +9,7 @@
 use crate::{
     decide::rules::Rules,
     model::{
-        config::{Domain, Service},
+        config::{FailureDomain, Service},
         fleet::{Fleet, TaskRef},
         id::{HostId, RackId, ServiceId, ZoneId},
         record::Placement,
@@ -19,7 +19,7 @@
 
 /// Availability of a service, compared with its budget.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct BudgetStatus {
     /// Indexes of the tasks that count as unavailable.
     pub(crate) down: BTreeSet<u32>,
     up_by_rack: BTreeMap<RackId, u32>,
@@ -54,17 +54,17 @@
 }
 
 /// Computes the current availability of a service.
-pub(crate) fn standing(
+pub(crate) fn status(
     fleet: &Fleet,
     id: &ServiceId,
     service: &Service,
     now: Time,
     rules: &Rules,
-) -> Standing {
-    let mut status = Standing {
+) -> BudgetStatus {
+    let mut status = BudgetStatus {
         max_down: service.max_down,
-        by_zone: service.survive == Domain::Zone,
-        ..Standing::default()
+        by_zone: service.survive == FailureDomain::Zone,
+        ..BudgetStatus::default()
     };
     let empty = Placement::default();
     let placement = fleet.placements.get(id).unwrap_or(&empty);
@@ -87,7 +87,7 @@
     status
 }
 
-impl Standing {
+impl BudgetStatus {
     /// Available tasks in the failure domain that holds the most of them: the reserve that the
     /// budget must cover.
     pub(crate) fn reserve(&self) -> u32 {
@@ -112,7 +112,7 @@
     }
 
     /// Whether the service is within its budget now.
-    pub(crate) fn holds(&self) -> bool {
+    pub(crate) fn is_within_budget(&self) -> bool {
         self.down.len() as u32 <= self.max_down
     }
 
@@ -125,7 +125,7 @@
         host: &HostId,
         now: Time,
         rules: &Rules,
-    ) -> Result<Standing, OverBudget> {
+    ) -> Result<BudgetStatus, OverBudget> {
         let mut next = self.clone();
         let mut was_up = false;
         for task in fleet.tasks_on(host).iter().filter(|task| task.service == *id) {
--- a/src/decide/claim.rs
+++ b/src/decide/claim.rs
@@ -42,7 +42,7 @@
 
 /// A change that a node wants to make to a bucket.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Wish {
+pub(crate) enum BucketChange {
     /// Claim a key.
     Claim { key: String, op: OpId },
     /// Record the result of a request that this operation claimed.
@@ -51,7 +51,7 @@
 
 /// Result of a change, once the bucket's next value is written.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Granted {
+pub(crate) enum GrantResult {
     /// The change is accepted. After a claim, the request may be sent once.
     Yes,
     /// The key is claimed by another operation.
@@ -62,50 +62,56 @@
 
 /// Limits of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Keep {
+pub(crate) struct BucketLimits {
     /// Claims of this age or older are removed.
-    pub(crate) span: Duration,
+    pub(crate) max_age: Duration,
     /// Maximum number of claims in a bucket. Claims are never removed early to free a slot.
-    pub(crate) most: usize,
+    pub(crate) max_claims: usize,
 }
 
 /// Applies changes to a bucket. Returns its next value and the result of each change.
 pub(crate) fn decide(
     bucket: &Bucket,
-    changes: &[Wish],
+    changes: &[BucketChange],
     node: &NodeId,
-    limits: Keep,
+    limits: BucketLimits,
     now: Time,
-) -> (Bucket, Vec<Granted>) {
+) -> (Bucket, Vec<GrantResult>) {
     let mut next = bucket.clone();
-    next.claims.retain(|_, claim| now.since(claim.at) < limits.span);
+    next.claims.retain(|_, claim| now.since(claim.at) < limits.max_age);
     let results =
         changes.iter().map(|change| apply(&mut next, change, node, limits, now)).collect();
     (next, results)
 }
 
-fn apply(next: &mut Bucket, change: &Wish, node: &NodeId, limits: Keep, now: Time) -> Granted {
+fn apply(
+    next: &mut Bucket,
+    change: &BucketChange,
+    node: &NodeId,
+    limits: BucketLimits,
+    now: Time,
+) -> GrantResult {
     match change {
-        Wish::Claim { key, op } => {
+        BucketChange::Claim { key, op } => {
             let held = next.claims.get(key).filter(|c| c.state != ClaimState::Released);
             match held {
                 // An earlier write of this claim took effect, but its answer was lost.
-                Some(claim) if claim.op == *op => Granted::Yes,
-                Some(claim) => Granted::Held(claim.clone()),
-                None if limits.most <= next.claims.len() => Granted::Full,
+                Some(claim) if claim.op == *op => GrantResult::Yes,
+                Some(claim) => GrantResult::Held(claim.clone()),
+                None if limits.max_claims <= next.claims.len() => GrantResult::Full,
                 None => {
                     let state = ClaimState::Claimed;
                     let claim = Claim { op: op.clone(), node: node.clone(), at: now, state };
                     next.claims.insert(key.clone(), claim);
-                    Granted::Yes
+                    GrantResult::Yes
                 }
             }
         }
-        Wish::End { key, op, state } => {
+        BucketChange::End { key, op, state } => {
             if let Some(claim) = next.claims.get_mut(key).filter(|claim| claim.op == *op) {
                 claim.state = state.clone();
             }
-            Granted::Yes
+            GrantResult::Yes
         }
     }
 }
--- a/src/decide/order.rs
+++ b/src/decide/order.rs
@@ -60,7 +60,7 @@
         return *left;
     }
     let left = fleet.service(&id).map_or(0, |service| {
-        let status = budget::standing(fleet, &id, service, now, rules);
+        let status = budget::status(fleet, &id, service, now, rules);
         i64::from(status.max_down) - status.down.len() as i64 - i64::from(status.reserve())
     });
     cache.insert(id, left);
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -76,7 +76,7 @@
             let report = &self.fleet.reports[host];
             let rack = counts.0.get(&report.rack).copied().unwrap_or(0);
             let zone = counts.1.get(&report.zone).copied().unwrap_or(0);
-            let remaining = free.less(service.need).cores;
+            let remaining = free.minus(service.need).cores;
             // In order of preference: the rack limit holds, the task need not move again for a
             // running plan, the service is spread over racks and zones, the most CPU remains free.
             let crowded = max_per_rack < rack + 1;
@@ -108,9 +108,9 @@
         let report = self.fleet.reports.get(host)?;
         let eligible = record.state == HostState::Serving
             && self.fleet.is_live(host, self.now, self.rules.list_limit)
-            && !self.fleet.is_permitted(host);
+            && !self.fleet.has_permits(host);
         let added = self.added_load.get(host).copied().unwrap_or_default();
-        eligible.then(|| report.capacity.less(self.fleet.used(host)).less(added))
+        eligible.then(|| report.capacity.minus(self.fleet.used(host)).minus(added))
     }
 
     /// Tasks of the service per rack and zone, without those on `from`.
--- a/src/decide/plan.rs
+++ b/src/decide/plan.rs
@@ -11,14 +11,14 @@
 use crate::{
     decide::{
         order, place,
-        rehearse::{Rehearsal, Report},
+        rehearse::{Report, Simulation},
         rules::Rules,
     },
     model::{
         fleet::Fleet,
         host::HostState,
         id::{HostId, OpId, PlanId, PoolId},
-        plan::{Action, Cost, Intent, Plan, PlanState, PoolPlan, Tightness, Trade},
+        plan::{Action, BudgetUse, Cost, Intent, Plan, PlanState, PoolPlan, TradeOff},
         record::Key,
         unit::{Millicores, Revision, Time},
     },
@@ -100,7 +100,7 @@
     if let Some(plan) = &record.plan {
         return Some(format!("plan {plan} holds it"));
     }
-    let other = fleet.planned(host).filter(|plan| record.outcome(&plan.id).is_none());
+    let other = fleet.plan_of(host).filter(|plan| record.outcome(&plan.id).is_none());
     if let Some(plan) = other {
         return Some(format!("plan {} is to do it, confirmed by {}", plan.id, plan.by));
     }
@@ -126,7 +126,7 @@
 
 /// Trades chosen so far, reused for pools of equal profile: simulating each pool of a large plan
 /// would repeat the same work.
-type TradeCache = BTreeMap<PoolProfile, Trade>;
+type TradeCache = BTreeMap<PoolProfile, TradeOff>;
 
 /// Pools with equal profiles reuse one choice: number of hosts, of planned hosts, and services by
 /// size and budget.
@@ -152,20 +152,21 @@
     now: Time,
     rules: &Rules,
 ) {
-    let part = fleet.only(pool);
+    let part = fleet.restricted_to(pool);
     let planned = plan.pools[pool].hosts().count();
     let profile = profile(&part, pool, planned);
     let simulate = |plan: &Plan, max_out, frugal| {
         let candidate = single_pool_plan(plan, pool, max_out, frugal);
-        Rehearsal::new(&part, &candidate, pool, rules, now).run(MAX_SIMULATED_TIME)
+        Simulation::new(&part, &candidate, pool, rules, now).run(MAX_SIMULATED_TIME)
     };
     if let Some(cached) = cache.get(&profile) {
         let report = simulate(plan, cached.max_out, cached.frugal);
-        let trade = Trade { chosen: true, ..trade(cached.max_out, cached.frugal, &report, rules) };
+        let trade =
+            TradeOff { chosen: true, ..trade(cached.max_out, cached.frugal, &report, rules) };
         return record_choice(fleet, plan, pool, vec![trade], &report, rules);
     }
     let mut best: Option<(f64, usize, Report)> = None;
-    let mut trades: Vec<Trade> = Vec::new();
+    let mut trades: Vec<TradeOff> = Vec::new();
     for frugal in [true, false] {
         let mut previous: Option<(u64, u32)> = None;
         for max_out in limits(planned as u32) {
@@ -189,8 +190,8 @@
     record_choice(fleet, plan, pool, trades, &report, rules);
 }
 
-fn trade(max_out: u32, frugal: bool, report: &Report, rules: &Rules) -> Trade {
-    Trade {
+fn trade(max_out: u32, frugal: bool, report: &Report, rules: &Rules) -> TradeOff {
+    TradeOff {
         max_out,
         frugal,
         buffer: buffer(report, rules),
@@ -205,7 +206,7 @@
     fleet: &Fleet,
     plan: &mut Plan,
     pool: &PoolId,
-    trades: Vec<Trade>,
+    trades: Vec<TradeOff>,
     report: &Report,
     rules: &Rules,
 ) {
@@ -269,7 +270,7 @@
         let Some(spec) = fleet.service(service) else {
             continue;
         };
-        cost.tightest.push(Tightness {
+        cost.tightest.push(BudgetUse {
             service: service.clone(),
             peak_out: peaks.peak_down,
             reserve: peaks.peak_reserve,
@@ -375,7 +376,7 @@
     let changed = changed.map(|key| describe(fleet, key));
     let conflicts = plan.hosts().filter_map(|host| {
         let record = fleet.hosts.get(host)?;
-        let other = fleet.planned(host).filter(|other| record.outcome(&other.id).is_none())?;
+        let other = fleet.plan_of(host).filter(|other| record.outcome(&other.id).is_none())?;
         Some(format!("plan {} is to do host {host}, confirmed by {}", other.id, other.by))
     });
     changed.chain(conflicts).collect()
--- a/src/decide/rehearse.rs
+++ b/src/decide/rehearse.rs
@@ -9,10 +9,10 @@
 
 use crate::{
     decide::{
-        budget::{self, Standing},
+        budget::{self, BudgetStatus},
         repair,
         rules::Rules,
-        wave::{self, Outlook, Step},
+        wave::{self, Step, WaveContext},
     },
     model::{
         fleet::{Fleet, TaskRef},
@@ -88,7 +88,7 @@
 }
 
 /// State of a simulation.
-pub(crate) struct Rehearsal<'a> {
+pub(crate) struct Simulation<'a> {
     pub(crate) fleet: Fleet,
     plan: &'a Plan,
     pool: &'a PoolId,
@@ -105,7 +105,7 @@
     op: OpId,
 }
 
-impl<'a> Rehearsal<'a> {
+impl<'a> Simulation<'a> {
     /// Creates a simulation from a copy of one pool at the given time.
     pub(crate) fn new(
         fleet: &Fleet,
@@ -113,12 +113,12 @@
         pool: &'a PoolId,
         rules: &'a Rules,
         now: Time,
-    ) -> Rehearsal<'a> {
-        let mut fleet = fleet.only(pool);
+    ) -> Simulation<'a> {
+        let mut fleet = fleet.restricted_to(pool);
         fleet.put(Record::Plan(plan.id.clone(), Box::new(plan.clone())), Revision(1));
-        fleet.heard = ALWAYS_FRESH;
+        fleet.last_received = ALWAYS_FRESH;
         let op = "rehearsal".parse().expect("`rehearsal` is a valid identifier");
-        Rehearsal {
+        Simulation {
             fleet,
             plan,
             pool,
@@ -177,7 +177,7 @@
             let repaired = self.repair();
             let quiet = &self.quiet;
             let is_quiet = |host: &HostId, epoch| quiet.contains(&(host.clone(), epoch));
-            let context = Outlook {
+            let context = WaveContext {
                 fleet: &self.fleet,
                 is_quiet: &is_quiet,
                 now: self.now,
@@ -223,7 +223,7 @@
                 self.record_peaks(None);
                 self.schedule_recheck(host, self.rules.start_limit + self.rules.leave_limit);
             }
-            Step::Away { host } => {
+            Step::Reboot { host } => {
                 let epoch = self.fleet.hosts[host].epoch;
                 if !self.failed.contains(host) {
                     self.schedule_after(expected.reboot, Event::Rebooted(host.clone(), epoch));
@@ -234,7 +234,7 @@
             Step::Return { host, .. } | Step::Quarantine { host, .. } | Step::Join { host, .. } => {
                 self.displaced.remove(host);
             }
-            Step::GiveBack { .. } | Step::Permit { .. } => {}
+            Step::Release { .. } | Step::Permit { .. } => {}
         }
     }
 
@@ -303,7 +303,7 @@
             self.report.moves += planned;
             self.report.repairs += repair.swaps.len() as u32 - planned;
             let record = wave::change_placement(&self.fleet, &id, &self.op, |placement| {
-                wave::repaired(placement, &repair, self.now);
+                wave::apply_repair(placement, &repair, self.now);
             });
             record.into_iter().for_each(|record| self.put(record));
             self.schedule_starts(&id, repair.moves.keys().chain(repair.successors.keys()));
@@ -385,12 +385,12 @@
         self.report.shared_buffer = self.report.shared_buffer.max(out.max(rack_load));
         self.report.separate_buffer = self.report.separate_buffer.max(out + rack_load);
         for (id, service) in &self.fleet.config.services {
-            let status = budget::standing(&self.fleet, id, service, self.now, self.rules);
+            let status = budget::status(&self.fleet, id, service, self.now, self.rules);
             let peaks = self.report.services.entry(id.clone()).or_default();
             let failed = failed_tasks(&self.fleet, &self.failed, id);
             let down = status.down.len() as u32;
             peaks.update(&status, down, failed);
-            self.report.breaches += u32::from(!status.holds());
+            self.report.breaches += u32::from(!status.is_within_budget());
             let affected = leaving.as_ref().is_some_and(|services| services.contains(id));
             let exceeded = status.max_down < down + status.reserve();
             self.report.voluntary_breaches += u32::from(affected && exceeded);
@@ -399,7 +399,7 @@
 }
 
 impl ServicePeaks {
-    fn update(&mut self, status: &Standing, down: u32, failed: u32) {
+    fn update(&mut self, status: &BudgetStatus, down: u32, failed: u32) {
         let reserve = status.reserve();
         self.peak_down = self.peak_down.max(down);
         self.peak_failed = self.peak_failed.max(failed);
--- a/src/decide/rendezvous.rs
+++ b/src/decide/rendezvous.rs
@@ -14,7 +14,7 @@
 }
 
 /// The `count` members with the highest weights for a key, the highest first.
-pub(crate) fn first<'a>(
+pub(crate) fn top_members<'a>(
     members: impl Iterator<Item = &'a str>,
     key: &str,
     count: usize,
--- a/src/decide/repair.rs
+++ b/src/decide/repair.rs
@@ -12,7 +12,7 @@
         fleet::{Fleet, TaskRef},
         host::HostState,
         id::{HostId, ServiceId},
-        record::Assigned,
+        record::TaskAssignment,
         unit::Time,
     },
 };
@@ -30,7 +30,7 @@
     /// Tasks that need a new successor, to replace one that failed or to spread the service.
     pub(crate) successors: Moves,
     /// Why tasks could not be placed.
-    pub(crate) refused: Vec<String>,
+    pub(crate) unplaced: Vec<String>,
 }
 
 impl Repair {
@@ -87,7 +87,7 @@
                 match placer.place(id, service, from) {
                     Ok(host) if failed => drop(repair.moves.insert(index, host)),
                     Ok(host) => drop(repair.successors.insert(index, host)),
-                    Err(error) => repair.refused.push(format!("task {id}/{index}: {error}")),
+                    Err(error) => repair.unplaced.push(format!("task {id}/{index}: {error}")),
                 }
             }
         }
@@ -99,12 +99,12 @@
 }
 
 /// Whether a start of a task is on a host that a plan is closing.
-fn is_on_closing_host(fleet: &Fleet, at: &Assigned) -> bool {
+fn is_on_closing_host(fleet: &Fleet, at: &TaskAssignment) -> bool {
     fleet.hosts.get(&at.host).is_some_and(|host| host.state == HostState::Closing)
 }
 
 /// Whether a start of a task is ready on a live host that serves.
-fn is_ready(fleet: &Fleet, task: &TaskRef, at: &Assigned, now: Time, rules: &Rules) -> bool {
+fn is_ready(fleet: &Fleet, task: &TaskRef, at: &TaskAssignment, now: Time, rules: &Rules) -> bool {
     let serves = fleet.hosts.get(&at.host).is_some_and(|host| host.state.serves());
     let live = fleet.is_live(&at.host, now, rules.list_limit);
     serves && live && fleet.reported_at(task, at).is_some_and(|report| report.ready)
@@ -114,7 +114,7 @@
 fn start_has_failed(
     fleet: &Fleet,
     task: &TaskRef,
-    at: &Assigned,
+    at: &TaskAssignment,
     now: Time,
     rules: &Rules,
 ) -> bool {
@@ -148,7 +148,7 @@
 /// which task should move next.
 fn spread(fleet: &Fleet, id: &ServiceId, service: &Service, now: Time, rules: &Rules) -> Moves {
     let none = Moves::new();
-    let status = budget::standing(fleet, id, service, now, rules);
+    let status = budget::status(fleet, id, service, now, rules);
     // Services without successors also need budget for one permit.
     let permit = u32::from(!service.surge);
     let needed = status.down.len() as u32 + status.reserve() + permit;
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -10,15 +10,15 @@
     /// Requests of this node in flight there.
     pub(crate) own: u32,
     /// Requests of all nodes running there, as last reported by the endpoint.
-    pub(crate) said: u32,
+    pub(crate) reported: u32,
     /// When the endpoint last reported.
-    pub(crate) said_at: Time,
+    pub(crate) reported_at: Time,
     /// Requests that the endpoint runs at one time.
     pub(crate) slots: u32,
     /// Maximum number of requests of this node in flight there.
     pub(crate) share: u32,
     /// End of the backoff after failures: until then other endpoints are preferred.
-    pub(crate) rest_until: Time,
+    pub(crate) backoff_until: Time,
 }
 
 /// How long a load reported by an endpoint is used.
@@ -31,7 +31,8 @@
 impl Load {
     /// Used slots in thousandths, by which endpoints are compared.
     fn utilization(&self, now: Time) -> u32 {
-        let reported = if now.since(self.said_at) < REPORTED_LOAD_TTL { self.said } else { 0 };
+        let reported =
+            if now.since(self.reported_at) < REPORTED_LOAD_TTL { self.reported } else { 0 };
         self.own.max(reported) * 1000 / self.slots.max(1)
     }
 
@@ -40,7 +41,7 @@
     }
 
     fn is_backing_off(&self, now: Time) -> bool {
-        now < self.rest_until
+        now < self.backoff_until
     }
 }
 
@@ -56,7 +57,7 @@
     let preferred: Vec<usize> =
         (0..loads.len()).filter(available).filter(|at| !loads[*at].is_backing_off(now)).collect();
     if preferred.is_empty() {
-        return (0..loads.len()).filter(available).min_by_key(|at| loads[*at].rest_until);
+        return (0..loads.len()).filter(available).min_by_key(|at| loads[*at].backoff_until);
     }
     let one = preferred[draw(preferred.len())];
     let two = preferred[draw(preferred.len())];
@@ -64,7 +65,7 @@
 }
 
 /// Backoff of an endpoint after a number of consecutive failures.
-pub(crate) fn rest(failures: u32) -> Duration {
+pub(crate) fn backoff(failures: u32) -> Duration {
     let doubled = INITIAL_BACKOFF * (1 << failures.saturating_sub(1).min(10));
     doubled.min(MAX_BACKOFF)
 }
--- a/src/decide/share.rs
+++ b/src/decide/share.rs
@@ -10,7 +10,7 @@
 
 /// One node's part of a shared rate.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Share {
+pub(crate) struct RateShare {
     limit: RateLimit,
     requested: u32,
     window_start: Time,
@@ -19,21 +19,21 @@
 
 /// Known demand of the other nodes for a shared rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Others {
+pub(crate) struct PeerDemand {
     /// Number of nodes, including this one.
     pub(crate) nodes: u32,
     /// Demand of the other nodes, per second.
     pub(crate) demand: u32,
 }
 
-impl Share {
+impl RateShare {
     /// Creates a share without demand so far.
-    pub(crate) fn new(limit: RateLimit, now: Time) -> Share {
-        Share { limit, requested: 0, window_start: now, demand: 0 }
+    pub(crate) fn new(limit: RateLimit, now: Time) -> RateShare {
+        RateShare { limit, requested: 0, window_start: now, demand: 0 }
     }
 
     /// Counts one request towards the demand.
-    pub(crate) fn ask(&mut self, now: Time) {
+    pub(crate) fn record_request(&mut self, now: Time) {
         self.demand(now);
         self.requested += 1;
     }
@@ -43,7 +43,7 @@
     pub(crate) fn take(
         &mut self,
         rate: f64,
-        others: Others,
+        others: PeerDemand,
         reserve: f64,
         now: Time,
     ) -> Result<(), Duration> {
@@ -64,7 +64,7 @@
 
 /// A node's part of a rate: in proportion to its demand, but at least an equal part as far as the
 /// demand of the other nodes leaves it.
-fn node_rate(rate: f64, own: f64, others: Others) -> f64 {
+fn node_rate(rate: f64, own: f64, others: PeerDemand) -> f64 {
     let elsewhere = f64::from(others.demand);
     let own = own.max(1.0);
     let fair = rate / f64::from(others.nodes.max(1));
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -8,10 +8,10 @@
 use crate::{
     decide::{
         budget, plan,
-        rehearse::Rehearsal,
+        rehearse::Simulation,
         repair,
         rules::Rules,
-        wave::{self, Outlook, Step},
+        wave::{self, Step, WaveContext},
     },
     measure::shape::{self, BEGIN},
     model::{
@@ -19,7 +19,7 @@
         host::{HostOutcome, TaskReport},
         id::{HostId, OpId, PlanId},
         plan::{Action, Intent, Plan, PlanState},
-        record::{Assigned, Key, Placement, Record, Successor},
+        record::{Key, Placement, Record, Successor, TaskAssignment},
         unit::{Revision, Time},
     },
     preset,
@@ -56,7 +56,7 @@
     let mut moves = 0;
     for pool in plan.pools.keys() {
         let report =
-            Rehearsal::new(&fleet, &plan, pool, &rules, BEGIN).run(Duration::from_secs(86_400));
+            Simulation::new(&fleet, &plan, pool, &rules, BEGIN).run(Duration::from_secs(86_400));
         assert!(report.finished);
         moves += report.moves as usize;
     }
@@ -86,13 +86,13 @@
     let mut now = BEGIN;
     for _ in 0..40 {
         now = now + Duration::from_secs(30);
-        fleet.heard = now;
+        fleet.last_received = now;
         for plan in &plans {
             let quiet = |_: &HostId, _| true;
-            let context = Outlook { fleet: &fleet, is_quiet: &quiet, now, rules: &rules };
+            let context = WaveContext { fleet: &fleet, is_quiet: &quiet, now, rules: &rules };
             let steps = wave::advance(&context, plan, &pool).0;
             for step in steps {
-                reboots += u32::from(matches!(step, Step::Away { .. }));
+                reboots += u32::from(matches!(step, Step::Reboot { .. }));
                 let op = "op".parse().unwrap();
                 let record = wave::effect(&fleet, &plan.id, &step, &op, now).unwrap();
                 fleet.put(record, Revision(3));
@@ -104,7 +104,7 @@
             let repair = repair::repair(&fleet, &id, now, &rules);
             let op = "op".parse().unwrap();
             let record = wave::change_placement(&fleet, &id, &op, |placement| {
-                wave::repaired(placement, &repair, now);
+                wave::apply_repair(placement, &repair, now);
             });
             fleet.put(record.unwrap(), Revision(3));
         }
@@ -138,7 +138,7 @@
 
 fn next_steps(fleet: &Fleet, plan: &Plan, rules: &Rules, now: Time) -> Vec<Step> {
     let quiet = |_: &HostId, _| true;
-    let context = Outlook { fleet, is_quiet: &quiet, now, rules };
+    let context = WaveContext { fleet, is_quiet: &quiet, now, rules };
     plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).0).collect()
 }
 
@@ -173,7 +173,7 @@
     }
     let steps = next_steps(&fleet, &plan, &rules, BEGIN);
     assert!(!steps.contains(&Step::Leave { host: host.clone() }), "{steps:?}");
-    assert!(steps.iter().any(|step| matches!(step, Step::GiveBack { .. })), "{steps:?}");
+    assert!(steps.iter().any(|step| matches!(step, Step::Release { .. })), "{steps:?}");
 }
 
 /// A permit that another plan has taken but not used yet counts as down, because its host may leave
@@ -201,9 +201,9 @@
     let (mut fleet, rules, plan, host) = fleet_with_closing_host();
     let service = "quotes".parse().unwrap();
     let mut placement: Placement = fleet.placements[&service].clone();
-    let here = |task: &Option<Assigned>| task.as_ref().is_some_and(|task| task.host == host);
+    let here = |task: &Option<TaskAssignment>| task.as_ref().is_some_and(|task| task.host == host);
     let index = placement.tasks.iter().position(|task| !here(task)).unwrap() as u32;
-    let to = Assigned { host: host.clone(), generation: 7, since: BEGIN };
+    let to = TaskAssignment { host: host.clone(), generation: 7, since: BEGIN };
     placement.successors.insert(index, Successor { to, plan: None });
     fleet.put(Record::Placement(service.clone(), placement), Revision(4));
     fleet.reports.get_mut(&host).unwrap().tasks.push(TaskReport {
@@ -255,9 +255,9 @@
     let services = fleet.config.services.iter().filter(|(_, service)| service.pool == *pool);
     let placements: Vec<Key> = services.map(|(id, _)| Key::Placement(id.clone())).collect();
     assert!(1 < placements.len());
-    let away = Step::Away { host: host.clone() };
+    let away = Step::Reboot { host: host.clone() };
     for step in [Step::Leave { host: host.clone() }, away] {
-        assert_eq!(wave::rests_on(&fleet, &step), placements, "{step:?}");
+        assert_eq!(wave::dependencies(&fleet, &step), placements, "{step:?}");
     }
 }
 
@@ -275,9 +275,9 @@
         plan::confirm(&fleet, &plan.id, &plan.digest, by, op, BEGIN, &rules).unwrap()
     };
     let (own, other) = (confirm("op-1", "one"), confirm("op-2", "two"));
-    assert!(own.is_decided_as(&own.clone()));
-    assert!(!own.is_decided_as(&other));
+    assert!(own.is_same_decision(&own.clone()));
+    assert!(!own.is_same_decision(&other));
     let cancelled = plan::cancel(&fleet, &plan.id, "two", "op-3".parse().unwrap(), BEGIN).unwrap();
-    assert!(!own.is_decided_as(&cancelled));
-    assert!(!own.is_decided_as(&plan));
+    assert!(!own.is_same_decision(&cancelled));
+    assert!(!own.is_same_decision(&plan));
 }
--- a/src/decide/tests/claims.rs
+++ b/src/decide/tests/claims.rs
@@ -6,7 +6,7 @@
 use bolero::TypeGenerator;
 
 use crate::{
-    decide::claim::{self, Bucket, ClaimState, Granted, Keep, Wish},
+    decide::claim::{self, Bucket, BucketChange, BucketLimits, ClaimState, GrantResult},
     model::{
         id::{NodeId, OpId},
         unit::Time,
@@ -16,7 +16,7 @@
 
 const NODES: usize = 3;
 const KEYS: u8 = 4;
-const LIMITS: Keep = Keep { span: Duration::from_secs(86_400), most: 100 };
+const LIMITS: BucketLimits = BucketLimits { max_age: Duration::from_secs(86_400), max_claims: 100 };
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Op {
@@ -47,12 +47,12 @@
 }
 
 /// An unconfirmed write: the bucket written, the results it would have, and the claims requested.
-type UnconfirmedWrite = (Bucket, Vec<Granted>, Vec<(String, OpId)>);
+type UnconfirmedWrite = (Bucket, Vec<GrantResult>, Vec<(String, OpId)>);
 
 #[derive(Debug, Clone, Default)]
 struct Node {
     requested: Vec<(String, OpId)>,
-    ends: Vec<Wish>,
+    ends: Vec<BucketChange>,
     read: Option<(u64, Bucket)>,
     /// A write that was not answered.
     unconfirmed: Option<UnconfirmedWrite>,
@@ -111,9 +111,9 @@
         }
         let Some((revision, bucket)) = node.read.take() else { return };
         let requested = std::mem::take(&mut node.requested);
-        let changes: Vec<Wish> = requested
+        let changes: Vec<BucketChange> = requested
             .iter()
-            .map(|(key, op)| Wish::Claim { key: key.clone(), op: op.clone() })
+            .map(|(key, op)| BucketChange::Claim { key: key.clone(), op: op.clone() })
             .chain(node.ends.iter().cloned())
             .collect();
         let id: NodeId = format!("n-{at}").parse().unwrap();
@@ -149,7 +149,7 @@
             node.accept(&accepted, requested);
             return;
         }
-        let released = requested.into_iter().map(|(key, op)| Wish::End {
+        let released = requested.into_iter().map(|(key, op)| BucketChange::End {
             key,
             op,
             state: ClaimState::Released,
@@ -161,13 +161,13 @@
         let Some((key, op)) = self.nodes[at].accepted.pop() else { return };
         *self.ran.entry(key.clone()).or_default() += 1;
         let state = if complete { ClaimState::Ran(200) } else { ClaimState::Unknown };
-        self.nodes[at].ends.push(Wish::End { key, op, state });
+        self.nodes[at].ends.push(BucketChange::End { key, op, state });
     }
 }
 
 impl Node {
-    fn accept(&mut self, results: &[Granted], requested: Vec<(String, OpId)>) {
-        let claims = requested.into_iter().zip(results).filter(|(_, g)| **g == Granted::Yes);
+    fn accept(&mut self, results: &[GrantResult], requested: Vec<(String, OpId)>) {
+        let claims = requested.into_iter().zip(results).filter(|(_, g)| **g == GrantResult::Yes);
         self.accepted.extend(claims.map(|(claim, _)| claim));
     }
 }
@@ -186,17 +186,18 @@
 
 #[test]
 fn full_bucket_keeps_unexpired_claims() {
-    let limits = Keep { span: Duration::from_secs(10), most: 2 };
+    let limits = BucketLimits { max_age: Duration::from_secs(10), max_claims: 2 };
     let node: NodeId = "n".parse().unwrap();
-    let claim_key = |key: &str| Wish::Claim { key: key.to_owned(), op: key.parse().unwrap() };
+    let claim_key =
+        |key: &str| BucketChange::Claim { key: key.to_owned(), op: key.parse().unwrap() };
     let changes = [claim_key("a"), claim_key("b"), claim_key("c")];
     let (bucket, accepted) =
         claim::decide(&Bucket::default(), &changes, &node, limits, Time::from_millis(0));
-    assert_eq!(accepted, [Granted::Yes, Granted::Yes, Granted::Full]);
+    assert_eq!(accepted, [GrantResult::Yes, GrantResult::Yes, GrantResult::Full]);
     let (_, accepted) =
         claim::decide(&bucket, &[claim_key("c")], &node, limits, Time::from_millis(9_999));
-    assert_eq!(accepted, [Granted::Full]);
+    assert_eq!(accepted, [GrantResult::Full]);
     let (_, accepted) =
         claim::decide(&bucket, &[claim_key("c")], &node, limits, Time::from_millis(10_000));
-    assert_eq!(accepted, [Granted::Yes]);
+    assert_eq!(accepted, [GrantResult::Yes]);
 }
--- a/src/decide/tests/fuzz.rs
+++ b/src/decide/tests/fuzz.rs
@@ -13,7 +13,7 @@
     decide::{
         plan, repair,
         rules::Rules,
-        wave::{self, Outlook, Step},
+        wave::{self, Step, WaveContext},
     },
     measure::shape::{self, BEGIN},
     model::{
@@ -433,7 +433,7 @@
         }
         let now = self.now;
         let fleet = &mut self.nodes[node].fleet;
-        fleet.heard = now;
+        fleet.last_received = now;
         for (id, host) in &self.hosts {
             let Some(report) = fleet.reports.get_mut(id) else { continue };
             report.live = !host.dead && host.reboot.is_none();
@@ -494,7 +494,7 @@
     fn compute_steps(&mut self, node: usize) {
         let fleet = &self.nodes[node].fleet;
         let quiet = |_: &HostId, _| true;
-        let context = Outlook { fleet, is_quiet: &quiet, now: self.now, rules: &self.rules };
+        let context = WaveContext { fleet, is_quiet: &quiet, now: self.now, rules: &self.rules };
         let mut pending = VecDeque::new();
         let mut expected = BTreeMap::new();
         // Each node runs its own plans, and those of a paused node.
@@ -522,7 +522,7 @@
             let expect = fleet.revision(&Key::Placement(id.clone()));
             let op = "op".parse().unwrap();
             let record = wave::change_placement(fleet, &id, &op, |placement| {
-                wave::repaired(placement, &repair, self.now);
+                wave::apply_repair(placement, &repair, self.now);
             });
             let record = record.unwrap();
             if self.write(record.clone(), expect, None) {
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -35,8 +35,8 @@
 };
 
 pub(crate) use step::{
-    Step, change_host, change_placement, effect, host_of, hosts_of, is_timely, key_of, repaired,
-    rests_on,
+    Step, apply_repair, change_host, change_placement, dependencies, effect, host_keys, host_of,
+    is_timely, key_of,
 };
 
 /// Why a host makes no progress now.
@@ -68,7 +68,7 @@
 const FIRST_BATCH_DIVISOR: u32 = 10;
 
 /// Inputs for computing a plan's next steps.
-pub(crate) struct Outlook<'a> {
+pub(crate) struct WaveContext<'a> {
     pub(crate) fleet: &'a Fleet,
     /// Whether every node has acknowledged that it sends no requests to a host at this epoch and
     /// has none in flight there.
@@ -79,13 +79,13 @@
 
 /// Computes the next steps of one pool of a plan, and why hosts wait.
 pub(crate) fn advance(
-    context: &Outlook<'_>,
+    context: &WaveContext<'_>,
     plan: &Plan,
     pool: &PoolId,
 ) -> (Vec<Step>, BTreeMap<HostId, WaitReason>) {
     let Some(part) = plan.pools.get(pool) else { return Default::default() };
     // Without a current host list all tasks count as down, and taking them would use no budget.
-    if !context.fleet.is_heard(context.now, context.rules.list_limit) {
+    if !context.fleet.is_list_fresh(context.now, context.rules.list_limit) {
         let waiting = part.hosts().map(|host| (host.clone(), WaitReason::StaleHostList)).collect();
         return (Vec::new(), waiting);
     }
@@ -142,12 +142,12 @@
 
 fn release_steps(fleet: &Fleet, plan: &Plan, host: &HostId) -> Vec<Step> {
     let services = held_by(fleet, plan, host).into_iter();
-    services.map(|service| Step::GiveBack { host: host.clone(), service }).collect()
+    services.map(|service| Step::Release { host: host.clone(), service }).collect()
 }
 
 /// One round of decisions for a pool's part of a plan.
 struct Round<'a> {
-    context: &'a Outlook<'a>,
+    context: &'a WaveContext<'a>,
     plan: &'a Plan,
     part: &'a PoolPlan,
     capacity: Option<RoundCapacity<'a>>,
@@ -158,7 +158,7 @@
 impl<'a> Round<'a> {
     /// The next steps for a host that the plan holds.
     fn advance_host(&mut self, host: &HostId, record: &HostRecord) {
-        let Outlook { fleet, now, rules, .. } = *self.context;
+        let WaveContext { fleet, now, rules, .. } = *self.context;
         let spent = now.since(record.since);
         let cancelled = self.plan.state == PlanState::Cancelled;
         match record.state {
@@ -195,7 +195,7 @@
     }
 
     fn advance_away(&mut self, host: &HostId, record: &HostRecord) {
-        let Outlook { fleet, now, rules, .. } = *self.context;
+        let WaveContext { fleet, now, rules, .. } = *self.context;
         let report = fleet.reports.get(host);
         if report.is_some_and(|report| record.epoch <= report.booted && report.live) {
             let outcome = HostOutcome::Done;
@@ -234,7 +234,7 @@
         if surging {
             return;
         }
-        if !fleet.coming_to(host).is_empty() {
+        if !fleet.successors_on(host).is_empty() {
             self.steps.extend(release_steps(fleet, self.plan, host));
             self.waiting.insert(host.clone(), WaitReason::IncomingTasks);
             return;
@@ -257,7 +257,7 @@
     }
 
     fn advance_leaving(&mut self, host: &HostId, record: &HostRecord) {
-        let Outlook { fleet, is_quiet, now, rules } = *self.context;
+        let WaveContext { fleet, is_quiet, now, rules } = *self.context;
         let report = fleet.reports.get(host);
         let dead = fleet.is_dead(host, now, rules.list_limit);
         let worker_quiet =
@@ -267,7 +267,7 @@
             self.steps.extend(release_steps(fleet, self.plan, host));
             let host = host.clone();
             self.steps.push(match &self.plan.intent.action {
-                Action::Drain => Step::Away { host },
+                Action::Drain => Step::Reboot { host },
                 Action::Move(pool) => Step::Join { host, pool: pool.clone() },
                 Action::Quarantine => Step::Quarantine { host, outcome: HostOutcome::Done },
             });
@@ -296,7 +296,7 @@
 
     /// Starts as many hosts as the free capacity and the plan's limit allow.
     fn start_hosts(&mut self) {
-        let Outlook { fleet, now, rules, .. } = *self.context;
+        let WaveContext { fleet, now, rules, .. } = *self.context;
         let mut out = self.hosts_out();
         let none_out = out == 0;
         let first_limit = self.first_batch_limit();
@@ -375,7 +375,7 @@
     /// Skips hosts that are dead or quarantined when nothing else is left to do, so that none of
     /// them keeps the plan open forever.
     fn skip_unavailable(&mut self) {
-        let Outlook { fleet, now, rules, .. } = *self.context;
+        let WaveContext { fleet, now, rules, .. } = *self.context;
         let hosts: Vec<HostId> = self.waiting.keys().cloned().collect();
         for host in hosts {
             let Some(record) = fleet.hosts.get(&host).filter(|r| r.plan.is_none()) else {
@@ -393,7 +393,7 @@
     /// Number of hosts that the plan has out. A host whose reboot takes twice as long as expected
     /// does not count, so that it does not delay the others.
     fn hosts_out(&self) -> u32 {
-        let Outlook { fleet, now, rules, .. } = *self.context;
+        let WaveContext { fleet, now, rules, .. } = *self.context;
         let overdue = rules.expected.reboot * 2 + Duration::from_secs(1);
         let is_out = |host: &&HostId| {
             let Some(record) = fleet.hosts.get(*host) else { return false };
--- a/src/decide/wave/scene.rs
+++ b/src/decide/wave/scene.rs
@@ -4,10 +4,10 @@
 
 use crate::{
     decide::{
-        budget::{self, OverBudget, Standing},
+        budget::{self, BudgetStatus, OverBudget},
         place::Placer,
         rules::Rules,
-        wave::{Outlook, WaitReason},
+        wave::{WaitReason, WaveContext},
     },
     model::{
         fleet::Fleet,
@@ -23,14 +23,14 @@
     fleet: &'a Fleet,
     now: Time,
     rules: &'a Rules,
-    statuses: HashMap<ServiceId, Standing>,
+    statuses: HashMap<ServiceId, BudgetStatus>,
     pub(super) placer: Placer<'a>,
     pool_capacity: PoolCapacity,
 }
 
 impl<'a> RoundCapacity<'a> {
-    pub(super) fn new(context: &Outlook<'a>, part: &PoolPlan) -> RoundCapacity<'a> {
-        let Outlook { fleet, now, rules, .. } = *context;
+    pub(super) fn new(context: &WaveContext<'a>, part: &PoolPlan) -> RoundCapacity<'a> {
+        let WaveContext { fleet, now, rules, .. } = *context;
         let pool = part.hosts().find_map(|host| fleet.hosts.get(host)).map(|r| &r.pool);
         RoundCapacity {
             fleet,
@@ -66,9 +66,10 @@
         let mut next = Vec::new();
         for id in budget::services_on(self.fleet, host) {
             let Some(service) = self.fleet.service(&id) else { continue };
-            let status = self.statuses.entry(id.clone()).or_insert_with(|| {
-                budget::standing(self.fleet, &id, service, self.now, self.rules)
-            });
+            let status = self
+                .statuses
+                .entry(id.clone())
+                .or_insert_with(|| budget::status(self.fleet, &id, service, self.now, self.rules));
             next.push((id.clone(), status.without(self.fleet, &id, host, self.now, self.rules)?));
         }
         self.statuses.extend(next);
--- a/src/decide/wave/step.rs
+++ b/src/decide/wave/step.rs
@@ -11,7 +11,7 @@
         fleet::{Fleet, TaskRef},
         host::{HostOutcome, HostRecord, HostState},
         id::{HostId, OpId, PlanId, PoolId, ServiceId},
-        record::{Assigned, Key, Permit, Placement, Record, Successor},
+        record::{Key, Permit, Placement, Record, Successor, TaskAssignment},
         unit::Time,
     },
 };
@@ -26,13 +26,13 @@
     /// Takes a permit from a service's budget for its tasks on a host.
     Permit { host: HostId, service: ServiceId },
     /// Releases a permit and cancels successors that are no longer needed.
-    GiveBack { host: HostId, service: ServiceId },
+    Release { host: HostId, service: ServiceId },
     /// Stops sending new requests to a host.
     Leave { host: HostId },
     /// Moves a service's tasks off a quiet host, and releases the permit.
     Move { host: HostId, service: ServiceId, moves: Moves },
     /// Reboots an empty host.
-    Away { host: HostId },
+    Reboot { host: HostId },
     /// Assigns an empty host to another pool.
     Join { host: HostId, pool: PoolId },
     /// Quarantines an empty host.
@@ -55,10 +55,10 @@
         Step::Close { host }
         | Step::Prepare { host, .. }
         | Step::Permit { host, .. }
-        | Step::GiveBack { host, .. }
+        | Step::Release { host, .. }
         | Step::Leave { host }
         | Step::Move { host, .. }
-        | Step::Away { host }
+        | Step::Reboot { host }
         | Step::Join { host, .. }
         | Step::Quarantine { host, .. }
         | Step::Return { host, .. } => host,
@@ -70,7 +70,7 @@
     match step {
         Step::Prepare { service, .. }
         | Step::Permit { service, .. }
-        | Step::GiveBack { service, .. }
+        | Step::Release { service, .. }
         | Step::Move { service, .. } => Key::Placement(service.clone()),
         _ => Key::Host(host_of(step).clone()),
     }
@@ -78,14 +78,14 @@
 
 /// The records that a step depends on besides the one that it writes. The tasks of its host are
 /// stored in the placements of the pool's services; whether a host takes tasks, in its own record.
-pub(crate) fn rests_on(fleet: &Fleet, step: &Step) -> Vec<Key> {
+pub(crate) fn dependencies(fleet: &Fleet, step: &Step) -> Vec<Key> {
     match step {
         Step::Leave { host }
-        | Step::Away { host }
+        | Step::Reboot { host }
         | Step::Join { host, .. }
         | Step::Quarantine { host, .. } => placements_at(fleet, host),
-        Step::Prepare { moves, .. } | Step::Move { moves, .. } => hosts_of(moves.values()),
-        Step::Close { .. } | Step::Permit { .. } | Step::GiveBack { .. } | Step::Return { .. } => {
+        Step::Prepare { moves, .. } | Step::Move { moves, .. } => host_keys(moves.values()),
+        Step::Close { .. } | Step::Permit { .. } | Step::Release { .. } | Step::Return { .. } => {
             Vec::new()
         }
     }
@@ -95,14 +95,14 @@
 fn placements_at(fleet: &Fleet, host: &HostId) -> Vec<Key> {
     let pool = fleet.hosts.get(host).map(|record| &record.pool);
     let in_pool = fleet.config.services.iter().filter(|(_, s)| Some(&s.pool) == pool);
-    let on_host = fleet.tasks_on(host).iter().chain(fleet.coming_to(host));
+    let on_host = fleet.tasks_on(host).iter().chain(fleet.successors_on(host));
     let services = in_pool.map(|(id, _)| id).chain(on_host.map(|task| &task.service));
     let services: BTreeSet<&ServiceId> = services.collect();
     services.into_iter().map(|id| Key::Placement(id.clone())).collect()
 }
 
 /// The keys of the records of some hosts.
-pub(crate) fn hosts_of<'a>(hosts: impl Iterator<Item = &'a HostId>) -> Vec<Key> {
+pub(crate) fn host_keys<'a>(hosts: impl Iterator<Item = &'a HostId>) -> Vec<Key> {
     let hosts: BTreeSet<&HostId> = hosts.collect();
     hosts.into_iter().map(|host| Key::Host(host.clone())).collect()
 }
@@ -114,7 +114,7 @@
         let permits = fleet.placements.get(&task.service).map(|placement| &placement.permits);
         permits.and_then(|p| p.get(host)).is_some_and(|permit| permit.plan == *plan)
     };
-    fleet.coming_to(host).is_empty() && fleet.tasks_on(host).iter().all(is_permitted)
+    fleet.successors_on(host).is_empty() && fleet.tasks_on(host).iter().all(is_permitted)
 }
 
 /// The record that a step writes, based on the current one, or `None` if the step no longer
@@ -130,7 +130,7 @@
         Step::Permit { host, service } => change_placement(fleet, service, op, |placement| {
             take_permit(placement, host, plan, now)
         }),
-        Step::GiveBack { host, service } => change_placement(fleet, service, op, |placement| {
+        Step::Release { host, service } => change_placement(fleet, service, op, |placement| {
             placement.permits.remove(host);
             cancel_successors(placement, host, plan);
         }),
@@ -151,27 +151,27 @@
         Step::Leave { host } => change_host(fleet, host, op, now, |record| {
             record.state = HostState::Leaving;
         }),
-        Step::Away { host } => change_host(fleet, host, op, now, |record| {
+        Step::Reboot { host } => change_host(fleet, host, op, now, |record| {
             record.state = HostState::Away;
         }),
         Step::Join { host, pool } => change_host(fleet, host, op, now, |record| {
             record.state = HostState::Serving;
             record.pool = pool.clone();
-            record.end(plan, HostOutcome::Done);
+            record.record_outcome(plan, HostOutcome::Done);
         }),
         Step::Quarantine { host, outcome } => change_host(fleet, host, op, now, |record| {
             record.state = HostState::Quarantined;
-            record.end(plan, outcome.clone());
+            record.record_outcome(plan, outcome.clone());
         }),
         Step::Return { host, outcome } => change_host(fleet, host, op, now, |record| {
             record.state = HostState::Serving;
-            record.end(plan, outcome.clone());
+            record.record_outcome(plan, outcome.clone());
         }),
     }
 }
 
 fn take_permit(placement: &mut Placement, host: &HostId, plan: &PlanId, now: Time) {
-    let on_host = |(index, assigned): (usize, &Option<Assigned>)| {
+    let on_host = |(index, assigned): (usize, &Option<TaskAssignment>)| {
         let here = assigned.as_ref().is_some_and(|assigned| assigned.host == *host);
         here.then_some(index as u32)
     };
@@ -204,13 +204,13 @@
         }
         let previous = placement.successors.get(index).map_or(0, |s| s.to.generation);
         let generation = assigned.generation.max(previous) + 1;
-        let to = Assigned { host: host.clone(), generation, since: now };
+        let to = TaskAssignment { host: host.clone(), generation, since: now };
         placement.successors.insert(*index, Successor { to, plan: plan.cloned() });
     }
 }
 
 /// Applies a service's repair to its placement.
-pub(crate) fn repaired(placement: &mut Placement, repair: &Repair, now: Time) {
+pub(crate) fn apply_repair(placement: &mut Placement, repair: &Repair, now: Time) {
     promote_successors(placement, &repair.swaps);
     relocate(placement, &repair.moves, None, now);
     let plans: BTreeMap<u32, Option<PlanId>> =
@@ -249,7 +249,7 @@
         let successor = placement.successors.remove(&(index as u32));
         let newest = slot.as_ref().map_or(0, |assigned| assigned.generation);
         let generation = successor.map_or(0, |s| s.to.generation).max(newest) + 1;
-        *slot = Some(Assigned { host: host.clone(), generation, since: now });
+        *slot = Some(TaskAssignment { host: host.clone(), generation, since: now });
     }
 }
 
--- a/src/entry/gate.rs
+++ b/src/entry/gate.rs
@@ -12,7 +12,7 @@
 use crate::{
     decide::{
         route::{self, RateLimit, RetryBudget, Waiting},
-        share::{Others, Share},
+        share::{PeerDemand, RateShare},
     },
     model::{
         id::{ServiceId, TeamId},
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Gates {
     gates: Mutex<HashMap<ServiceId, Arc<Gate>>>,
-    teams: Mutex<HashMap<TeamId, Share>>,
+    teams: Mutex<HashMap<TeamId, RateShare>>,
 }
 
 /// Current inputs for the limit of a class at a service.
@@ -244,13 +244,13 @@
         &self,
         team: &TeamId,
         rate: PerSecond,
-        others: Others,
+        others: PeerDemand,
         now: Time,
     ) -> Result<(), Duration> {
         let mut teams = self.teams.lock().unwrap_or_else(PoisonError::into_inner);
-        let new = || Share::new(RateLimit::full(now), now);
+        let new = || RateShare::new(RateLimit::full(now), now);
         let share = teams.entry(team.clone()).or_insert_with(new);
-        share.ask(now);
+        share.record_request(now);
         share.take(f64::from(rate.0), others, 0.0, now)
     }
 
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -14,10 +14,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    decide::claim::{self, Bucket, Claim, ClaimState, Granted, Wish},
+    decide::claim::{self, Bucket, BucketChange, Claim, ClaimState, GrantResult},
     model::{
         id::{NodeId, OpId, TeamId},
-        record::CLAIMS,
+        record::CLAIMS_PREFIX,
         unit::{Revision, Time},
     },
     platform::store::{Entry, Store, StoreError, Swap},
@@ -50,7 +50,7 @@
 }
 
 struct PendingChange {
-    change: Wish,
+    change: BucketChange,
     reply: Option<oneshot::Sender<Result<(), ClaimError>>>,
 }
 
@@ -80,7 +80,7 @@
             let writer = Writer {
                 store: store.clone(),
                 node: node.clone(),
-                key: format!("{CLAIMS}{number:04}"),
+                key: format!("{CLAIMS_PREFIX}{number:04}"),
                 settings: settings.clone(),
                 known: None,
                 pending: pending.clone(),
@@ -100,7 +100,7 @@
     ) -> Result<(), ClaimError> {
         let name = claim_name(team, key);
         let (sender, receiver) = oneshot::channel();
-        let change = Wish::Claim { key: name.clone(), op: op.clone() };
+        let change = BucketChange::Claim { key: name.clone(), op: op.clone() };
         let pending_change = PendingChange { change, reply: Some(sender) };
         self.writer(&name).try_send(pending_change).map_err(|_| ClaimError::Full)?;
         receiver.await.unwrap_or(Err(ClaimError::Store("the node is shutting down".to_owned())))
@@ -109,7 +109,7 @@
     /// Records the result of a claimed request. It is written in the background.
     pub(crate) fn record_end(&self, team: &TeamId, key: &str, op: &OpId, state: ClaimState) {
         let name = claim_name(team, key);
-        let change = Wish::End { key: name.clone(), op: op.clone(), state };
+        let change = BucketChange::End { key: name.clone(), op: op.clone(), state };
         self.pending.fetch_add(1, Ordering::AcqRel);
         if self.writer(&name).try_send(PendingChange { change, reply: None }).is_err() {
             self.pending.fetch_sub(1, Ordering::AcqRel);
@@ -135,7 +135,7 @@
 
 impl Writer {
     async fn run(mut self, mut changes: mpsc::Receiver<PendingChange>) {
-        let mut ends: Vec<Wish> = Vec::new();
+        let mut ends: Vec<BucketChange> = Vec::new();
         loop {
             let Some(batch) = next_batch(&mut changes, &ends).await else {
                 return;
@@ -147,7 +147,7 @@
                     None => ends.push(one.change),
                 }
             }
-            let batch_changes: Vec<Wish> = claims
+            let batch_changes: Vec<BucketChange> = claims
                 .iter()
                 .map(|(change, _)| change.clone())
                 .chain(ends.iter().cloned())
@@ -180,7 +180,10 @@
         }
     }
 
-    async fn write(&mut self, batch_changes: &[Wish]) -> Result<Vec<Granted>, StoreError> {
+    async fn write(
+        &mut self,
+        batch_changes: &[BucketChange],
+    ) -> Result<Vec<GrantResult>, StoreError> {
         for _ in 0..MAX_CONFLICTS {
             // Other nodes write here too, and a read costs the store less than a conflicting write.
             let (revision, bucket) = match self.known.take() {
@@ -190,7 +193,7 @@
             let limits = self.settings.keep;
             let (mut next, granted) =
                 claim::decide(&bucket, batch_changes, &self.node, limits, Time::now());
-            if granted.iter().all(|granted| *granted != Granted::Yes) {
+            if granted.iter().all(|granted| *granted != GrantResult::Yes) {
                 return Ok(granted);
             }
             next.op = Some(OpId::fresh());
@@ -228,7 +231,7 @@
 /// for one.
 async fn next_batch(
     changes: &mut mpsc::Receiver<PendingChange>,
-    ends: &[Wish],
+    ends: &[BucketChange],
 ) -> Option<Vec<PendingChange>> {
     let mut batch = Vec::new();
     if ends.is_empty() {
@@ -253,17 +256,19 @@
     Some(batch)
 }
 
-fn claim_result(granted: Granted) -> Result<(), ClaimError> {
+fn claim_result(granted: GrantResult) -> Result<(), ClaimError> {
     match granted {
-        Granted::Yes => Ok(()),
-        Granted::Held(claim) => Err(ClaimError::Held(claim)),
-        Granted::Full => Err(ClaimError::Full),
+        GrantResult::Yes => Ok(()),
+        GrantResult::Held(claim) => Err(ClaimError::Held(claim)),
+        GrantResult::Full => Err(ClaimError::Full),
     }
 }
 
-fn release_change(change: Wish) -> Option<Wish> {
+fn release_change(change: BucketChange) -> Option<BucketChange> {
     match change {
-        Wish::Claim { key, op } => Some(Wish::End { key, op, state: ClaimState::Released }),
-        Wish::End { .. } => None,
+        BucketChange::Claim { key, op } => {
+            Some(BucketChange::End { key, op, state: ClaimState::Released })
+        }
+        BucketChange::End { .. } => None,
     }
 }
--- a/src/entry/routes.rs
+++ b/src/entry/routes.rs
@@ -66,11 +66,11 @@
         let state = *self.state();
         Load {
             own: self.own.load(Ordering::Acquire),
-            said: state.reported,
-            said_at: state.reported_at,
+            reported: state.reported,
+            reported_at: state.reported_at,
             slots: self.slots,
             share: self.share.load(Ordering::Acquire),
-            rest_until: state.backoff_until,
+            backoff_until: state.backoff_until,
         }
     }
 
@@ -94,7 +94,7 @@
     pub(crate) fn record_failure(&self, now: Time) {
         let mut state = self.state();
         state.failures += 1;
-        state.backoff_until = now + route::rest(state.failures);
+        state.backoff_until = now + route::backoff(state.failures);
     }
 }
 
@@ -222,6 +222,6 @@
     }
     let addresses: Vec<String> = list.iter().map(|endpoint| endpoint.address.clone()).collect();
     let members = addresses.iter().map(String::as_str);
-    let chosen = rendezvous::first(members, node, MAX_ENDPOINTS);
+    let chosen = rendezvous::top_members(members, node, MAX_ENDPOINTS);
     list.retain(|endpoint| chosen.contains(&endpoint.address.as_str()));
 }
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -14,7 +14,7 @@
 use crate::{
     decide::{
         claim::{Claim, ClaimState},
-        share::Others,
+        share::PeerDemand,
     },
     entry::{
         forward::{self, Answer, Attempt, MemoryLimits, Outgoing},
@@ -158,7 +158,7 @@
             );
             return Err(Failure::rejected(StatusCode::BAD_REQUEST, text));
         }
-        let others = Others { nodes, demand: self.node.peers.demand(&options.team) };
+        let others = PeerDemand { nodes, demand: self.node.peers.demand(&options.team) };
         self.node.gates.admit(&options.team, rate, others, now).map_err(|after| Failure {
             status: StatusCode::TOO_MANY_REQUESTS,
             ..Failure::unavailable(format!("team {} has used up its rate", options.team), after)
--- a/src/jobs/balance.rs
+++ b/src/jobs/balance.rs
@@ -66,7 +66,7 @@
 
 /// The ownership that a node should release, if any: the most expensive one with which another node
 /// would still be clearly less utilized than this node is now.
-pub(crate) fn to_give<'a>(
+pub(crate) fn to_release<'a>(
     nodes: &BTreeMap<String, Capacity>,
     me: &str,
     owned: &BTreeMap<&'a str, Millicores>,
--- a/src/jobs/event.rs
+++ b/src/jobs/event.rs
@@ -7,9 +7,9 @@
 use crate::model::{
     id::{Incarnation, WorkerId},
     job::{JobId, JobRecord, Progress, StepId, TaskId},
-    order::{Addressee, Advised, Start},
+    order::{Addressee, AdviceResult, Start},
     unit::{Revision, Steady},
-    worker::{Look, OrderEnd, WorkerReport},
+    worker::{OrderResult, PollResponse, WorkerReport},
 };
 
 /// A job as it is stored.
@@ -22,7 +22,7 @@
     pub(crate) revision: Revision,
     pub(crate) progress: Option<Arc<Progress>>,
     /// Revision of the progress; 0 if there is none.
-    pub(crate) saved_at: Revision,
+    pub(crate) progress_revision: Revision,
     pub(crate) cancelled: bool,
 }
 
@@ -33,43 +33,43 @@
     /// The job's record was removed at the end of its retention time.
     Removed(JobId),
     /// The job has ended, or was never accepted: ends of its runs need not be persisted.
-    Over(JobId),
+    JobOver(JobId),
     Cancelled(JobId),
     Worker(WorkerReport),
     /// A worker of another pool, which may use the host or address of a worker of this pool.
-    Elsewhere(WorkerReport),
+    OtherPool(WorkerReport),
     /// The store no longer lists the worker's report.
     Unlisted(WorkerId),
     /// The entry under the worker's id is not its own report, or cannot be read.
-    Barred(WorkerId),
+    InvalidEntry(WorkerId),
     Started {
         worker: Incarnation,
         task: TaskId,
         run: u32,
-        end: OrderEnd<u64>,
+        end: OrderResult<u64>,
     },
     Stopped {
         worker: Incarnation,
         task: TaskId,
         run: u32,
-        end: OrderEnd<u64>,
+        end: OrderResult<u64>,
     },
-    Looked {
+    Polled {
         worker: Incarnation,
         sent: Steady,
-        end: OrderEnd<Look>,
+        end: OrderResult<PollResponse>,
     },
-    Paced {
+    Throttled {
         worker: Incarnation,
         task: TaskId,
         percent: u32,
-        end: OrderEnd<u64>,
+        end: OrderResult<u64>,
     },
     Advised {
         step: StepId,
         asked: Vec<Incarnation>,
         sent: Steady,
-        end: Advised,
+        end: AdviceResult,
     },
 }
 
@@ -78,18 +78,18 @@
 pub(crate) enum Effect {
     Start { to: Addressee, start: Start },
     Stop { to: Addressee, task: TaskId, run: u32 },
-    Look { to: Addressee, acknowledged: u64, until_ms: Option<u64>, wait: Duration },
-    Pace { to: Addressee, task: TaskId, run: u32, percent: u32 },
+    Poll { to: Addressee, acknowledged: u64, until_ms: Option<u64>, wait: Duration },
+    Throttle { to: Addressee, task: TaskId, run: u32, percent: u32 },
     Advise { step: StepId, workers: Vec<Incarnation>, needs: Duration },
 }
 
 /// A write of a job's progress.
 #[derive(Debug, Clone)]
-pub(crate) struct Save {
+pub(crate) struct ProgressWrite {
     pub(crate) job: JobId,
     pub(crate) value: Bytes,
     /// Condition of the write: the revision of the stored progress; 0 if there must be none.
-    pub(crate) expects: Revision,
+    pub(crate) expected_revision: Revision,
     /// The version of the job that the value contains.
     pub(crate) version: u64,
 }
--- a/src/jobs/fleet.rs
+++ b/src/jobs/fleet.rs
@@ -31,7 +31,7 @@
     worker::{HostPhase, ListedHost, Upkeep},
 };
 
-pub(crate) use marks::Mark;
+pub(crate) use marks::DrainMark;
 
 /// How often the host list is read while upkeep or moves are in progress, in milliseconds.
 const BUSY_LIST_INTERVAL_MS: u64 = 250;
@@ -71,7 +71,7 @@
 
 /// The action for which a host must be empty.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Leave {
+pub(crate) enum HostAction {
     /// Upkeep, as part of this wave.
     Upkeep(u64),
     /// A move to this pool.
@@ -85,14 +85,14 @@
     /// still end in time.
     pub(crate) cpu: u64,
     /// The same for jobs that cannot.
-    pub(crate) late: u64,
+    pub(crate) late_cpu: u64,
     /// Number of hosts over which its lasting tasks must be spread.
     pub(crate) spread: usize,
     /// Whether some of the tasks end by themselves.
-    pub(crate) ends: bool,
+    pub(crate) finite: bool,
     /// Processor time, in millicores, that it takes to keep up with the jobs that arrived recently,
     /// and how many jobs these were.
-    pub(crate) arriving: u64,
+    pub(crate) arriving_cpu: u64,
     pub(crate) arrivals: u32,
 }
 
@@ -126,14 +126,14 @@
 }
 
 /// The input of one plan of the fleet owner.
-pub(crate) struct Scene<'a> {
+pub(crate) struct FleetSnapshot<'a> {
     pub(crate) config: &'a QueueConfig,
     pub(crate) demands: &'a BTreeMap<PoolId, Demand>,
     /// The store revision that the view has reached.
-    pub(crate) known: Revision,
-    pub(crate) leaves: &'a BTreeMap<HostId, Mark>,
+    pub(crate) view_revision: Revision,
+    pub(crate) marks: &'a BTreeMap<HostId, DrainMark>,
     /// Drained hosts, with the worker that was found empty.
-    pub(crate) empties: &'a BTreeMap<HostId, WorkerId>,
+    pub(crate) drained: &'a BTreeMap<HostId, WorkerId>,
     pub(crate) upkeeps: &'a [Upkeep],
     /// Hosts whose upkeep is recorded as done, by wave.
     pub(crate) maintained: &'a BTreeMap<u64, BTreeSet<HostId>>,
@@ -147,7 +147,7 @@
     /// Hosts with a higher load and no lasting task: within each pool, the least loaded first.
     pub(crate) busy: &'a [HostId],
     /// Hosts that an earlier owner has called so recently that this one must not call them yet.
-    pub(crate) resting: &'a BTreeSet<HostId>,
+    pub(crate) recently_called: &'a BTreeSet<HostId>,
 }
 
 /// An action that the fleet owner wants carried out.
@@ -156,7 +156,7 @@
     /// Read the host list.
     List,
     /// Set the drain mark of a host.
-    Mark(HostId, Leave),
+    Mark(HostId, HostAction),
     /// Remove the drain mark that was written at this revision.
     Unmark(HostId, Revision),
     /// Have a host maintained for a wave.
@@ -171,18 +171,18 @@
 
 /// The result of a write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum WriteEnd {
+pub(crate) enum WriteResult {
     /// Committed at this revision.
     Done(Revision),
     /// Not committed because a condition did not hold; carries the host's current mark, if any.
-    Refused(Option<Mark>),
+    Refused(Option<DrainMark>),
     /// No conclusive answer: it may have been committed, or may be later.
-    Lost,
+    Unknown,
 }
 
 /// The result of a call that maintains or moves a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum CallEnd {
+pub(crate) enum CallResult {
     /// The platform has begun the action.
     Begun,
     /// Not begun, and never will be.
@@ -190,7 +190,7 @@
     /// No conclusive answer: it may have begun, or may begin later.
     Unknown,
     /// Rejected by the rate limit of the platform.
-    Limited,
+    RateLimited,
 }
 
 /// A switched-off host that is joining a pool.
@@ -201,7 +201,7 @@
 }
 
 /// The fleet owner.
-pub(crate) struct Fleet {
+pub(crate) struct FleetOwner {
     pub(crate) token: u64,
     sizing: Sizing,
     calls: BTreeMap<HostId, Call>,
@@ -227,10 +227,10 @@
     recent_cpu: BTreeMap<PoolId, VecDeque<(Steady, u64)>>,
 }
 
-impl Fleet {
+impl FleetOwner {
     /// A fleet owner that has just acquired its ownership.
-    pub(crate) fn new(token: u64, sizing: Sizing, now: Steady) -> Fleet {
-        Fleet {
+    pub(crate) fn new(token: u64, sizing: Sizing, now: Steady) -> FleetOwner {
+        FleetOwner {
             token,
             sizing,
             calls: BTreeMap::new(),
@@ -262,7 +262,7 @@
     }
 
     /// Updates the hosts from a list that was requested at `sent`; `None` if reading it failed.
-    pub(crate) fn heard_list(&mut self, sent: Steady, hosts: Option<Vec<ListedHost>>) {
+    pub(crate) fn update_hosts(&mut self, sent: Steady, hosts: Option<Vec<ListedHost>>) {
         self.list_pending = false;
         if let Some(hosts) = hosts {
             self.hosts = hosts.into_iter().map(|host| (host.host.clone(), host)).collect();
@@ -272,7 +272,7 @@
     }
 
     /// Decides what to do now.
-    pub(crate) fn plan(&mut self, snapshot: &Scene<'_>, now: Steady) -> Vec<FleetEffect> {
+    pub(crate) fn plan(&mut self, snapshot: &FleetSnapshot<'_>, now: Steady) -> Vec<FleetEffect> {
         let mut out = Vec::new();
         self.record_demand(snapshot, now);
         self.marks.refresh(snapshot, now);
@@ -297,13 +297,18 @@
         self.marks.is_pending(host) || self.incoming.contains_key(host)
     }
 
-    fn request_list(&mut self, snapshot: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
+    fn request_list(
+        &mut self,
+        snapshot: &FleetSnapshot<'_>,
+        now: Steady,
+        out: &mut Vec<FleetEffect>,
+    ) {
         if self.list_pending || now < self.next_list {
             return;
         }
         let waves = snapshot.upkeeps.iter().any(|upkeep| !snapshot.reported.contains(&upkeep.wave));
         let busy = waves
-            || !snapshot.leaves.is_empty()
+            || !snapshot.marks.is_empty()
             || !self.calls.is_empty()
             || !self.incoming.is_empty();
         self.list_pending = true;
@@ -313,7 +318,12 @@
     }
 
     /// Finishes the actions that the host list shows to be complete.
-    fn finish_actions(&mut self, snapshot: &Scene<'_>, now: Steady, out: &mut Vec<FleetEffect>) {
+    fn finish_actions(
+        &mut self,
+        snapshot: &FleetSnapshot<'_>,
+        now: Steady,
+        out: &mut Vec<FleetEffect>,
+    ) {
         let Some(listed_at) = self.listed_at else {
             return;
         };
@@ -327,7 +337,7 @@
             };
             let up = entry.phase == HostPhase::Up;
             match &mark.action {
-                Leave::Upkeep(wave) => {
+                HostAction::Upkeep(wave) => {
                     let state = self.call_state(host, &mark.action);
                     let begun = matches!(state, Some(CallState::Begun(at)) if at < listed_at);
                     if self.is_maintained(snapshot, *wave, host) {
@@ -336,8 +346,8 @@
                         maintained.entry(*wave).or_default().insert(host.clone());
                     }
                 }
-                Leave::Move(pool) if up && entry.pool == *pool => finished.push(host.clone()),
-                Leave::Move(_) => {}
+                HostAction::Move(pool) if up && entry.pool == *pool => finished.push(host.clone()),
+                HostAction::Move(_) => {}
             }
         }
         for host in finished {
@@ -359,7 +369,7 @@
         let (marks, incoming) = (&self.marks, &self.incoming);
         self.calls.retain(|host, call| {
             let matches_call =
-                |incoming: &Incoming| call.action == Leave::Move(incoming.pool.clone());
+                |incoming: &Incoming| call.action == HostAction::Move(incoming.pool.clone());
             marks.get(host).is_some_and(|mark| mark.action == call.action)
                 || incoming.get(host).is_some_and(matches_call)
                 || call.state == CallState::InFlight
@@ -368,7 +378,7 @@
 
     /// By pool, the hosts that are up and have no pending action. Idle ones come first, since they
     /// can be drained at once.
-    fn available_hosts(&self, snapshot: &Scene<'_>) -> BTreeMap<&PoolId, Vec<HostId>> {
+    fn available_hosts(&self, snapshot: &FleetSnapshot<'_>) -> BTreeMap<&PoolId, Vec<HostId>> {
         let mut available: BTreeMap<&PoolId, Vec<HostId>> = BTreeMap::new();
         for entry in self.hosts.values().inspect(|_| self.count_visit()) {
             if entry.phase == HostPhase::Up && !self.is_pending(&entry.host) {
--- a/src/jobs/fleet/calls.rs
+++ b/src/jobs/fleet/calls.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::{CallEnd, Demand, Fleet, FleetEffect, Leave, Scene};
+use super::{CallResult, Demand, FleetEffect, FleetOwner, FleetSnapshot, HostAction};
 use crate::model::{
     id::{HostId, PoolId},
     unit::Steady,
@@ -93,7 +93,7 @@
 /// a move says nothing about upkeep.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Call {
-    pub(super) action: Leave,
+    pub(super) action: HostAction,
     pub(super) state: CallState,
 }
 
@@ -109,14 +109,20 @@
     Begun(Steady),
 }
 
-impl Fleet {
+impl FleetOwner {
     /// Records the result of a call.
-    pub(crate) fn called(&mut self, host: &HostId, action: Leave, result: CallEnd, now: Steady) {
+    pub(crate) fn note_call_result(
+        &mut self,
+        host: &HostId,
+        action: HostAction,
+        result: CallResult,
+        now: Steady,
+    ) {
         let state = match result {
-            CallEnd::Begun => CallState::Begun(now),
-            CallEnd::NotBegun => CallState::NotBegun(now.after(CALL_RETRY_MS)),
-            CallEnd::Unknown => CallState::RetryAt(now.after(CALL_RETRY_MS)),
-            CallEnd::Limited => {
+            CallResult::Begun => CallState::Begun(now),
+            CallResult::NotBegun => CallState::NotBegun(now.after(CALL_RETRY_MS)),
+            CallResult::Unknown => CallState::RetryAt(now.after(CALL_RETRY_MS)),
+            CallResult::RateLimited => {
                 self.rate_limiter.back_off(now);
                 // An earlier call may have begun without an answer: the host may be away.
                 CallState::RetryAt(self.rate_limiter.paused_until)
@@ -126,11 +132,11 @@
     }
 
     /// The state of the call for an action, if one was made.
-    pub(super) fn call_state(&self, host: &HostId, action: &Leave) -> Option<CallState> {
+    pub(super) fn call_state(&self, host: &HostId, action: &HostAction) -> Option<CallState> {
         self.calls.get(host).filter(|call| call.action == *action).map(|call| call.state)
     }
 
-    fn record_call(&mut self, host: &HostId, action: Leave) {
+    fn record_call(&mut self, host: &HostId, action: HostAction) {
         self.calls.insert(host.clone(), Call { action, state: CallState::InFlight });
     }
 
@@ -144,7 +150,7 @@
     /// pool to another, more hosts are due than the platform accepts calls per second.
     pub(super) fn make_calls(
         &mut self,
-        snapshot: &Scene<'_>,
+        snapshot: &FleetSnapshot<'_>,
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
@@ -160,7 +166,7 @@
             let Some(action) = self.due_action(snapshot, &host, &away, now) else {
                 continue;
             };
-            if let Leave::Upkeep(wave) = action
+            if let HostAction::Upkeep(wave) = action
                 && !self.may_be_away(&host)
             {
                 *away.entry(wave).or_default() += 1;
@@ -173,8 +179,8 @@
             self.record_call(&host, action.clone());
             self.rate_limiter.recent_calls.push_back(now);
             out.push(match action {
-                Leave::Upkeep(wave) => FleetEffect::Maintain(host, wave),
-                Leave::Move(pool) => FleetEffect::Move(host, pool),
+                HostAction::Upkeep(wave) => FleetEffect::Maintain(host, wave),
+                HostAction::Move(pool) => FleetEffect::Move(host, pool),
             });
             allowed -= 1;
             if allowed == 0 {
@@ -184,14 +190,16 @@
     }
 
     /// The hosts that are joining a pool or have a drain mark, by the priority of their calls.
-    fn hosts_by_priority(&self, snapshot: &Scene<'_>) -> Vec<HostId> {
+    fn hosts_by_priority(&self, snapshot: &FleetSnapshot<'_>) -> Vec<HostId> {
         let mut shortages = self.shortages(snapshot);
-        let mut priority = |action: &Leave| match action {
-            Leave::Upkeep(_) => CallPriority::Upkeep,
-            Leave::Move(pool) if snapshot.config.pools.get(pool).is_some_and(|rules| rules.off) => {
+        let mut priority = |action: &HostAction| match action {
+            HostAction::Upkeep(_) => CallPriority::Upkeep,
+            HostAction::Move(pool)
+                if snapshot.config.pools.get(pool).is_some_and(|rules| rules.headroom) =>
+            {
                 CallPriority::Off
             }
-            Leave::Move(pool) => match shortages.get_mut(pool).filter(|hosts| **hosts != 0) {
+            HostAction::Move(pool) => match shortages.get_mut(pool).filter(|hosts| **hosts != 0) {
                 Some(hosts) => {
                     *hosts -= 1;
                     CallPriority::Shortage
@@ -201,20 +209,21 @@
         };
         let mut hosts: Vec<(CallPriority, &HostId)> = Vec::new();
         for (host, incoming) in &self.incoming {
-            hosts.push((priority(&Leave::Move(incoming.pool.clone())), host));
+            hosts.push((priority(&HostAction::Move(incoming.pool.clone())), host));
         }
         for (host, mark) in self.marks.iter() {
             hosts.push((priority(&mark.action), host));
         }
         // The sort is stable: a switched-off host comes before one from another pool.
         hosts.sort_by_key(|(priority, _)| *priority);
-        let callable = hosts.into_iter().filter(|(_, host)| !snapshot.resting.contains(*host));
+        let callable =
+            hosts.into_iter().filter(|(_, host)| !snapshot.recently_called.contains(*host));
         callable.map(|(_, host)| host.clone()).collect()
     }
 
     /// By pool, how many hosts it lacks, beyond its available ones, for the work that can still end
     /// in time. Hosts that were already called count as lacking.
-    fn shortages<'a>(&self, snapshot: &Scene<'a>) -> BTreeMap<&'a PoolId, usize> {
+    fn shortages<'a>(&self, snapshot: &FleetSnapshot<'a>) -> BTreeMap<&'a PoolId, usize> {
         let available_hosts = self.available_hosts(snapshot);
         let shortage = |(pool, demand): (&'a PoolId, &Demand)| {
             let available = available_hosts.get(pool).map_or(0, Vec::len);
@@ -227,18 +236,18 @@
     /// that are away for each wave.
     fn due_action(
         &self,
-        snapshot: &Scene<'_>,
+        snapshot: &FleetSnapshot<'_>,
         host: &HostId,
         away: &BTreeMap<u64, usize>,
         now: Steady,
-    ) -> Option<Leave> {
+    ) -> Option<HostAction> {
         if let Some(incoming) = self.incoming.get(host) {
             let due = match self.calls.get(host).map(|call| call.state) {
                 None => true,
                 Some(CallState::RetryAt(at) | CallState::NotBegun(at)) => at <= now,
                 Some(CallState::InFlight | CallState::Begun(_)) => false,
             };
-            return due.then(|| Leave::Move(incoming.pool.clone()));
+            return due.then(|| HostAction::Move(incoming.pool.clone()));
         }
         let (marked, _) = self.marks.confirmed_mark(host)?;
         let is_retry = match self.calls.get(host) {
@@ -257,24 +266,24 @@
             return None;
         }
         let due = match marked {
-            Leave::Upkeep(wave) => {
+            HostAction::Upkeep(wave) => {
                 let max_away = snapshot.upkeeps.iter().find(|upkeep| upkeep.wave == *wave);
-                let max_away = max_away.map_or(0, |upkeep| upkeep.at_once as usize);
+                let max_away = max_away.map_or(0, |upkeep| upkeep.max_concurrent as usize);
                 let away = away.get(wave).copied().unwrap_or_default();
                 !self.is_maintained(snapshot, *wave, host) && (is_retry || away < max_away)
             }
             // The view may still show the mark after the move.
-            Leave::Move(pool) => entry.phase != HostPhase::Up || entry.pool != *pool,
+            HostAction::Move(pool) => entry.phase != HostPhase::Up || entry.pool != *pool,
         };
         due.then(|| marked.clone())
     }
 
     /// Whether nothing runs on a host: its pool's owner has recorded that for its current worker,
     /// or the host is switched off.
-    fn is_empty(&self, snapshot: &Scene<'_>, entry: &ListedHost) -> bool {
-        let off = snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.off);
+    fn is_empty(&self, snapshot: &FleetSnapshot<'_>, entry: &ListedHost) -> bool {
+        let off = snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.headroom);
         match &entry.worker {
-            Some(worker) => off || snapshot.empties.get(&entry.host) == Some(worker),
+            Some(worker) => off || snapshot.drained.get(&entry.host) == Some(worker),
             None => off,
         }
     }
--- a/src/jobs/fleet/marks.rs
+++ b/src/jobs/fleet/marks.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Fleet, FleetEffect, Leave, Scene, WRITE_RETRY_MS, WriteEnd};
+use super::{FleetEffect, FleetOwner, FleetSnapshot, HostAction, WRITE_RETRY_MS, WriteResult};
 use crate::model::{
     id::HostId,
     unit::{Revision, Steady},
@@ -21,19 +21,19 @@
 
 /// A drain mark as stored.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Mark {
-    pub(crate) leave: Leave,
+pub(crate) struct DrainMark {
+    pub(crate) action: HostAction,
     pub(crate) revision: Revision,
 }
 
 /// The state of the latest write of a host's mark.
 #[derive(Debug, Clone)]
 enum MarkWrite {
-    Marking(Leave),
+    Marking(HostAction),
     /// Committed, and not shown by the view yet.
-    Marked(Mark),
+    Marked(DrainMark),
     /// The mark is being removed.
-    Unmarking(Mark),
+    Unmarking(DrainMark),
     /// Failed: nothing is decided for the host before this time.
     BackingOff(Steady),
 }
@@ -49,7 +49,7 @@
 /// A mark as known to the owner.
 #[derive(Debug, Clone)]
 pub(super) struct KnownMark {
-    pub(super) action: Leave,
+    pub(super) action: HostAction,
     /// The revision of the mark if it is certain to be stored.
     pub(super) confirmed: Option<Revision>,
 }
@@ -69,26 +69,30 @@
 
 impl Marks {
     /// Combines the marks that the view shows with the results of writes.
-    pub(super) fn refresh(&mut self, snapshot: &Scene<'_>, now: Steady) {
-        let shown = |host: &HostId| snapshot.leaves.get(host).map(|mark| mark.revision);
+    pub(super) fn refresh(&mut self, snapshot: &FleetSnapshot<'_>, now: Steady) {
+        let shown = |host: &HostId| snapshot.marks.get(host).map(|mark| mark.revision);
         self.removals.retain(|host, removal| {
-            snapshot.known < removal.until || shown(host).is_some_and(|at| at <= removal.mark)
+            snapshot.view_revision < removal.until
+                || shown(host).is_some_and(|at| at <= removal.mark)
         });
         self.writes.retain(|host, write| match write {
             MarkWrite::Marking(_) | MarkWrite::Unmarking(_) => true,
             MarkWrite::Marked(mark) => {
-                snapshot.known < mark.revision && shown(host).is_none_or(|at| at < mark.revision)
+                snapshot.view_revision < mark.revision
+                    && shown(host).is_none_or(|at| at < mark.revision)
             }
             MarkWrite::BackingOff(until) => now < *until,
         });
         let removals = &self.removals;
-        let is_current = |(host, mark): &(&HostId, &Mark)| {
+        let is_current = |(host, mark): &(&HostId, &DrainMark)| {
             removals.get(*host).is_none_or(|removal| removal.mark < mark.revision)
         };
-        let known =
-            |mark: &Mark| KnownMark { action: mark.leave.clone(), confirmed: Some(mark.revision) };
+        let known = |mark: &DrainMark| KnownMark {
+            action: mark.action.clone(),
+            confirmed: Some(mark.revision),
+        };
         self.known = snapshot
-            .leaves
+            .marks
             .iter()
             .filter(is_current)
             .map(|(host, mark)| (host.clone(), known(mark)))
@@ -136,7 +140,7 @@
     }
 
     /// The mark of a host, if it is certain to be stored and no write of it is in flight.
-    pub(super) fn confirmed_mark(&self, host: &HostId) -> Option<(&Leave, Revision)> {
+    pub(super) fn confirmed_mark(&self, host: &HostId) -> Option<(&HostAction, Revision)> {
         let in_progress = match self.writes.get(host) {
             None | Some(MarkWrite::Marked(_)) => false,
             Some(MarkWrite::Marking(_) | MarkWrite::Unmarking(_) | MarkWrite::BackingOff(_)) => {
@@ -159,18 +163,26 @@
     /// cannot be removed now.
     pub(super) fn begin_removal(&mut self, host: &HostId) -> Option<Revision> {
         let (action, revision) = self.confirmed_mark(host)?;
-        let mark = Mark { leave: action.clone(), revision };
+        let mark = DrainMark { action: action.clone(), revision };
         self.writes.insert(host.clone(), MarkWrite::Unmarking(mark));
         Some(revision)
     }
 
     /// Records the result of writing a mark.
-    fn note_mark_result(&mut self, host: &HostId, action: &Leave, result: &WriteEnd, now: Steady) {
+    fn note_mark_result(
+        &mut self,
+        host: &HostId,
+        action: &HostAction,
+        result: &WriteResult,
+        now: Steady,
+    ) {
         let mark = match result {
-            WriteEnd::Done(revision) => Some(Mark { leave: action.clone(), revision: *revision }),
+            WriteResult::Done(revision) => {
+                Some(DrainMark { action: action.clone(), revision: *revision })
+            }
             // Written by an earlier attempt without an answer.
-            WriteEnd::Refused(current) => current.clone(),
-            WriteEnd::Lost => None,
+            WriteResult::Refused(current) => current.clone(),
+            WriteResult::Unknown => None,
         };
         let back_off = MarkWrite::BackingOff(now.after(WRITE_RETRY_MS));
         self.writes.insert(host.clone(), mark.map_or(back_off, MarkWrite::Marked));
@@ -181,17 +193,17 @@
         &mut self,
         host: &HostId,
         mark: Revision,
-        result: &WriteEnd,
+        result: &WriteResult,
         now: Steady,
     ) {
         let until = match result {
-            WriteEnd::Done(revision) => Some(*revision),
+            WriteResult::Done(revision) => Some(*revision),
             // Removed by an earlier attempt without an answer.
-            WriteEnd::Refused(current) => {
+            WriteResult::Refused(current) => {
                 let remains = current.as_ref().is_some_and(|current| current.revision == mark);
                 (!remains).then_some(mark)
             }
-            WriteEnd::Lost => None,
+            WriteResult::Unknown => None,
         };
         match until {
             Some(until) => {
@@ -206,27 +218,27 @@
     }
 
     /// Records the result of a write of a wave that also removes the mark of a host.
-    pub(super) fn note_batch_result(&mut self, host: &HostId, result: &WriteEnd, now: Steady) {
+    pub(super) fn note_batch_result(&mut self, host: &HostId, result: &WriteResult, now: Steady) {
         let Some(MarkWrite::Unmarking(mark)) = self.writes.get(host) else {
             return;
         };
         let revision = mark.revision;
         // The condition that failed may not be the one on the mark.
         let result = match result {
-            WriteEnd::Done(at) => WriteEnd::Done(*at),
-            WriteEnd::Refused(_) | WriteEnd::Lost => WriteEnd::Lost,
+            WriteResult::Done(at) => WriteResult::Done(*at),
+            WriteResult::Refused(_) | WriteResult::Unknown => WriteResult::Unknown,
         };
         self.note_unmark_result(host, revision, &result, now);
     }
 }
 
-impl Fleet {
+impl FleetOwner {
     /// Orders the drain mark of a host, unless too many earlier marks are not shown by the view
     /// yet.
     pub(super) fn mark_draining(
         &mut self,
         host: HostId,
-        action: Leave,
+        action: HostAction,
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
@@ -248,7 +260,12 @@
     }
 
     /// Records the result of a write.
-    pub(crate) fn written(&mut self, effect: &FleetEffect, result: &WriteEnd, now: Steady) {
+    pub(crate) fn note_write_result(
+        &mut self,
+        effect: &FleetEffect,
+        result: &WriteResult,
+        now: Steady,
+    ) {
         match effect {
             FleetEffect::Mark(host, action) => {
                 self.marks.note_mark_result(host, action, result, now)
--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -5,7 +5,10 @@
     collections::{BTreeMap, BinaryHeap, HashMap, VecDeque},
 };
 
-use super::{Demand, Fleet, FleetEffect, Incoming, Leave, PoolSummary, Scene, wave::count_of};
+use super::{
+    Demand, FleetEffect, FleetOwner, FleetSnapshot, HostAction, Incoming, PoolSummary,
+    wave::count_of,
+};
 use crate::model::{
     id::{HostId, PoolId},
     unit::Steady,
@@ -32,7 +35,7 @@
 /// that while hosts are joining, and does not predict further arrivals.
 fn max_forecast(demand: &Demand) -> u64 {
     let margin = ARRIVAL_DEVIATIONS / f64::from(demand.arrivals.max(1)).sqrt();
-    (demand.arriving as f64 * (1.0 + margin)) as u64
+    (demand.arriving_cpu as f64 * (1.0 + margin)) as u64
 }
 
 /// The share of the processor time demanded by late work for which a pool wants hosts, in percent.
@@ -76,7 +79,7 @@
 struct HostLoads<'a>(HashMap<&'a HostId, Load>);
 
 impl<'a> HostLoads<'a> {
-    fn new(snapshot: &Scene<'a>) -> HostLoads<'a> {
+    fn new(snapshot: &FleetSnapshot<'a>) -> HostLoads<'a> {
         let busy = snapshot.busy.iter().enumerate().map(|(n, host)| (host, Load::Busy(n)));
         let light = snapshot.light.iter().enumerate().map(|(n, host)| (host, Load::Light(n)));
         let idle = snapshot.idle.iter().map(|host| (host, Load::Idle));
@@ -122,18 +125,18 @@
     }
 }
 
-impl Fleet {
+impl FleetOwner {
     /// Sets the processor time of a host to the median of the list. A single host may have shrunk,
     /// or be of another kind.
     pub(super) fn update_host_cpu(&mut self) {
-        let mut host_cpus: Vec<u32> = self.hosts.values().map(|host| host.room.cpu.0).collect();
+        let mut host_cpus: Vec<u32> = self.hosts.values().map(|host| host.capacity.cpu.0).collect();
         host_cpus.sort_unstable();
         self.host_cpu = host_cpus.get(host_cpus.len() / 2).copied().map_or(0, u64::from);
     }
 
-    pub(super) fn record_demand(&mut self, snapshot: &Scene<'_>, now: Steady) {
+    pub(super) fn record_demand(&mut self, snapshot: &FleetSnapshot<'_>, now: Steady) {
         for (pool, demand) in snapshot.demands {
-            if demand.ends && self.active_pools.insert(pool.clone()) {
+            if demand.finite && self.active_pools.insert(pool.clone()) {
                 self.recent_wanted.remove(pool);
             }
             let recent_cpu = self.recent_cpu.entry(pool.clone()).or_default();
@@ -167,7 +170,7 @@
 
     /// Hosts that a pool should have for a demand, including late work.
     pub(super) fn wanted(&self, pool: &PoolId, demand: &Demand) -> usize {
-        let late_cpu = demand.late * LATE_WORK_PERCENT / 100;
+        let late_cpu = demand.late_cpu * LATE_WORK_PERCENT / 100;
         self.wanted_for(self.forecast(pool, demand) + late_cpu, demand)
     }
 
@@ -198,11 +201,11 @@
     /// Moves hosts between the pools, including the one whose hosts are switched off.
     pub(super) fn resize_pools(
         &mut self,
-        snapshot: &Scene<'_>,
+        snapshot: &FleetSnapshot<'_>,
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
-        let Some(off) = snapshot.config.pools.iter().find(|(_, rules)| rules.off) else {
+        let Some(off) = snapshot.config.pools.iter().find(|(_, rules)| rules.headroom) else {
             return;
         };
         let off = off.0;
@@ -235,10 +238,10 @@
                     () if below_needed => MaxLoad::Busy,
                     () => MaxLoad::Light,
                 };
-                let Some(host) = Fleet::borrow_host(&mut lenders, &shares, max_load) else {
+                let Some(host) = FleetOwner::borrow_host(&mut lenders, &shares, max_load) else {
                     break;
                 };
-                self.mark_draining(host, Leave::Move((*pool).clone()), now, out);
+                self.mark_draining(host, HostAction::Move((*pool).clone()), now, out);
             }
         }
         for pool in &pools {
@@ -252,7 +255,12 @@
             let surplus = pool_hosts.len().saturating_sub(max_wanted.max(shares[*pool]));
             if is_covered && have[*pool] == pool_hosts.len() && self.active_pools.contains(*pool) {
                 for lendable in pool_hosts.iter().take(surplus) {
-                    self.mark_draining(lendable.host.clone(), Leave::Move(off.clone()), now, out);
+                    self.mark_draining(
+                        lendable.host.clone(),
+                        HostAction::Move(off.clone()),
+                        now,
+                        out,
+                    );
                 }
             }
         }
@@ -270,7 +278,7 @@
     /// the hosts of pools that need few.
     pub(super) fn shares(
         &self,
-        snapshot: &Scene<'_>,
+        snapshot: &FleetSnapshot<'_>,
         pools: &[&PoolId],
         total: usize,
     ) -> BTreeMap<PoolId, usize> {
@@ -311,8 +319,8 @@
         let is_recent = |since: Steady| now.since(since) < INCOMING_EXPECTED_MS;
         let incoming = self.incoming.values().filter(|c| is_recent(c.since)).map(|c| &c.pool);
         let marked = self.marks.iter().filter_map(|(host, mark)| match &mark.action {
-            Leave::Move(pool) => self.marks.since(host).is_none_or(is_recent).then_some(pool),
-            Leave::Upkeep(_) => None,
+            HostAction::Move(pool) => self.marks.since(host).is_none_or(is_recent).then_some(pool),
+            HostAction::Upkeep(_) => None,
         });
         let mut expected = BTreeMap::new();
         for pool in incoming.chain(marked) {
@@ -322,7 +330,7 @@
     }
 
     /// The size and demand of each pool, for the log.
-    pub(crate) fn summary(&self, snapshot: &Scene<'_>, now: Steady) -> Vec<PoolSummary> {
+    pub(crate) fn summary(&self, snapshot: &FleetSnapshot<'_>, now: Steady) -> Vec<PoolSummary> {
         let (sizes, available_hosts) = (self.pool_sizes(), self.available_hosts(snapshot));
         let expected = self.expected(now);
         let summary_of = |(pool, demand): (&PoolId, &Demand)| PoolSummary {
@@ -332,7 +340,7 @@
             expected: count_of(&expected, pool),
             wanted: self.wanted(pool, demand),
             cores: demand.cpu / 1000,
-            late_cores: demand.late / 1000,
+            late_cores: demand.late_cpu / 1000,
         };
         snapshot.demands.iter().map(summary_of).collect()
     }
--- a/src/jobs/fleet/wave.rs
+++ b/src/jobs/fleet/wave.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Fleet, FleetEffect, Leave, Scene, WRITE_RETRY_MS, WriteEnd};
+use super::{FleetEffect, FleetOwner, FleetSnapshot, HostAction, WRITE_RETRY_MS, WriteResult};
 use crate::model::{
     id::{HostId, PoolId},
     unit::Steady,
@@ -31,11 +31,11 @@
     done_reported: bool,
 }
 
-impl Fleet {
+impl FleetOwner {
     /// Marks the next hosts of a wave, and reports its beginning and its end.
     pub(super) fn advance_wave(
         &mut self,
-        snapshot: &Scene<'_>,
+        snapshot: &FleetSnapshot<'_>,
         upkeep: &Upkeep,
         now: Steady,
         out: &mut Vec<FleetEffect>,
@@ -55,9 +55,10 @@
             self.write_report(upkeep.wave, true, now, out);
             return;
         }
-        let action = Leave::Upkeep(upkeep.wave);
+        let action = HostAction::Upkeep(upkeep.wave);
         let marked = self.marks.iter().filter(|(_, mark)| mark.action == action);
-        let allowed = (upkeep.at_once as usize + DRAIN_AHEAD_HOSTS).saturating_sub(marked.count());
+        let allowed =
+            (upkeep.max_concurrent as usize + DRAIN_AHEAD_HOSTS).saturating_sub(marked.count());
         if allowed == 0 && begin_reported {
             return;
         }
@@ -66,7 +67,7 @@
         let draining = self.draining_by_pool();
         let sizes = self.pool_sizes();
         let is_off = |entry: &ListedHost| {
-            snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.off)
+            snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.headroom)
         };
         let mut candidates: Vec<&ListedHost> = remaining
             .into_iter()
@@ -95,13 +96,14 @@
             self.write_report(upkeep.wave, false, now, out);
         }
         for host in chosen {
-            self.mark_draining(host, Leave::Upkeep(upkeep.wave), now, out);
+            self.mark_draining(host, HostAction::Upkeep(upkeep.wave), now, out);
         }
     }
 
     /// How many hosts of each pool are marked for upkeep.
     fn draining_by_pool(&self) -> BTreeMap<&PoolId, usize> {
-        let marks = self.marks.iter().filter(|(_, mark)| matches!(mark.action, Leave::Upkeep(_)));
+        let marks =
+            self.marks.iter().filter(|(_, mark)| matches!(mark.action, HostAction::Upkeep(_)));
         count_by_pool(marks.filter_map(|(host, _)| self.hosts.get(host)))
     }
 
@@ -112,14 +114,14 @@
 
     /// How many hosts are or may be away for each wave. Hosts that an earlier owner called recently
     /// count as well: the host list may not show them away yet.
-    pub(super) fn away_by_wave(&self, snapshot: &Scene<'_>) -> BTreeMap<u64, usize> {
+    pub(super) fn away_by_wave(&self, snapshot: &FleetSnapshot<'_>) -> BTreeMap<u64, usize> {
         let mut away = BTreeMap::new();
         for (host, mark) in self.marks.iter() {
-            let Leave::Upkeep(wave) = mark.action else {
+            let HostAction::Upkeep(wave) = mark.action else {
                 continue;
             };
             let listed = self.hosts.get(host).map(|entry| entry.phase);
-            let called = self.may_be_away(host) || snapshot.resting.contains(host);
+            let called = self.may_be_away(host) || snapshot.recently_called.contains(host);
             if called || listed == Some(HostPhase::Upkeep) {
                 *away.entry(wave).or_default() += 1;
             }
@@ -128,7 +130,12 @@
     }
 
     /// Whether a host's upkeep is recorded as done.
-    pub(super) fn is_maintained(&self, snapshot: &Scene<'_>, wave: u64, host: &HostId) -> bool {
+    pub(super) fn is_maintained(
+        &self,
+        snapshot: &FleetSnapshot<'_>,
+        wave: u64,
+        host: &HostId,
+    ) -> bool {
         let shown = snapshot.maintained.get(&wave).is_some_and(|hosts| hosts.contains(host));
         shown || self.waves.get(&wave).is_some_and(|writes| writes.maintained.contains(host))
     }
@@ -170,7 +177,7 @@
         &mut self,
         hosts: &BTreeSet<HostId>,
         wave: u64,
-        result: &WriteEnd,
+        result: &WriteResult,
         now: Steady,
     ) {
         for host in hosts {
@@ -186,7 +193,7 @@
         &mut self,
         wave: u64,
         done: bool,
-        result: &WriteEnd,
+        result: &WriteResult,
         now: Steady,
     ) {
         if self.note_wave_result(wave, result, now) {
@@ -197,10 +204,10 @@
     }
 
     /// Records the result of a write of a wave, and returns whether it was committed.
-    fn note_wave_result(&mut self, wave: u64, result: &WriteEnd, now: Steady) -> bool {
+    fn note_wave_result(&mut self, wave: u64, result: &WriteResult, now: Steady) -> bool {
         let writes = self.waves.entry(wave).or_default();
         writes.in_flight = false;
-        let done = matches!(result, WriteEnd::Done(_));
+        let done = matches!(result, WriteResult::Done(_));
         if !done {
             writes.retry_at = now.after(WRITE_RETRY_MS);
         }
--- a/src/jobs/gone.rs
+++ b/src/jobs/gone.rs
@@ -6,14 +6,14 @@
 use crate::model::{
     id::Incarnation,
     unit::Steady,
-    worker::{HowEnded, Refusal},
+    worker::{Refusal, RunOutcome},
 };
 
 /// Why a run is considered ended, or certain never to begin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Gone {
+pub(crate) enum RunEnd {
     /// The worker listed its end.
-    Ended(HowEnded),
+    Ended(RunOutcome),
     /// The worker refused the start.
     Refused(Refusal),
     /// The start order never left the node.
@@ -25,45 +25,45 @@
     /// The worker is silent, and its lease has expired.
     Lapsed,
     /// The worker has certainly terminated.
-    WorkerOver,
+    WorkerTerminated,
 }
 
-impl Gone {
+impl RunEnd {
     /// The text in log lines and metrics.
     pub(crate) fn word(self) -> &'static str {
         match self {
-            Gone::Ended(how) => how.word(),
-            Gone::Refused(_) => "refused",
-            Gone::Unsent => "unsent",
-            Gone::Stopped => "stopped and not listed",
-            Gone::Unlisted => "not listed",
-            Gone::Lapsed => "lapsed unseen",
-            Gone::WorkerOver => "with its worker",
+            RunEnd::Ended(how) => how.as_str(),
+            RunEnd::Refused(_) => "refused",
+            RunEnd::Unsent => "unsent",
+            RunEnd::Stopped => "stopped and not listed",
+            RunEnd::Unlisted => "not listed",
+            RunEnd::Lapsed => "lapsed unseen",
+            RunEnd::WorkerTerminated => "with its worker",
         }
     }
 }
 
 /// The previous run of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Previous {
+pub(crate) struct PreviousRun {
     pub(crate) worker: Incarnation,
     pub(crate) run: u32,
-    pub(crate) why: Gone,
+    pub(crate) reason: RunEnd,
     /// When it was found to have ended.
     pub(crate) at: Steady,
 }
 
-impl Previous {
+impl PreviousRun {
     /// Its description in a log line.
-    pub(crate) fn told(&self, now: Steady) -> impl fmt::Display {
+    pub(crate) fn describe(&self, now: Steady) -> impl fmt::Display {
         let ago = now.since(self.at);
-        format!("run {} at {}: {}, {ago} ms ago", self.run, self.worker, self.why.word())
+        format!("run {} at {}: {}, {ago} ms ago", self.run, self.worker, self.reason.word())
     }
 }
 
 /// Why a run that a worker lists as present is unexpected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Stray {
+pub(crate) enum UnexpectedRun {
     /// Its task is done.
     Done,
     /// Its task also has a run elsewhere.
@@ -74,14 +74,14 @@
     NoJob,
 }
 
-impl Stray {
+impl UnexpectedRun {
     /// The text in log lines and metrics.
     pub(crate) fn word(self) -> &'static str {
         match self {
-            Stray::Done => "its task is done",
-            Stray::Elsewhere => "its task runs elsewhere",
-            Stray::OtherRun => "another run of its task is there",
-            Stray::NoJob => "its job is over or not known",
+            UnexpectedRun::Done => "its task is done",
+            UnexpectedRun::Elsewhere => "its task runs elsewhere",
+            UnexpectedRun::OtherRun => "another run of its task is there",
+            UnexpectedRun::NoJob => "its job is over or not known",
         }
     }
 }
@@ -92,13 +92,13 @@
     /// Tasks that were started again, by the reason why the previous run ended.
     pub(crate) restarts: BTreeMap<&'static str, u64>,
     /// Unexpected runs that were found, by the reason.
-    pub(crate) strays: BTreeMap<&'static str, u64>,
+    pub(crate) unexpected_runs: BTreeMap<&'static str, u64>,
     /// Workers that crashed while they ran a task, counted once for each task.
     pub(crate) crashes: u64,
     /// Workers that restarted under the same name.
-    pub(crate) started_again: u64,
+    pub(crate) worker_restarts: u64,
     /// Tasks that were given up because they crash their workers.
     pub(crate) given_up: u64,
     /// Polls and stop orders that were sent again because the previous one got no answer.
-    pub(crate) again: u64,
+    pub(crate) resent_orders: u64,
 }
--- a/src/jobs/helpers.rs
+++ b/src/jobs/helpers.rs
@@ -23,18 +23,18 @@
 
 /// The delegates of a pool's owner, and the workers that each of them calls.
 #[derive(Debug, Default)]
-pub(crate) struct Helpers {
+pub(crate) struct Delegates {
     nodes: BTreeMap<String, usize>,
     workers: HashMap<Incarnation, String>,
 }
 
 /// Whether a node with this processor time calls this many workers itself.
-pub(crate) fn is_small(workers: usize, cpu: Millicores) -> bool {
+pub(crate) fn can_call_directly(workers: usize, cpu: Millicores) -> bool {
     workers as u64 * u64::from(WORKER_COST_MILLICORES) * 100
         <= u64::from(cpu.0) * u64::from(OWN_CALLS_PERCENT)
 }
 
-impl Helpers {
+impl Delegates {
     /// Chooses delegates among the candidates and distributes the workers evenly. Workers keep
     /// their delegate where possible, and with it the open connections.
     pub(crate) fn choose(&mut self, pool: &str, candidates: &[String], workers: &[Incarnation]) {
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -7,10 +7,12 @@
 };
 
 use crate::{
-    jobs::{event::StoredJob, gone::Previous},
+    jobs::{event::StoredJob, gone::PreviousRun},
     model::{
         id::Incarnation,
-        job::{JobId, JobRecord, JobState, Progress, Step, StepId, StepNote, TaskId, TaskNote},
+        job::{
+            JobId, JobRecord, JobState, Progress, Step, StepId, StepProgress, TaskId, TaskProgress,
+        },
         unit::{Now, Revision, Steady, Time},
     },
 };
@@ -40,7 +42,7 @@
 
 /// A run of a task that is or may be at a worker.
 #[derive(Debug, Clone)]
-pub(crate) struct Copy {
+pub(crate) struct Run {
     pub(crate) worker: Incarnation,
     pub(crate) run: u32,
     pub(crate) phase: Phase,
@@ -55,19 +57,19 @@
     pub(crate) adopted: Option<Steady>,
     pub(crate) percent: u32,
     /// When the percent last increased.
-    pub(crate) moved: Steady,
+    pub(crate) progressed: Steady,
     pub(crate) gauge: u64,
     /// Whether this is an isolated retry: its task is suspected of crashing its workers, and
     /// nothing else is started beside it.
-    pub(crate) trial: bool,
+    pub(crate) isolated: bool,
     /// The throttle last ordered, in percent of full speed.
-    pub(crate) pace: u32,
+    pub(crate) throttle_percent: u32,
 }
 
-impl Copy {
+impl Run {
     /// A run at a worker of which only the phase is known.
-    pub(crate) fn new(worker: Incarnation, run: u32, phase: Phase, now: Steady) -> Copy {
-        Copy {
+    pub(crate) fn new(worker: Incarnation, run: u32, phase: Phase, now: Steady) -> Run {
+        Run {
             worker,
             run,
             phase,
@@ -76,10 +78,10 @@
             listed: false,
             adopted: None,
             percent: 0,
-            moved: now,
+            progressed: now,
             gauge: 0,
-            trial: false,
-            pace: 100,
+            isolated: false,
+            throttle_percent: 100,
         }
     }
 
@@ -103,34 +105,34 @@
     pub(crate) crashed: BTreeSet<Incarnation>,
     /// Unconfirmed crashes: workers that were lost with a run of it, where the run may not have
     /// begun or the worker may be alive.
-    pub(crate) doubted: BTreeSet<Incarnation>,
+    pub(crate) unconfirmed_crashes: BTreeSet<Incarnation>,
     /// The job's version that contains the last change of both sets.
     pub(crate) crash_version: u64,
     /// Whether its next run is an isolated retry.
     pub(crate) suspect: bool,
     /// The worker of the isolated retry. It counts as an unconfirmed crash until the retry has run
     /// for long enough.
-    pub(crate) trial_at: Option<Incarnation>,
+    pub(crate) isolated_worker: Option<Incarnation>,
     /// The newest checkpoint; empty for none.
-    pub(crate) saved: String,
+    pub(crate) checkpoint: String,
     /// Its current runs: at most one, except for speculative steps.
-    pub(crate) copies: Vec<Copy>,
+    pub(crate) runs: Vec<Run>,
     /// The previous run.
-    pub(crate) previous: Option<Box<Previous>>,
+    pub(crate) previous: Option<Box<PreviousRun>>,
     /// The earliest time of its next start.
     pub(crate) not_before: Steady,
     /// Whether it was started by this owner, or runs at a worker that has seen this owner's token:
     /// then no worker that has not seen the token can run it. The listed end of a run does not show
     /// this: the previous owner may have received the same end and have started the next run.
-    pub(crate) accounted: bool,
+    pub(crate) location_known: bool,
     /// The run that was taken over from an earlier owner. Workers that have not been polled yet may
     /// list failures of runs before it.
-    pub(crate) inherited: Option<u32>,
+    pub(crate) adopted_run: Option<u32>,
 }
 
 impl Task {
     pub(crate) fn is_waiting(&self) -> bool {
-        !self.done && self.copies.is_empty()
+        !self.done && self.runs.is_empty()
     }
 
     /// Whether so many workers were lost with its runs that it is not started again, even if other
@@ -143,7 +145,7 @@
     /// The number of runs before the one that was taken over that may have failed without this
     /// owner having received the end.
     fn unreported_runs(&self) -> usize {
-        match self.inherited {
+        match self.adopted_run {
             // Run numbers of different owners have gaps between them.
             Some(run) if RUNS_PER_OWNER <= run => usize::MAX,
             Some(run) => {
@@ -155,14 +157,14 @@
     }
 
     /// Whether an isolated retry of it runs, or is to run, at a worker.
-    pub(crate) fn is_on_trial_at(&self, id: &Incarnation) -> bool {
-        let has_begun = self.copies.iter().any(|run| run.trial && run.worker == *id);
-        has_begun || self.trial_at.as_ref() == Some(id)
+    pub(crate) fn is_isolated_at(&self, id: &Incarnation) -> bool {
+        let has_begun = self.runs.iter().any(|run| run.isolated && run.worker == *id);
+        has_begun || self.isolated_worker.as_ref() == Some(id)
     }
 
     /// The number of workers that were lost with a run of it, whether or not they crashed.
     pub(crate) fn lost_workers(&self) -> usize {
-        self.crashed.len() + self.doubted.len()
+        self.crashed.len() + self.unconfirmed_crashes.len()
     }
 }
 
@@ -175,13 +177,13 @@
     /// Workers that may run the step, with a ticket and its expiry.
     pub(crate) tickets: BTreeMap<Incarnation, (String, Steady)>,
     /// Workers covered by the advice received; those without a ticket may not run the step.
-    pub(crate) judged: BTreeSet<Incarnation>,
+    pub(crate) advised: BTreeSet<Incarnation>,
     /// Whether a request for advice is in flight.
-    pub(crate) asking: bool,
+    pub(crate) advice_pending: bool,
     /// Since when some of its tasks have found no worker.
-    pub(crate) starved: Option<Steady>,
+    pub(crate) unplaced_since: Option<Steady>,
     /// The earliest time of the next request for advice.
-    pub(crate) ask_after: Steady,
+    pub(crate) next_advice: Steady,
 }
 
 /// How a job ended, for the metrics.
@@ -205,20 +207,20 @@
     /// The number of tasks that are not done.
     pub(crate) left: u32,
     /// When it was last logged that tasks wait for a worker.
-    pub(crate) told_waiting: Steady,
+    pub(crate) wait_logged: Steady,
     /// How often that was logged.
-    pub(crate) times_told: u32,
+    pub(crate) wait_logs: u32,
     /// The number of changes to be persisted.
     pub(crate) version: u64,
     /// The highest version that is durable.
-    pub(crate) durable: u64,
+    pub(crate) durable_version: u64,
     /// The revision of the stored progress; 0 if there is none.
-    pub(crate) saved_at: Revision,
+    pub(crate) progress_revision: Revision,
 }
 
 impl Job {
     pub(crate) fn new(stored: StoredJob, first_run: u32) -> Job {
-        let StoredJob { id, record, progress, saved_at, cancelled, .. } = stored;
+        let StoredJob { id, record, progress, progress_revision: saved_at, cancelled, .. } = stored;
         let mut job = Job {
             id,
             state: JobState::Queued,
@@ -226,14 +228,14 @@
             cancelled,
             steps: BTreeMap::new(),
             left: 0,
-            told_waiting: Steady::default(),
-            times_told: 0,
+            wait_logged: Steady::default(),
+            wait_logs: 0,
             version: 0,
-            durable: 0,
-            saved_at,
+            durable_version: 0,
+            progress_revision: saved_at,
             record,
         };
-        for time in 0..job.record.times() {
+        for time in 0..job.record.occurrences() {
             for (number, step) in job.record.steps.iter().enumerate() {
                 let task = Task { run: first_run, ..Task::default() };
                 let tasks = vec![task; step.count as usize];
@@ -263,9 +265,9 @@
                 if let Some(task) = step.tasks.get_mut(*index as usize) {
                     task.run = task.run.max(note.run);
                     task.failed = note.failed.clone();
-                    task.saved = note.saved.clone();
+                    task.checkpoint = note.checkpoint.clone();
                     task.crashed = note.crashed.clone();
-                    task.doubted = note.doubted.clone();
+                    task.unconfirmed_crashes = note.unconfirmed_crashes.clone();
                     task.suspect = task.lost_workers() != 0;
                 }
             }
@@ -288,7 +290,7 @@
         }
         for ((time, number), step) in &self.steps {
             let note = step_note(step, self.step(*number));
-            if note != StepNote::default() {
+            if note != StepProgress::default() {
                 progress.steps.insert(format!("{time}.{number}"), note);
             }
         }
@@ -300,11 +302,11 @@
     }
 
     pub(crate) fn task(&self, of: StepId, index: u32) -> Option<&Task> {
-        self.steps.get(&(of.time, of.step))?.tasks.get(index as usize)
+        self.steps.get(&(of.occurrence, of.step))?.tasks.get(index as usize)
     }
 
     pub(crate) fn task_mut(&mut self, of: StepId, index: u32) -> Option<&mut Task> {
-        self.steps.get_mut(&(of.time, of.step))?.tasks.get_mut(index as usize)
+        self.steps.get_mut(&(of.occurrence, of.step))?.tasks.get_mut(index as usize)
     }
 
     /// Whether its tasks may be started.
@@ -321,7 +323,7 @@
     }
 
     /// Records a change to be persisted; returns the new version.
-    pub(crate) fn change(&mut self) -> u64 {
+    pub(crate) fn bump_version(&mut self) -> u64 {
         self.version += 1;
         self.version
     }
@@ -338,9 +340,9 @@
     }
 
     /// The tasks under which workers were lost.
-    pub(crate) fn marked_tasks(&self) -> Vec<TaskId> {
+    pub(crate) fn tasks_with_losses(&self) -> Vec<TaskId> {
         let steps = self.steps.iter().flat_map(|((time, step), tasks)| {
-            let of = StepId { job: self.id, time: *time, step: *step };
+            let of = StepId { job: self.id, occurrence: *time, step: *step };
             let indexed = tasks.tasks.iter().enumerate();
             let with_losses = indexed.filter(|(_, task)| task.lost_workers() != 0);
             with_losses.map(move |(index, _)| TaskId { of, index: index as u32 })
@@ -351,8 +353,8 @@
     /// Whether the workers lost with a task's runs allow another start. From the second one on, the
     /// losses must be durable first, so that the next owner of the pool knows them.
     pub(crate) fn may_start(&self, task: &Task) -> bool {
-        let is_durable = task.lost_workers() < 2 || task.crash_version <= self.durable;
-        is_durable && (!task.is_lost_too_often() || task.trial_at.is_some())
+        let is_durable = task.lost_workers() < 2 || task.crash_version <= self.durable_version;
+        is_durable && (!task.is_lost_too_often() || task.isolated_worker.is_some())
     }
 
     /// Whether a task may have used up its attempts, if failures are included that workers which
@@ -365,17 +367,17 @@
             return false;
         };
         let failed = counts.failed.len().saturating_add(task.unreported_runs());
-        !step.lasting && self.record.attempts as usize <= failed
+        !step.long_running && self.record.max_attempts as usize <= failed
     }
 
     /// Whether it has changes that are not durable.
     pub(crate) fn is_dirty(&self) -> bool {
-        self.durable < self.version
+        self.durable_version < self.version
     }
 
     /// Marks a task as done; returns whether it was not done before.
     pub(crate) fn mark_done(&mut self, of: StepId, index: u32) -> bool {
-        let Some(step) = self.steps.get_mut(&(of.time, of.step)) else {
+        let Some(step) = self.steps.get_mut(&(of.occurrence, of.step)) else {
             return false;
         };
         let Some(task) = step.tasks.get_mut(index as usize) else {
@@ -396,7 +398,7 @@
         let was_queued = self.state == JobState::Queued && self.is_open();
         if was_queued {
             self.state = JobState::Running;
-            self.change();
+            self.bump_version();
         }
         was_queued
     }
@@ -404,32 +406,33 @@
     /// Whether a run of one of its tasks has or may have begun.
     pub(crate) fn may_have_begun(&self) -> bool {
         let mut tasks = self.steps.values().flat_map(|step| &step.tasks);
-        self.state == JobState::Running || tasks.any(|task| !task.copies.is_empty())
+        self.state == JobState::Running || tasks.any(|task| !task.runs.is_empty())
     }
 
     pub(crate) fn end(&mut self, state: JobState, now: Now) {
         self.state = state;
         self.ended = now.wall;
-        self.change();
+        self.bump_version();
     }
 }
 
-fn step_note(tasks: &StepTasks, step: &Step) -> StepNote {
-    let mut note = StepNote::default();
+fn step_note(tasks: &StepTasks, step: &Step) -> StepProgress {
+    let mut note = StepProgress::default();
     for (index, task) in tasks.tasks.iter().enumerate() {
         if task.done {
             note.done.push(index as u32);
             continue;
         }
         // Failures and checkpoints of lasting tasks are not persisted.
-        let has_results = !step.lasting && (!task.failed.is_empty() || !task.saved.is_empty());
+        let has_results =
+            !step.long_running && (!task.failed.is_empty() || !task.checkpoint.is_empty());
         if has_results || task.lost_workers() != 0 {
-            let persisted = TaskNote {
+            let persisted = TaskProgress {
                 run: task.run,
                 failed: task.failed.clone(),
-                saved: task.saved.clone(),
+                checkpoint: task.checkpoint.clone(),
                 crashed: task.crashed.clone(),
-                doubted: task.doubted.clone(),
+                unconfirmed_crashes: task.unconfirmed_crashes.clone(),
             };
             note.tasks.insert(index as u32, persisted);
         }
--- a/src/jobs/losses.rs
+++ b/src/jobs/losses.rs
@@ -19,19 +19,19 @@
 
 /// Recent orders that got no answer although the worker had answered the previous one.
 #[derive(Debug, Default)]
-pub(crate) struct Losses {
+pub(crate) struct MessageLoss {
     recent: VecDeque<Steady>,
     high: bool,
 }
 
-impl Losses {
+impl MessageLoss {
     /// Records an order that got no answer.
-    pub(crate) fn note(&mut self, now: Steady) {
+    pub(crate) fn record(&mut self, now: Steady) {
         self.recent.push_back(now);
     }
 
     /// Whether many orders were lost recently in a pool of `workers` workers.
-    pub(crate) fn are_many(&mut self, workers: usize, now: Steady) -> bool {
+    pub(crate) fn is_high(&mut self, workers: usize, now: Steady) -> bool {
         while self.recent.front().is_some_and(|at| LOSS_WINDOW_MS < now.since(*at)) {
             self.recent.pop_front();
         }
--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -16,18 +16,20 @@
 
 use crate::{
     jobs::{
-        event::{Effect, Event, Save, StoredJob},
-        gone::{Counts, Gone, Previous},
+        event::{Effect, Event, ProgressWrite, StoredJob},
+        gone::{Counts, PreviousRun, RunEnd},
         job::{Job, JobEnd, Phase, RUNS_PER_OWNER},
-        losses::Losses,
+        losses::MessageLoss,
         roster::{Holding, Roster},
         saves::SaveQueue,
         urgency::Durations,
-        worker::{Guard, HOLD_MS, LATE_MS, Lost, SLOWEST_PERCENT, Worker},
+        worker::{
+            EXPIRY_DELAY_MS, LostRun, RestartFence, SLOWEST_CLOCK_PERCENT, WORKER_LEASE_MS, Worker,
+        },
     },
     model::{
         id::{HostId, Incarnation, WorkerId},
-        job::{JobId, Room, TaskId},
+        job::{JobId, TaskId, TaskResources},
         unit::{Now, Revision, Steady},
         worker::WorkerReport,
     },
@@ -35,7 +37,7 @@
 
 #[cfg(test)]
 pub(crate) use roster::UNCONFIRMED_ADDED;
-pub(crate) use shown::{Emptied, HostUsage};
+pub(crate) use shown::{DrainedHost, HostUsage};
 
 /// Duration of a node's lease, in milliseconds: a node that does not renew it keeps what it owns
 /// for this long. Three renewals fit.
@@ -45,16 +47,19 @@
 /// expired, in milliseconds. Most often the store is unreachable for every node, so that no other
 /// node can own the pool. If there is another owner, workers that have seen its token refuse this
 /// one's orders.
-pub(crate) const OVERTIME_MS: u64 = 3_000;
+pub(crate) const GRACE_PERIOD_MS: u64 = 3_000;
 
 /// How long a previous owner may keep giving orders after it has lost the ownership, in
 /// milliseconds: it may not know of the loss.
-const PREDECESSOR_MS: u64 = LEASE_MS + OVERTIME_MS;
+const PREDECESSOR_MS: u64 = LEASE_MS + GRACE_PERIOD_MS;
 
 /// How long after a change of owners a worker that the new owner has not reached may still run
 /// something, in milliseconds: the last order of the previous owner, the worker lease on the slowest
 /// clock, and a worker that acts late on its expiry.
-const FENCE_MS: u64 = PREDECESSOR_MS + HOLD_MS * 100 / SLOWEST_PERCENT + CLOCK_DRIFT_MS + LATE_MS;
+const FENCE_MS: u64 = PREDECESSOR_MS
+    + WORKER_LEASE_MS * 100 / SLOWEST_CLOCK_PERCENT
+    + CLOCK_DRIFT_MS
+    + EXPIRY_DELAY_MS;
 
 /// How far the previous owner may have overestimated a worker's clock, in milliseconds: 2 % of the
 /// 1.25 s for which a worker without an answer still gets work, doubled.
@@ -98,11 +103,11 @@
     /// Workers whose capacity the current plan reserves for long-running tasks that wait.
     reserved: BTreeSet<Incarnation>,
     /// Resources that no worker has free, in the current plan: nothing that needs as much is tried.
-    unplaceable: Vec<Room>,
+    unplaceable: Vec<TaskResources>,
     /// Whether some job had background tasks: most pools never do, and need no throttling.
     has_background: bool,
     durations: Durations,
-    message_loss: Losses,
+    message_loss: MessageLoss,
     save_queue: SaveQueue,
     /// Jobs whose end is durable: of their records in the store only the end is of use.
     finished: BTreeSet<JobId>,
@@ -112,7 +117,7 @@
     unblocking_logged: bool,
     /// Workers that are silent and not listed, by host, with the runs lost there. Each may be alive
     /// until another worker answers on its host.
-    vanished: BTreeMap<HostId, (Incarnation, Vec<Lost>)>,
+    vanished: BTreeMap<HostId, (Incarnation, Vec<LostRun>)>,
     /// Tasks that have crashed too many workers, to be given up.
     crashing: Vec<TaskId>,
     /// Tasks whose runs were lost together with their workers.
@@ -144,7 +149,7 @@
             unplaceable: Vec::new(),
             has_background: false,
             durations: Durations::default(),
-            message_loss: Losses::default(),
+            message_loss: MessageLoss::default(),
             save_queue: SaveQueue::default(),
             finished: BTreeSet::new(),
             deposed: false,
@@ -177,8 +182,8 @@
     /// jobs.
     pub(crate) fn awaits_confirmation(&self, now: Steady) -> bool {
         let has_expired = |worker: &Worker| {
-            let is_pending = worker.misses != 0 && !worker.has_lapsed(self.confirmed);
-            is_pending && worker.has_lapsed(now) && !worker.copies.is_empty()
+            let is_pending = worker.missed_polls != 0 && !worker.has_lapsed(self.confirmed);
+            is_pending && worker.has_lapsed(now) && !worker.runs.is_empty()
         };
         let fence_pending = self.confirmed < self.fenced_until && self.fenced_until <= now;
         fence_pending && !self.unblocking_logged || self.workers.values().any(has_expired)
@@ -192,18 +197,18 @@
                 self.ended.remove(&id);
                 self.forget_ends(id);
             }
-            Event::Over(id) => self.forget_ends(id),
+            Event::JobOver(id) => self.forget_ends(id),
             Event::Cancelled(id) => self.cancel_job(id, now.steady, out),
             Event::Worker(report) => self.note_listed(report, now.steady),
-            Event::Elsewhere(report) => {
+            Event::OtherPool(report) => {
                 // No incarnation changes its pool.
                 if let Some(worker) = self.workers.get_mut(&report.id) {
-                    worker.bar(now.steady);
+                    worker.block(now.steady);
                 }
                 self.unlist_others(&report.id, now.steady);
                 self.poll_conflicting(&report, now.steady);
             }
-            Event::Barred(id) => self.incarnations(&id).for_each(|one| one.bar(now.steady)),
+            Event::InvalidEntry(id) => self.incarnations(&id).for_each(|one| one.block(now.steady)),
             Event::Unlisted(id) => self.incarnations(&id).for_each(|one| one.unlist(now.steady)),
             Event::Started { worker, task, run, end } => {
                 self.note_start_result(&worker, task, run, end, now.steady);
@@ -211,10 +216,10 @@
             Event::Stopped { worker, task, run, end } => {
                 self.note_stop_result(&worker, task, run, end, now.steady);
             }
-            Event::Looked { worker, sent, end } => {
+            Event::Polled { worker, sent, end } => {
                 self.note_poll_result(&worker, sent, end, now, out)
             }
-            Event::Paced { worker, task, percent, end } => {
+            Event::Throttled { worker, task, percent, end } => {
                 self.note_throttle_result(&worker, task, percent, &end);
             }
             Event::Advised { step, asked, sent, end } => {
@@ -224,7 +229,7 @@
     }
 
     /// Does what time and earlier events require: polls, stops and starts.
-    pub(crate) fn work(&mut self, now: Now, out: &mut Vec<Effect>) {
+    pub(crate) fn tick(&mut self, now: Now, out: &mut Vec<Effect>) {
         self.remove_expired_runs(now.steady);
         self.give_up_crashing(now, out);
         self.send_polls(now.steady, out);
@@ -233,12 +238,12 @@
     }
 
     /// Sets the hosts to be drained.
-    pub(crate) fn set_emptying(&mut self, hosts: BTreeMap<HostId, Revision>) {
+    pub(crate) fn set_draining(&mut self, hosts: BTreeMap<HostId, Revision>) {
         self.draining = hosts;
     }
 
     /// Sets the drain mark of a host, by its revision, or removes it.
-    pub(crate) fn set_mark(&mut self, host: &HostId, mark: Option<Revision>) {
+    pub(crate) fn set_drain_mark(&mut self, host: &HostId, mark: Option<Revision>) {
         match mark {
             Some(mark) => self.draining.insert(host.clone(), mark),
             None => self.draining.remove(host),
@@ -246,35 +251,44 @@
     }
 
     /// The number of jobs whose progress waits to be written.
-    pub(crate) fn unsaved(&self) -> usize {
+    pub(crate) fn unsaved_count(&self) -> usize {
         self.save_queue.len()
     }
 
     /// Takes the progress to be written, of at most `limit` jobs. The caller reports the result of
     /// the writes: until then, none of these jobs is returned again.
-    pub(crate) fn saves(&mut self, limit: usize) -> Vec<Save> {
+    pub(crate) fn take_saves(&mut self, limit: usize) -> Vec<ProgressWrite> {
         let jobs = self.save_queue.take(limit);
         jobs.into_iter().filter_map(|id| self.save_of(id)).collect()
     }
 
-    fn save_of(&mut self, id: JobId) -> Option<Save> {
+    fn save_of(&mut self, id: JobId) -> Option<ProgressWrite> {
         let Some(job) = self.jobs.get(&id).filter(|job| job.is_dirty()) else {
-            self.save_queue.settle(id);
+            self.save_queue.finish(id);
             return None;
         };
         let value = serde_json::to_vec(&job.progress())
             .inspect_err(|error| log::error!("job {id}: progress cannot be serialized: {error}"))
             .ok()?;
-        Some(Save { job: id, value: value.into(), expects: job.saved_at, version: job.version })
+        Some(ProgressWrite {
+            job: id,
+            value: value.into(),
+            expected_revision: job.progress_revision,
+            version: job.version,
+        })
     }
 
     /// Records that progress is durable at a revision; returns the ends of jobs that it contains.
-    pub(crate) fn saved(&mut self, saves: &[Save], revision: Revision) -> Vec<JobEnd> {
+    pub(crate) fn note_saved(
+        &mut self,
+        saves: &[ProgressWrite],
+        revision: Revision,
+    ) -> Vec<JobEnd> {
         let mut ends = Vec::new();
         for save in saves {
             if let Some(job) = self.jobs.get_mut(&save.job) {
-                job.durable = job.durable.max(save.version);
-                job.saved_at = revision;
+                job.durable_version = job.durable_version.max(save.version);
+                job.progress_revision = revision;
                 if !job.is_dirty() {
                     ends.extend(job.how_ended());
                 }
@@ -289,14 +303,14 @@
     }
 
     /// Records that progress was not written, or not for certain.
-    pub(crate) fn not_saved(&mut self, saves: &[Save]) {
+    pub(crate) fn note_save_failed(&mut self, saves: &[ProgressWrite]) {
         self.requeue_unsaved(saves);
     }
 
     /// Queues those again whose durable state is out of date.
-    fn requeue_unsaved(&mut self, saves: &[Save]) {
+    fn requeue_unsaved(&mut self, saves: &[ProgressWrite]) {
         for save in saves {
-            self.save_queue.settle(save.job);
+            self.save_queue.finish(save.job);
             if let Some(job) = self.jobs.get(&save.job).filter(|job| job.is_dirty()) {
                 self.save_queue.add(save.job, job.state.is_final());
             }
@@ -307,7 +321,7 @@
     /// earlier write without an answer did take effect.
     pub(crate) fn rebase(&mut self, job: JobId, revision: Revision) {
         if let Some(job) = self.jobs.get_mut(&job) {
-            job.saved_at = revision;
+            job.progress_revision = revision;
         }
     }
 
@@ -317,7 +331,7 @@
             let durable = job.state.is_final() && !job.is_dirty();
             let is_over = durable || job.cancelled;
             let mut tasks = job.steps.values().flat_map(|step| &step.tasks);
-            let kept = !is_over || tasks.any(|task| !task.copies.is_empty());
+            let kept = !is_over || tasks.any(|task| !task.runs.is_empty());
             if !kept {
                 ended.insert(*id);
                 if durable {
@@ -338,7 +352,7 @@
     }
 
     /// Records that the records of some jobs may still be there.
-    pub(crate) fn not_removed(&mut self, jobs: Vec<JobId>) {
+    pub(crate) fn note_removal_failed(&mut self, jobs: Vec<JobId>) {
         self.finished.extend(jobs);
     }
 
@@ -362,10 +376,10 @@
         let mut job = Job::new(stored, first_run);
         if !earlier {
             let tasks = job.steps.values_mut().flat_map(|step| &mut step.tasks);
-            tasks.for_each(|task| task.accounted = true);
+            tasks.for_each(|task| task.location_known = true);
         }
-        self.has_background |= job.record.steps.iter().any(|step| step.fills);
-        self.crash_suspects.extend(job.marked_tasks());
+        self.has_background |= job.record.steps.iter().any(|step| step.background);
+        self.crash_suspects.extend(job.tasks_with_losses());
         self.jobs.insert(id, job);
     }
 
@@ -386,9 +400,9 @@
         let mut runs = Vec::new();
         for ((time, step), tasks) in &job.steps {
             for (index, task) in tasks.tasks.iter().enumerate() {
-                let of = crate::model::job::StepId { job: id, time: *time, step: *step };
+                let of = crate::model::job::StepId { job: id, occurrence: *time, step: *step };
                 let task_id = TaskId { of, index: index as u32 };
-                runs.extend(task.copies.iter().map(|task_run| (task_id, task_run.worker.clone())));
+                runs.extend(task.runs.iter().map(|task_run| (task_id, task_run.worker.clone())));
             }
         }
         for (task, worker) in runs {
@@ -422,10 +436,10 @@
         }
     }
 
-    fn run_mut(&mut self, task: TaskId, at: &Incarnation) -> Option<&mut crate::jobs::job::Copy> {
+    fn run_mut(&mut self, task: TaskId, at: &Incarnation) -> Option<&mut crate::jobs::job::Run> {
         let job = self.jobs.get_mut(&task.of.job)?;
         let task = job.task_mut(task.of, task.index)?;
-        task.copies.iter_mut().find(|task_run| task_run.worker == *at)
+        task.runs.iter_mut().find(|task_run| task_run.worker == *at)
     }
 
     /// Removes a run that certainly does not run any more.
@@ -433,22 +447,24 @@
         &mut self,
         task: TaskId,
         at: &Incarnation,
-        why: Gone,
+        why: RunEnd,
         now: Steady,
-    ) -> Option<crate::jobs::job::Copy> {
+    ) -> Option<crate::jobs::job::Run> {
         let job = self.jobs.get_mut(&task.of.job)?;
         let charge = job.step(task.of.step).charge();
         let entry = job.task_mut(task.of, task.index)?;
-        let place = entry.copies.iter().position(|task_run| task_run.worker == *at)?;
-        let task_run = entry.copies.remove(place);
-        if !matches!(why, Gone::Lapsed | Gone::WorkerOver) && entry.trial_at.is_some() {
+        let place = entry.runs.iter().position(|task_run| task_run.worker == *at)?;
+        let task_run = entry.runs.remove(place);
+        if !matches!(why, RunEnd::Lapsed | RunEnd::WorkerTerminated)
+            && entry.isolated_worker.is_some()
+        {
             self.withdraw_isolated_retry(task);
         }
         let entry = self.task_mut(task)?;
-        let previous = Previous { worker: at.clone(), run: task_run.run, why, at: now };
+        let previous = PreviousRun { worker: at.clone(), run: task_run.run, reason: why, at: now };
         entry.previous = Some(Box::new(previous));
         if let Some(worker) = self.workers.get_mut(at) {
-            worker.vacate(task, &charge);
+            worker.release(task, &charge);
         }
         Some(task_run)
     }
@@ -468,8 +484,8 @@
         if let Some(fence) = self.former_fences.get(&worker.report.id.worker)
             && !worker.rostered
         {
-            worker.raise_fence(*fence);
-            worker.guard = Guard::Wanted;
+            worker.advance_fencing_token(*fence);
+            worker.restart_fence = RestartFence::Needed;
         }
         self.workers.insert(worker.report.id.clone(), worker);
     }
@@ -479,7 +495,7 @@
     fn poll_conflicting(&mut self, claim: &WorkerReport, now: Steady) {
         for worker in self.workers.values_mut() {
             if shares_place(&worker.report, claim) {
-                worker.next_look = now;
+                worker.next_poll = now;
             }
         }
     }
@@ -494,7 +510,7 @@
         let host = report.host.clone();
         let is_over = |worker: &&Worker| {
             let other = &worker.report;
-            worker.heard && other.address == report.address && other.id.worker != by.worker
+            worker.has_answered && other.address == report.address && other.id.worker != by.worker
         };
         let others = self.workers.values().filter(is_over);
         let others: Vec<Incarnation> = others.map(|w| w.report.id.clone()).collect();
@@ -514,9 +530,9 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        log::info!("worker {id}: ended: {why}; {} runs lost with it", worker.copies.len());
-        for Lost { task, .. } in self.note_worker_loss(id, now) {
-            self.remove_run(task, id, Gone::WorkerOver, now);
+        log::info!("worker {id}: ended: {why}; {} runs lost with it", worker.runs.len());
+        for LostRun { task, .. } in self.note_worker_loss(id, now) {
+            self.remove_run(task, id, RunEnd::WorkerTerminated, now);
         }
         self.remove_crashed_worker(id, now);
         self.ended_workers.insert(id.clone());
@@ -536,7 +552,7 @@
 /// Allows the ends to be acknowledged whose count is durable.
 fn acknowledge(worker: &mut Worker, jobs: &BTreeMap<JobId, Job>) {
     while let Some(end) = worker.unacknowledged.front() {
-        let durable = |version| jobs.get(&end.job).is_none_or(|job| version <= job.durable);
+        let durable = |version| jobs.get(&end.job).is_none_or(|job| version <= job.durable_version);
         if !end.version.is_some_and(durable) {
             return;
         }
--- a/src/jobs/owner/advise.rs
+++ b/src/jobs/owner/advise.rs
@@ -8,7 +8,7 @@
     model::{
         id::{Incarnation, WorkerId},
         job::StepId,
-        order::{Advised, MOST_NAMED},
+        order::{AdviceResult, MAX_NAMED_WORKERS},
         unit::Steady,
     },
 };
@@ -29,10 +29,10 @@
         let Some(advice) = job.record.advice else {
             return;
         };
-        let Some(tasks) = job.steps.get(&(of.time, of.step)) else {
+        let Some(tasks) = job.steps.get(&(of.occurrence, of.step)) else {
             return;
         };
-        if tasks.asking || now < tasks.ask_after {
+        if tasks.advice_pending || now < tasks.next_advice {
             return;
         }
         let scene = self.scene(now);
@@ -46,13 +46,13 @@
         };
         let useful = self.workers.values().filter(|worker| {
             let id = &worker.report.id;
-            let is_rejected = tasks.judged.contains(id) && !tasks.tickets.contains_key(id);
-            let has_room = worker.report.room.fits(&worker.used, &charge);
+            let is_rejected = tasks.advised.contains(id) && !tasks.tickets.contains_key(id);
+            let has_room = worker.report.capacity.fits(&worker.used, &charge);
             scene.is_eligible(worker, step) && has_room && !is_rejected && !holds(id)
         });
         let workers: Vec<Incarnation> = useful
             .map(|worker| worker.report.id.clone())
-            .take(WORKERS_PER_REQUEST.min(MOST_NAMED))
+            .take(WORKERS_PER_REQUEST.min(MAX_NAMED_WORKERS))
             .collect();
         if workers.is_empty() {
             return;
@@ -61,9 +61,9 @@
         let needs = Duration::from_millis(needs);
         out.push(Effect::Advise { step: of, workers, needs });
         if let Some(tasks) =
-            self.jobs.get_mut(&of.job).and_then(|job| job.steps.get_mut(&(of.time, of.step)))
+            self.jobs.get_mut(&of.job).and_then(|job| job.steps.get_mut(&(of.occurrence, of.step)))
         {
-            tasks.asking = true;
+            tasks.advice_pending = true;
         }
     }
 
@@ -73,19 +73,19 @@
         of: StepId,
         asked: Vec<Incarnation>,
         sent: Steady,
-        end: Advised,
+        end: AdviceResult,
         now: Steady,
     ) {
         let Some(job) = self.jobs.get_mut(&of.job) else {
             return;
         };
         let valid_ms = job.record.advice.map(|advice| advice.valid_ms).unwrap_or_default();
-        let Some(tasks) = job.steps.get_mut(&(of.time, of.step)) else {
+        let Some(tasks) = job.steps.get_mut(&(of.occurrence, of.step)) else {
             return;
         };
-        tasks.asking = false;
+        tasks.advice_pending = false;
         match end {
-            Advised::Good(rows) => {
+            AdviceResult::Granted(rows) => {
                 log::debug!(
                     "job {}: step {of}: tickets for {} of {} workers",
                     of.job,
@@ -98,10 +98,12 @@
                         let ticket = (ticket.clone(), sent.after(valid_ms));
                         tasks.tickets.insert(id.clone(), ticket);
                     }
-                    tasks.judged.insert(id);
+                    tasks.advised.insert(id);
                 }
             }
-            Advised::Busy | Advised::Failed => tasks.ask_after = now.after(TICKET_RETRY_MS),
+            AdviceResult::Busy | AdviceResult::Failed => {
+                tasks.next_advice = now.after(TICKET_RETRY_MS)
+            }
         }
     }
 }
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -3,15 +3,15 @@
 use super::{Owner, UNSENT_RETRY_MS};
 use crate::{
     jobs::{
-        gone::Gone,
+        gone::RunEnd,
         job::{Phase, RUNS_PER_OWNER},
-        worker::Guard,
+        worker::RestartFence,
     },
     model::{
         id::Incarnation,
         job::TaskId,
         unit::Steady,
-        worker::{OrderEnd, Refusal},
+        worker::{OrderResult, Refusal},
     },
 };
 
@@ -25,24 +25,24 @@
         at: &Incarnation,
         task: TaskId,
         run: u32,
-        end: OrderEnd<u64>,
+        end: OrderResult<u64>,
         now: Steady,
     ) {
         if let Some(worker) = self.workers.get_mut(at)
-            && let OrderEnd::Done(clock_ms) | OrderEnd::Refused { clock_ms: Some(clock_ms), .. } =
-                end
+            && let OrderResult::Done(clock_ms)
+            | OrderResult::Refused { clock_ms: Some(clock_ms), .. } = end
         {
-            worker.read_clock_of_order(clock_ms, now);
+            worker.read_order_clock(clock_ms, now);
         }
         // Even if the run is no longer tracked: it did begin.
-        if matches!(end, OrderEnd::Done(_)) {
+        if matches!(end, OrderResult::Done(_)) {
             self.note_begun(task.of.job);
         }
         let Some(task_run) = self.run_mut(task, at).filter(|task_run| task_run.run == run) else {
             return;
         };
         match end {
-            OrderEnd::Done(_) => {
+            OrderResult::Done(_) => {
                 if matches!(task_run.phase, Phase::Starting | Phase::Unknown) {
                     task_run.phase = Phase::Running;
                     task_run.since = now;
@@ -52,21 +52,21 @@
                     }
                 }
             }
-            OrderEnd::Unknown => {
+            OrderResult::Unknown => {
                 log::info!("job {}: task {task} run {run} at {at}: no answer", task.of.job);
                 if task_run.phase == Phase::Starting {
                     task_run.phase = Phase::Unknown;
                     task_run.since = now;
                 }
-                self.message_loss.note(now);
+                self.message_loss.record(now);
                 if let Some(worker) = self.workers.get_mut(at) {
-                    worker.next_look = now;
-                    worker.hurried = true;
+                    worker.next_poll = now;
+                    worker.urgent_poll = true;
                 }
             }
-            OrderEnd::Refused { why, .. } => self.start_refused(at, task, why, now),
-            OrderEnd::Unsent => {
-                self.remove_run(task, at, Gone::Unsent, now);
+            OrderResult::Refused { why, .. } => self.start_refused(at, task, why, now),
+            OrderResult::Unsent => {
+                self.remove_run(task, at, RunEnd::Unsent, now);
                 if let Some(entry) = self.task_mut(task) {
                     entry.not_before = now.after(UNSENT_RETRY_MS);
                 }
@@ -81,11 +81,11 @@
             // shows which.
             Refusal::Old => self.poll_for_run(at, task, now),
             _ => {
-                self.remove_run(task, at, Gone::Refused(why), now);
+                self.remove_run(task, at, RunEnd::Refused(why), now);
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.of.job) {
-            if let Some(tasks) = job.steps.get_mut(&(task.of.time, task.of.step))
+            if let Some(tasks) = job.steps.get_mut(&(task.of.occurrence, task.of.step))
                 && why == Refusal::Ticket
             {
                 tasks.tickets.remove(at);
@@ -118,13 +118,13 @@
         at: &Incarnation,
         task: TaskId,
         run: u32,
-        end: OrderEnd<u64>,
+        end: OrderResult<u64>,
         now: Steady,
     ) {
         match end {
-            OrderEnd::Done(clock_ms) => {
+            OrderResult::Done(clock_ms) => {
                 if let Some(worker) = self.workers.get_mut(at) {
-                    worker.read_clock_of_order(clock_ms, now);
+                    worker.read_order_clock(clock_ms, now);
                 }
                 let mut never_began = false;
                 if let Some(task_run) =
@@ -136,19 +136,21 @@
                 }
                 // A run that never began lists no end.
                 if let Some(worker) = self.workers.get_mut(at).filter(|_| never_began) {
-                    worker.hurried = true;
+                    worker.urgent_poll = true;
                 }
             }
-            OrderEnd::Refused { why: Refusal::Fenced, .. } => {
+            OrderResult::Refused { why: Refusal::Fenced, .. } => {
                 // The next incarnation has a token of its own and refuses orders under the one
                 // before.
                 let worker = self.workers.get(at);
                 self.deposed |= match worker {
-                    Some(worker) => worker.fence() == 0 && worker.guard == Guard::Clear,
+                    Some(worker) => {
+                        worker.fencing_token() == 0 && worker.restart_fence == RestartFence::Clear
+                    }
                     None => at.born.is_none(),
                 };
             }
-            OrderEnd::Refused { why: Refusal::OtherLife, .. } => {
+            OrderResult::Refused { why: Refusal::OtherLife, .. } => {
                 self.remove_ended_worker(
                     at,
                     "orders at its address are refused by another worker",
@@ -156,7 +158,7 @@
                 );
             }
             // The worker has seen the end of the run, or of a later one: it will not begin.
-            OrderEnd::Refused { why: Refusal::Old, .. } => {
+            OrderResult::Refused { why: Refusal::Old, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: old", task.of.job);
                 if self.run_mut(task, at).is_some_and(|task_run| task_run.run == run) {
                     self.poll_for_run(at, task, now);
@@ -164,10 +166,10 @@
             }
             // Nothing was done, and a start on its way may still begin: the next poll stops it
             // again.
-            OrderEnd::Refused { why, .. } => {
+            OrderResult::Refused { why, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
             }
-            OrderEnd::Unknown | OrderEnd::Unsent => {}
+            OrderResult::Unknown | OrderResult::Unsent => {}
         }
     }
 
@@ -179,8 +181,8 @@
             task_run.since = now;
         }
         if let Some(worker) = self.workers.get_mut(at) {
-            worker.next_look = now;
-            worker.hurried = true;
+            worker.next_poll = now;
+            worker.urgent_poll = true;
         }
     }
 }
--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -14,7 +14,7 @@
         event::Effect,
         job::Task,
         roster::Holding,
-        worker::{Lost, SETTLED_MS, Worker},
+        worker::{LostRun, STABLE_MS, Worker},
     },
     model::{
         id::{HostId, Incarnation},
@@ -38,39 +38,39 @@
 
 impl Owner {
     /// Records that a worker is lost with all its runs, certainly or presumably; returns the runs.
-    pub(super) fn note_worker_loss(&mut self, id: &Incarnation, now: Steady) -> Vec<Lost> {
+    pub(super) fn note_worker_loss(&mut self, id: &Incarnation, now: Steady) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else {
             return Vec::new();
         };
-        let runs = worker.copies.keys();
-        let mut lost: Vec<Lost> = runs.map(|task| self.lost_run(worker, *task)).collect();
-        let new = lost.iter().filter(|lost| lost.lived < SETTLED_MS).count();
-        lost.iter_mut().for_each(|lost| lost.on_trial &= new == 1);
+        let runs = worker.runs.keys();
+        let mut lost: Vec<LostRun> = runs.map(|task| self.lost_run(worker, *task)).collect();
+        let new = lost.iter().filter(|lost| lost.observed_ms < STABLE_MS).count();
+        lost.iter_mut().for_each(|lost| lost.sole_suspect &= new == 1);
         // If some had only begun, those that were stable are not the cause. Where many tasks crash
         // their workers, each takes up to eighteen others with it, and a sound long-running task is
         // lost with four such workers within seconds.
-        lost.iter_mut().for_each(|lost| lost.cleared = new != 0 && SETTLED_MS <= lost.lived);
-        for lost in lost.iter().filter(|lost| lost.lived < SETTLED_MS) {
+        lost.iter_mut().for_each(|lost| lost.cleared = new != 0 && STABLE_MS <= lost.observed_ms);
+        for lost in lost.iter().filter(|lost| lost.observed_ms < STABLE_MS) {
             self.count_worker_loss(id, lost, false, now);
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.lost.extend(&lost);
+            worker.lost_runs.extend(&lost);
         }
         lost
     }
 
     /// Describes a run that is lost with its worker.
-    fn lost_run(&self, worker: &Worker, task: TaskId) -> Lost {
+    fn lost_run(&self, worker: &Worker, task: TaskId) -> LostRun {
         let entry = self.jobs.get(&task.of.job).and_then(|job| job.task(task.of, task.index));
-        let mut task_runs = entry.into_iter().flat_map(|entry| &entry.copies);
+        let mut task_runs = entry.into_iter().flat_map(|entry| &entry.runs);
         let task_run = task_runs.find(|task_run| task_run.worker == worker.report.id);
         let began = task_run.is_some_and(|task_run| task_run.began.is_some());
-        Lost {
+        LostRun {
             task,
             run: task_run.map_or(0, |task_run| task_run.run),
-            lived: worker.lived(task),
+            observed_ms: worker.observed_ms(task),
             began,
-            on_trial: began && task_run.is_some_and(|task_run| task_run.trial),
+            sole_suspect: began && task_run.is_some_and(|task_run| task_run.isolated),
             cleared: false,
         }
     }
@@ -111,26 +111,26 @@
     }
 
     /// Removes a worker; returns its host, and the runs lost with it unless it ended as planned.
-    fn remove_worker(&mut self, id: &Incarnation) -> Option<(HostId, Vec<Lost>)> {
+    fn remove_worker(&mut self, id: &Incarnation) -> Option<(HostId, Vec<LostRun>)> {
         let persisted = self.roster.holding(id).cloned();
         let worker = self.workers.remove(id)?;
-        if worker.touched && id.born.is_some() {
-            self.former_fences.insert(id.worker.clone(), worker.fence());
+        if worker.has_reported && id.born.is_some() {
+            self.former_fences.insert(id.worker.clone(), worker.fencing_token());
         }
         let planned = self.ends_as_planned(&worker);
-        let mut lost = worker.lost;
+        let mut lost = worker.lost_runs;
         if planned {
             lost.clear();
         }
         // What an earlier owner has persisted of a worker that has not answered this one.
-        if let (false, Some(Holding::Only(tasks))) = (worker.told_all, persisted) {
-            lost.extend(tasks.into_iter().map(Lost::unseen));
+        if let (false, Some(Holding::Only(tasks))) = (worker.reported_all, persisted) {
+            lost.extend(tasks.into_iter().map(LostRun::unobserved));
         }
         Some((worker.report.host, lost))
     }
 
     /// Records that a worker has certainly ended, with the runs lost there.
-    fn note_crash(&mut self, id: &Incarnation, lost: &[Lost], now: Steady) {
+    fn note_crash(&mut self, id: &Incarnation, lost: &[LostRun], now: Steady) {
         for lost in lost {
             self.count_worker_loss(id, lost, lost.began, now);
             self.judge_isolated_retry(lost);
@@ -155,15 +155,15 @@
             return false;
         }
         entry.crash_version = version;
-        job.change();
+        job.bump_version();
         self.save_queue.add(task.of.job, false);
         self.crash_suspects.insert(task);
         true
     }
 
     /// Counts a worker that was lost with a run, once; as crashed if `certain`.
-    fn count_worker_loss(&mut self, id: &Incarnation, lost: &Lost, certain: bool, now: Steady) {
-        let Lost { task, run, lived, cleared, .. } = *lost;
+    fn count_worker_loss(&mut self, id: &Incarnation, lost: &LostRun, certain: bool, now: Steady) {
+        let LostRun { task, run, observed_ms: lived, cleared, .. } = *lost;
         let is_open = self.jobs.get(&task.of.job).is_some_and(|job| job.is_open());
         if !is_open || cleared || CLEARED_MS <= lived {
             return;
@@ -174,18 +174,18 @@
                 return false;
             }
             // A worker with an isolated retry counts as unconfirmed already.
-            let on_trial = entry.trial_at.take_if(|at| at == id).is_some();
+            let on_trial = entry.isolated_worker.take_if(|at| at == id).is_some();
             if certain {
-                entry.doubted.remove(id);
+                entry.unconfirmed_crashes.remove(id);
                 entry.crashed.insert(id.clone());
-            } else if !entry.doubted.insert(id.clone()) && !on_trial {
+            } else if !entry.unconfirmed_crashes.insert(id.clone()) && !on_trial {
                 return false;
             }
-            entry.suspect |= lived < SETTLED_MS;
-            if GIVE_UP_CRASHES <= entry.lost_workers() && !entry.doubted.is_empty() {
+            entry.suspect |= lived < STABLE_MS;
+            if GIVE_UP_CRASHES <= entry.lost_workers() && !entry.unconfirmed_crashes.is_empty() {
                 entry.not_before = entry.not_before.max(now.after(SECOND_LOSS_PAUSE_MS));
             }
-            so_far = (entry.crashed.len(), entry.doubted.len());
+            so_far = (entry.crashed.len(), entry.unconfirmed_crashes.len());
             true
         });
         if !is_new {
@@ -203,10 +203,10 @@
 
     /// Gives up a task that has crashed the worker of its isolated retry, unless that was the
     /// first.
-    fn judge_isolated_retry(&mut self, lost: &Lost) {
+    fn judge_isolated_retry(&mut self, lost: &LostRun) {
         let job = self.jobs.get(&lost.task.of.job);
         let entry = job.and_then(|job| job.task(lost.task.of, lost.task.index));
-        if lost.on_trial && entry.is_some_and(|entry| GIVE_UP_CRASHES <= entry.crashed.len()) {
+        if lost.sole_suspect && entry.is_some_and(|entry| GIVE_UP_CRASHES <= entry.crashed.len()) {
             self.crashing.push(lost.task);
         }
     }
@@ -224,7 +224,7 @@
         // A worker that is still tracked may answer again, and then no longer counts as lost.
         let is_awaited =
             |id: &Incarnation| self.workers.get(id).is_some_and(|w| !w.is_long_silent(now.steady));
-        let is_open = |task: &Task| task.doubted.iter().any(&is_awaited);
+        let is_open = |task: &Task| task.unconfirmed_crashes.iter().any(&is_awaited);
         let is_over = |task: &&TaskId| {
             entry(task).is_some_and(|entry| entry.is_lost_too_often() && !is_open(entry))
         };
@@ -248,7 +248,7 @@
             "job {}: failed: task {task} crashes the workers that start it: [{}], unconfirmed [{}]",
             task.of.job,
             names(&entry.crashed),
-            names(&entry.doubted)
+            names(&entry.unconfirmed_crashes)
         );
         job.end(JobState::Failed, now);
         self.save_queue.add(task.of.job, true);
@@ -264,12 +264,13 @@
         now: Steady,
     ) -> Option<Incarnation> {
         let job = self.jobs.get(&task.of.job)?;
-        let at = job.task(task.of, task.index)?.trial_at.clone()?;
-        let (step, tasks) = (job.step(task.of.step), job.steps.get(&(task.of.time, task.of.step))?);
+        let at = job.task(task.of, task.index)?.isolated_worker.clone()?;
+        let (step, tasks) =
+            (job.step(task.of.step), job.steps.get(&(task.of.occurrence, task.of.step))?);
         let ticketed = job.record.advice.is_some();
         let scene = self.scene(now);
         let takes = |worker: &Worker| {
-            worker.trial == Some(task) && scene.may_take(worker, step, tasks, ticketed)
+            worker.isolated_task == Some(task) && scene.can_run(worker, step, tasks, ticketed)
         };
         if self.workers.get(&at).is_some_and(takes) {
             return Some(at);
@@ -290,26 +291,26 @@
     ) -> bool {
         let mut waits = false;
         let is_new = self.change_worker_losses(task, |entry| {
-            if !entry.suspect || entry.trial_at.is_some() {
+            if !entry.suspect || entry.isolated_worker.is_some() {
                 return false;
             }
             waits = GIVE_UP_CRASHES <= entry.lost_workers();
-            entry.trial_at = Some(at.clone());
-            entry.doubted.insert(at.clone());
+            entry.isolated_worker = Some(at.clone());
+            entry.unconfirmed_crashes.insert(at.clone());
             true
         });
         let Some(worker) = self.workers.get_mut(at) else {
             return waits;
         };
         if is_new {
-            worker.trial = Some(task);
+            worker.isolated_task = Some(task);
         }
-        if worker.trial != Some(task) || worker.is_settled() {
+        if worker.isolated_task != Some(task) || worker.all_runs_stable() {
             return waits;
         }
         if is_new {
-            worker.next_look = now.after(ISOLATED_RETRY_POLL_MS);
-            worker.hurried = true;
+            worker.next_poll = now.after(ISOLATED_RETRY_POLL_MS);
+            worker.urgent_poll = true;
         }
         true
     }
@@ -322,9 +323,9 @@
             let is_over = |task: &mut TaskId| {
                 let job = jobs.get(&task.of.job).filter(|job| job.is_open());
                 let entry = job.and_then(|job| job.task(task.of, task.index));
-                !entry.is_some_and(|entry| entry.is_on_trial_at(id))
+                !entry.is_some_and(|entry| entry.is_isolated_at(id))
             };
-            worker.trial.take_if(is_over);
+            worker.isolated_task.take_if(is_over);
         }
     }
 
@@ -332,11 +333,11 @@
     pub(super) fn withdraw_isolated_retry(&mut self, task: TaskId) {
         let mut trial_at = None;
         self.change_worker_losses(task, |entry| {
-            trial_at = entry.trial_at.take();
-            trial_at.as_ref().is_some_and(|at| entry.doubted.remove(at))
+            trial_at = entry.isolated_worker.take();
+            trial_at.as_ref().is_some_and(|at| entry.unconfirmed_crashes.remove(at))
         });
         if let Some(worker) = trial_at.and_then(|at| self.workers.get_mut(&at)) {
-            worker.trial.take_if(|trial| *trial == task);
+            worker.isolated_task.take_if(|trial| *trial == task);
         }
     }
 
@@ -346,16 +347,16 @@
             return;
         };
         worker.note_begun(task, now);
-        let lived = worker.lived(task);
-        if self.crash_suspects.is_empty() || lived < SETTLED_MS {
+        let lived = worker.observed_ms(task);
+        if self.crash_suspects.is_empty() || lived < STABLE_MS {
             return;
         }
         let Some(entry) = self.task_mut(task) else {
             return;
         };
         entry.suspect = false;
-        let task_run = entry.copies.iter_mut().find(|task_run| task_run.worker == *id);
-        let on_trial = task_run.is_some_and(|task_run| std::mem::take(&mut task_run.trial));
+        let task_run = entry.runs.iter_mut().find(|task_run| task_run.worker == *id);
+        let on_trial = task_run.is_some_and(|task_run| std::mem::take(&mut task_run.isolated));
         if on_trial {
             log::info!("job {}: task {task} at {id}: no longer on trial", task.of.job);
             self.withdraw_isolated_retry(task);
@@ -366,7 +367,7 @@
             self.change_worker_losses(task, |entry| {
                 let is_new = entry.lost_workers() != 0;
                 entry.crashed.clear();
-                entry.doubted.clear();
+                entry.unconfirmed_crashes.clear();
                 is_new
             });
         }
@@ -378,13 +379,14 @@
             return;
         }
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.lost.clear();
+            worker.lost_runs.clear();
         }
         // Persisted by versions that did not learn when workers start.
         let without_start = Incarnation::new(id.worker.clone(), None);
         for task in self.crash_suspects.clone() {
             self.change_worker_losses(task, |entry| {
-                let is_new = entry.doubted.remove(id) | entry.doubted.remove(&without_start);
+                let is_new = entry.unconfirmed_crashes.remove(id)
+                    | entry.unconfirmed_crashes.remove(&without_start);
                 entry.suspect &= entry.lost_workers() != 0;
                 is_new
             });
--- a/src/jobs/owner/ends.rs
+++ b/src/jobs/owner/ends.rs
@@ -2,12 +2,12 @@
 
 use super::{Owner, acknowledge};
 use crate::{
-    jobs::{event::Effect, gone::Gone, job::Copy},
+    jobs::{event::Effect, gone::RunEnd, job::Run},
     model::{
         id::Incarnation,
         job::{JobId, JobState, TaskId},
         unit::{Now, Steady},
-        worker::{Ended, HowEnded},
+        worker::{EndedRun, RunOutcome},
     },
 };
 
@@ -20,7 +20,7 @@
     pub(super) fn note_end(
         &mut self,
         id: &Incarnation,
-        end: Ended,
+        end: EndedRun,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -65,37 +65,49 @@
 
     /// Counts an end; returns the version of the job that contains it, or 0 if nothing need be
     /// persisted.
-    fn count_end(&mut self, id: &Incarnation, end: Ended, now: Now, out: &mut Vec<Effect>) -> u64 {
-        let Ended { task, run, how, saved, .. } = end;
+    fn count_end(
+        &mut self,
+        id: &Incarnation,
+        end: EndedRun,
+        now: Now,
+        out: &mut Vec<Effect>,
+    ) -> u64 {
+        let EndedRun { task, run, how, checkpoint: saved, .. } = end;
         let is_current = self.run_mut(task, id).is_some_and(|task_run| task_run.run == run);
-        let task_run =
-            if is_current { self.remove_run(task, id, Gone::Ended(how), now.steady) } else { None };
+        let task_run = if is_current {
+            self.remove_run(task, id, RunEnd::Ended(how), now.steady)
+        } else {
+            None
+        };
         let Some(job) = self.jobs.get_mut(&task.of.job) else {
             return 0;
         };
         let (long_running, gang) = {
             let step = job.step(task.of.step);
-            (step.lasting, step.gang)
+            (step.long_running, step.gang)
         };
-        if long_running || !matches!(how, HowEnded::Done) {
-            log::info!("job {}: task {task} run {run} at {id}: {}", job.id, how.word());
+        if long_running || !matches!(how, RunOutcome::Done) {
+            log::info!("job {}: task {task} run {run} at {id}: {}", job.id, how.as_str());
         }
         let before = job.version;
         // Only what has begun is listed as ended.
         job.begin();
         if let Some(entry) = job.task_mut(task.of, task.index) {
             entry.run = entry.run.max(run);
-            let newer = !saved.is_empty() && entry.saved != saved;
+            let newer = !saved.is_empty() && entry.checkpoint != saved;
             if newer && !entry.done {
-                entry.saved = saved;
-                job.change();
+                entry.checkpoint = saved;
+                job.bump_version();
             }
         }
         match how {
-            HowEnded::Done if long_running => {}
-            HowEnded::Done => self.task_done(id, task, gang, task_run.as_ref(), now, out),
-            HowEnded::Failed => self.task_failed(id, task, run, now, out),
-            HowEnded::Stopped | HowEnded::Lapsed | HowEnded::Broken | HowEnded::Alone => {}
+            RunOutcome::Done if long_running => {}
+            RunOutcome::Done => self.task_done(id, task, gang, task_run.as_ref(), now, out),
+            RunOutcome::Failed => self.task_failed(id, task, run, now, out),
+            RunOutcome::Stopped
+            | RunOutcome::Lapsed
+            | RunOutcome::GangBroken
+            | RunOutcome::GangIncomplete => {}
         }
         let Some(job) = self.jobs.get(&task.of.job) else {
             return 0;
@@ -106,7 +118,7 @@
             return version;
         }
         // Another end with the same result may have been counted, and not be durable yet.
-        let counts = matches!(how, HowEnded::Done | HowEnded::Failed) && !long_running;
+        let counts = matches!(how, RunOutcome::Done | RunOutcome::Failed) && !long_running;
         if counts { version } else { 0 }
     }
 
@@ -115,7 +127,7 @@
         id: &Incarnation,
         task: TaskId,
         gang: bool,
-        task_run: Option<&Copy>,
+        task_run: Option<&Run>,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -123,7 +135,7 @@
             return;
         };
         if let Some(began) = task_run.and_then(|task_run| task_run.began) {
-            self.durations.learn(&job.record.queue, now.steady.since(began));
+            self.durations.record(&job.record.queue, now.steady.since(began));
         }
         if let Some(worker) = self.workers.get_mut(id) {
             worker.note_done(now.steady);
@@ -136,7 +148,7 @@
         if !is_new {
             return;
         }
-        job.change();
+        job.bump_version();
         if job.left == 0 && job.is_open() {
             job.end(JobState::Succeeded, now);
             log::info!(
@@ -160,7 +172,8 @@
             return;
         };
         let step = job.step(task.of.step);
-        let (long_running, gang, attempts) = (step.lasting, step.gang, job.record.attempts);
+        let (long_running, gang, attempts) =
+            (step.long_running, step.gang, job.record.max_attempts);
         // A gang has one count of failures, at its first task.
         let counted = if gang { 0 } else { task.index };
         let Some(entry) = job.task_mut(task.of, counted) else {
@@ -174,7 +187,7 @@
         }
         let failed = entry.failed.len() as u32;
         if is_new {
-            job.change();
+            job.bump_version();
         }
         let has_failed = !long_running && attempts <= failed && job.is_open();
         if has_failed {
@@ -198,7 +211,7 @@
             return;
         };
         let workers: Vec<Incarnation> =
-            entry.copies.iter().map(|task_run| task_run.worker.clone()).collect();
+            entry.runs.iter().map(|task_run| task_run.worker.clone()).collect();
         for worker in workers {
             self.stop_run(task, &worker, now, out);
         }
--- a/src/jobs/owner/held.rs
+++ b/src/jobs/owner/held.rs
@@ -9,22 +9,22 @@
 
 /// What keeps a pool's tasks from its workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct Held {
+pub(crate) struct HeldBack {
     /// Tasks of earlier jobs that wait, since a worker that has not been polled may run them.
     pub(crate) tasks: usize,
     /// Workers to which earlier owners could give work and that have not reported all their runs.
-    pub(crate) unasked: usize,
+    pub(crate) unpolled: usize,
     /// Workers that may get work now.
-    pub(crate) takers: usize,
+    pub(crate) available: usize,
 }
 
 impl Owner {
     /// What is held back now.
-    pub(crate) fn held(&self, now: Now) -> Held {
+    pub(crate) fn held_back(&self, now: Now) -> HeldBack {
         let is_rostered = |id| self.roster.holding(id).is_some();
         let workers = self.workers.values();
         let unpolled =
-            workers.clone().filter(|worker| !worker.told_all && is_rostered(&worker.report.id));
+            workers.clone().filter(|worker| !worker.reported_all && is_rostered(&worker.report.id));
         let available = workers.clone().filter(|worker| {
             let is_draining = self.draining.contains_key(&worker.report.host);
             worker.takes_work(now.steady) && !is_draining
@@ -34,16 +34,17 @@
             Unconfirmed::Only(tasks) if tasks.is_empty() => 0,
             _ => self.count_unconfirmed(&unconfirmed),
         };
-        Held { tasks, unasked: unpolled.count(), takers: available.count() }
+        HeldBack { tasks, unpolled: unpolled.count(), available: available.count() }
     }
 
     /// The number of waiting tasks whose runs are unconfirmed.
     fn count_unconfirmed(&self, unconfirmed: &Unconfirmed) -> usize {
         let steps = self.jobs.values().filter(|job| job.is_open()).flat_map(|job| {
             job.steps.iter().map(|((time, step), tasks)| {
-                let of = StepId { job: job.id, time: *time, step: *step };
+                let of = StepId { job: job.id, occurrence: *time, step: *step };
                 let numbered = (0u32..).zip(&tasks.tasks);
-                let waiting = numbered.filter(|(_, task)| task.is_waiting() && !task.accounted);
+                let waiting =
+                    numbered.filter(|(_, task)| task.is_waiting() && !task.location_known);
                 waiting
                     .filter(|(index, _)| unconfirmed.covers(&TaskId { of, index: *index }))
                     .count()
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -11,13 +11,13 @@
 use super::Owner;
 use crate::{
     jobs::{
-        gone::Gone,
-        job::{Copy, Phase},
+        gone::RunEnd,
+        job::{Phase, Run},
         roster::Holding,
-        worker::{Guard, Worker},
+        worker::{RestartFence, Worker},
     },
     model::{
-        id::{Born, Incarnation, WorkerId},
+        id::{Incarnation, StartTime, WorkerId},
         job::TaskId,
         unit::Steady,
         worker::WorkerReport,
@@ -45,7 +45,7 @@
     }
 
     /// Records that an incarnation other than the called one has answered.
-    pub(super) fn note_answer_by(&mut self, called: &Incarnation, started: Born, now: Steady) {
+    pub(super) fn note_answer_by(&mut self, called: &Incarnation, started: StartTime, now: Steady) {
         let by = Incarnation::new(called.worker.clone(), Some(started));
         if self.ended_workers.contains(&by) {
             log::warn!("worker {called}: answer ignored: it is from {by}, which has ended");
@@ -58,7 +58,7 @@
             let report = WorkerReport { id: by.clone(), leaves_ms: None, ..worker.report.clone() };
             let mut next = Worker::new(report, now);
             // Its labels and resources may differ: it gets no work before its own entry is listed.
-            next.bar(now);
+            next.block(now);
             self.workers.insert(by.clone(), next);
         }
         self.replace_incarnation(called, &by, now);
@@ -74,12 +74,12 @@
         let Some(before) = self.workers.get(old) else {
             return;
         };
-        let (ordered, fence) = (before.touched, before.fence());
-        let held = self.roster.holding(old).or(before.inherited.as_ref()).cloned();
+        let (ordered, fence) = (before.has_reported, before.fencing_token());
+        let held = self.roster.holding(old).or(before.earlier_tasks.as_ref()).cloned();
         let bound = self.possibly_begun_at_next(before);
         match old.born {
             Some(_) => {
-                self.counts.started_again += 1;
+                self.counts.worker_restarts += 1;
                 self.remove_ended_worker(old, &format!("it has started again as {new}"), now);
             }
             None => self.identify(old, new, now),
@@ -89,7 +89,7 @@
         }
         if let Some(worker) = self.workers.get_mut(new) {
             worker.follow(fence, ordered, held);
-            worker.next_look = now;
+            worker.next_poll = now;
         }
     }
 
@@ -99,20 +99,20 @@
         let id = &worker.report.id;
         let is_unlisted = |(task, _): &(&TaskId, &u32)| {
             let entry = self.jobs.get(&task.of.job).and_then(|job| job.task(task.of, task.index));
-            let mut task_runs = entry.into_iter().flat_map(|entry| &entry.copies);
+            let mut task_runs = entry.into_iter().flat_map(|entry| &entry.runs);
             id.born.is_none()
                 || task_runs.any(|task_run| task_run.worker == *id && !task_run.listed)
         };
-        let runs = worker.copies.iter().filter(is_unlisted);
+        let runs = worker.runs.iter().filter(is_unlisted);
         runs.map(|(task, run)| (*task, *run)).collect()
     }
 
     /// Replaces a worker without a start time by the same one with its start time.
     fn identify(&mut self, old: &Incarnation, new: &Incarnation, now: Steady) {
         log::info!("worker {old}: identified as {new}");
-        let tasks: Vec<TaskId> = self.workers[old].copies.keys().copied().collect();
+        let tasks: Vec<TaskId> = self.workers[old].runs.keys().copied().collect();
         for task in tasks {
-            self.remove_run(task, old, Gone::WorkerOver, now);
+            self.remove_run(task, old, RunEnd::WorkerTerminated, now);
         }
         self.workers.remove(old);
         self.ended_workers.insert(old.clone());
@@ -127,13 +127,13 @@
         let Some(entry) = job.task_mut(task.of, task.index) else {
             return;
         };
-        if entry.copies.iter().any(|task_run| task_run.worker == *at) {
+        if entry.runs.iter().any(|task_run| task_run.worker == *at) {
             return;
         }
-        entry.copies.push(Copy::new(at.clone(), run, Phase::Unknown, now));
+        entry.runs.push(Run::new(at.clone(), run, Phase::Unknown, now));
         if let Some(worker) = self.workers.get_mut(at) {
             worker.occupy(task, run, &charge);
-            worker.hurried = true;
+            worker.urgent_poll = true;
         }
     }
 }
@@ -142,12 +142,12 @@
     /// Records that it follows another incarnation: the token of orders to that one, whether there
     /// were any, and what it may have run.
     fn follow(&mut self, fence: u64, ordered: bool, held: Option<Holding>) {
-        self.raise_fence(fence);
-        if !self.told_all {
-            self.inherited = held;
+        self.advance_fencing_token(fence);
+        if !self.reported_all {
+            self.earlier_tasks = held;
         }
         if ordered && !self.rostered {
-            self.guard = Guard::Wanted;
+            self.restart_fence = RestartFence::Needed;
         }
     }
 }
--- a/src/jobs/owner/looks.rs
+++ b/src/jobs/owner/looks.rs
@@ -9,15 +9,18 @@
 use crate::{
     jobs::{
         event::Effect,
-        gone::{Gone, Stray},
-        job::{Copy, Job, Phase},
-        worker::{HASTY_LOOK_WAIT_MS, LATE_MS, LATE_ORDER_MS, LOOK_WAIT_MS, Lost, Worker},
+        gone::{RunEnd, UnexpectedRun},
+        job::{Job, Phase, Run},
+        worker::{
+            EXPIRY_DELAY_MS, LostRun, MAX_ORDER_DELAY_MS, POLL_TIMEOUT_MS, SHORT_POLL_TIMEOUT_MS,
+            Worker,
+        },
     },
     model::{
         id::Incarnation,
         job::{JobId, TaskId},
         unit::{Now, Steady},
-        worker::{Look, OrderEnd, Present, Refusal},
+        worker::{OrderResult, PollResponse, PresentRun, Refusal},
     },
 };
 
@@ -49,15 +52,15 @@
     if !worker.may_start_again() {
         return Some(worker.acknowledged);
     }
-    if !worker.owes_acknowledgement() || worker.misses != 0 {
+    if !worker.has_acknowledgeable_ends() || worker.missed_polls != 0 {
         return Some(0);
     }
     let is_unanswered = |task: &TaskId| {
         let entry = jobs.get(&task.of.job).and_then(|job| job.task(task.of, task.index));
-        let mut task_runs = entry.into_iter().flat_map(|entry| &entry.copies);
+        let mut task_runs = entry.into_iter().flat_map(|entry| &entry.runs);
         task_runs.any(|task_run| task_run.worker == worker.report.id && task_run.is_unanswered())
     };
-    let waits = worker.copies.keys().any(is_unanswered);
+    let waits = worker.runs.keys().any(is_unanswered);
     (!waits).then_some(worker.acknowledged)
 }
 
@@ -66,52 +69,53 @@
     pub(super) fn send_polls(&mut self, now: Steady, out: &mut Vec<Effect>) {
         let token = self.token;
         let mixed: BTreeSet<Incarnation> = self.mixed_workers();
-        let short_polls = self.message_loss.are_many(self.workers.len(), now);
+        let short_polls = self.message_loss.is_high(self.workers.len(), now);
         let mut resent = 0;
         let jobs = &self.jobs;
         for worker in self.workers.values_mut() {
             // A run in an unknown phase does not wait for the pending poll, which may wait for an
             // end.
-            let waits = worker.looking.is_some() && !worker.hurried;
-            if waits || now < worker.next_look {
+            let waits = worker.poll_sent.is_some() && !worker.urgent_poll;
+            if waits || now < worker.next_poll {
                 continue;
             }
             let acknowledgement = acknowledgement(worker, jobs);
             let unsaved = !worker.unacknowledged.is_empty() || acknowledgement.is_none();
-            let recently = worker.answered.is_some_and(|at| now.since(at) < UNSAVED_POLL_PAUSE_MS);
+            let recently =
+                worker.last_answer.is_some_and(|at| now.since(at) < UNSAVED_POLL_PAUSE_MS);
             if unsaved && recently {
                 continue;
             }
             let acknowledged = acknowledgement.unwrap_or(0);
             // It should be answered soon: nothing starts there meanwhile.
             let exclusive = acknowledged != 0 && worker.may_start_again();
-            let waits = worker.touched && worker.misses == 0 && !worker.hurried;
+            let waits = worker.has_reported && worker.missed_polls == 0 && !worker.urgent_poll;
             let wait = match waits && !unsaved && !exclusive {
-                true if short_polls && !worker.copies.is_empty() => HASTY_LOOK_WAIT_MS,
-                true if mixed.contains(&worker.report.id) => LOOK_WAIT_MS / 2,
-                true => LOOK_WAIT_MS,
+                true if short_polls && !worker.runs.is_empty() => SHORT_POLL_TIMEOUT_MS,
+                true if mixed.contains(&worker.report.id) => POLL_TIMEOUT_MS / 2,
+                true => POLL_TIMEOUT_MS,
                 false => 0,
             };
             // The lease of a silent worker is not renewed: it may receive polls though its answers
             // are lost.
-            let renews = worker.touched && worker.misses == 0;
-            let until_ms = if renews { worker.give(now) } else { None };
-            worker.prove_fence(now);
-            worker.looking = Some(now);
-            worker.look_wait = wait;
-            worker.hurried = false;
-            resent += u64::from(worker.misses != 0);
+            let renews = worker.has_reported && worker.missed_polls == 0;
+            let until_ms = if renews { worker.extend_lease(now) } else { None };
+            worker.note_poll_sent(now);
+            worker.poll_sent = Some(now);
+            worker.poll_timeout_ms = wait;
+            worker.urgent_poll = false;
+            resent += u64::from(worker.missed_polls != 0);
             if exclusive {
-                worker.acknowledge(acknowledged, now);
+                worker.note_ack_sent(acknowledged, now);
             }
-            out.push(Effect::Look {
+            out.push(Effect::Poll {
                 to: worker.addressee(token),
                 acknowledged,
                 until_ms,
                 wait: Duration::from_millis(wait),
             });
         }
-        self.counts.again += resent;
+        self.counts.resent_orders += resent;
     }
 
     /// Processes the result of a poll.
@@ -119,7 +123,7 @@
         &mut self,
         id: &Incarnation,
         sent: Steady,
-        end: OrderEnd<Look>,
+        end: OrderResult<PollResponse>,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -127,49 +131,53 @@
             return;
         };
         // An older poll may still be pending, and its answer is processed too.
-        if worker.looking.is_some_and(|newest| newest <= sent) {
-            worker.looking = None;
+        if worker.poll_sent.is_some_and(|newest| newest <= sent) {
+            worker.poll_sent = None;
         }
         let listed = match &end {
-            OrderEnd::Done(response) => response.ended.iter().map(|end| end.number).min(),
+            OrderResult::Done(response) => response.ended.iter().map(|end| end.number).min(),
             _ => None,
         };
-        worker.note_look_end(sent, matches!(end, OrderEnd::Done(_)), listed);
-        if sent < worker.placed {
+        worker.note_poll_result(sent, matches!(end, OrderResult::Done(_)), listed);
+        if sent < worker.address_since {
             // The answer came from an address that was not the worker's.
             return;
         }
         match end {
-            OrderEnd::Done(response) => match response.born.filter(|born| id.born != Some(*born)) {
-                Some(other) => self.note_answer_by(id, other, now.steady),
-                None => self.note_poll_answer(id, sent, response, now, out),
-            },
-            OrderEnd::Refused { why: Refusal::Fenced, .. } if worker.bore_fence(sent) => {
+            OrderResult::Done(response) => {
+                match response.born.filter(|born| id.born != Some(*born)) {
+                    Some(other) => self.note_answer_by(id, other, now.steady),
+                    None => self.note_poll_answer(id, sent, response, now, out),
+                }
+            }
+            OrderResult::Refused { why: Refusal::Fenced, .. }
+                if worker.carried_fencing_token(sent) =>
+            {
                 self.deposed = true;
             }
             // At an address where this worker has never answered, another one proves nothing about
             // it.
-            OrderEnd::Refused { why: Refusal::OtherLife, .. } if worker.heard => {
+            OrderResult::Refused { why: Refusal::OtherLife, .. } if worker.has_answered => {
                 self.remove_ended_worker(
                     id,
                     "orders at its address are refused by another worker",
                     now.steady,
                 );
             }
-            OrderEnd::Unsent => worker.next_look = now.steady.after(UNSENT_RETRY_MS),
-            OrderEnd::Refused { .. } | OrderEnd::Unknown => {
-                if worker.misses == 0 {
-                    self.message_loss.note(now.steady);
+            OrderResult::Unsent => worker.next_poll = now.steady.after(UNSENT_RETRY_MS),
+            OrderResult::Refused { .. } | OrderResult::Unknown => {
+                if worker.missed_polls == 0 {
+                    self.message_loss.record(now.steady);
                 }
-                if worker.answered.is_some_and(|at| sent < at) {
+                if worker.last_answer.is_some_and(|at| sent < at) {
                     // It has answered a later poll.
                     return;
                 }
-                worker.misses += 1;
-                let has_departed = !worker.is_listed() && DEPARTED_MISSES <= worker.misses;
+                worker.missed_polls += 1;
+                let has_departed = !worker.is_listed() && DEPARTED_MISSES <= worker.missed_polls;
                 let pause = if has_departed { DEPARTED_RETRY_MS } else { POLL_RETRY_MS };
-                worker.next_look = now.steady.after(pause);
-                if worker.misses == 1 {
+                worker.next_poll = now.steady.after(pause);
+                if worker.missed_polls == 1 {
                     log::info!("worker {id}: lost: a poll got no answer");
                 }
             }
@@ -180,7 +188,7 @@
         &mut self,
         id: &Incarnation,
         sent: Steady,
-        response: Look,
+        response: PollResponse,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -188,20 +196,20 @@
             return;
         };
         worker.read_clock(response.clock_ms, now.steady);
-        let was_lost = !worker.touched || !worker.lost.is_empty();
-        if !worker.touched {
-            worker.touched = true;
-            worker.assume_held();
+        let was_lost = !worker.has_reported || !worker.lost_runs.is_empty();
+        if !worker.has_reported {
+            worker.has_reported = true;
+            worker.assume_full_lease();
         }
-        if worker.misses != 0 {
-            log::info!("worker {id}: back after {} unanswered polls", worker.misses);
+        if worker.missed_polls != 0 {
+            log::info!("worker {id}: back after {} unanswered polls", worker.missed_polls);
         }
-        worker.misses = 0;
-        worker.heard = true;
-        worker.answered = Some(now.steady);
-        let complete = response.is_whole();
-        worker.told_all |= complete;
-        worker.note_fenced(sent, complete);
+        worker.missed_polls = 0;
+        worker.has_answered = true;
+        worker.last_answer = Some(now.steady);
+        let complete = response.lists_all_ends();
+        worker.reported_all |= complete;
+        worker.confirm_fencing_token(sent, complete);
         self.clear_crashes_at(id, was_lost);
         self.supersede(id, now.steady);
         let mut ended = response.ended;
@@ -226,12 +234,12 @@
     fn note_present_run(
         &mut self,
         id: &Incarnation,
-        found: Present,
+        found: PresentRun,
         sent: Steady,
         now: Steady,
         out: &mut Vec<Effect>,
     ) {
-        let Present { task, run, saved, percent, gauge } = found;
+        let PresentRun { task, run, checkpoint: saved, percent, gauge } = found;
         self.note_begun(task.of.job);
         let unexpected = self.why_unexpected(id, task);
         let job = task.of.job;
@@ -240,7 +248,7 @@
         }
         if let Some(task_run) = self.run_mut(task, id).filter(|task_run| task_run.run == run) {
             if task_run.percent < percent || task_run.began.is_none() {
-                task_run.moved = now;
+                task_run.progressed = now;
             }
             task_run.percent = percent;
             task_run.gauge = gauge;
@@ -254,7 +262,7 @@
                 }
                 Phase::Stopping if STOP_RETRY_MS < now.since(task_run.since) => {
                     task_run.since = now;
-                    self.counts.again += 1;
+                    self.counts.resent_orders += 1;
                     self.send_stop(id, task, run, out);
                 }
                 _ => {}
@@ -262,7 +270,7 @@
             if !saved.is_empty()
                 && let Some(entry) = self.task_mut(task)
             {
-                entry.saved = saved;
+                entry.checkpoint = saved;
             }
             self.note_run_alive(id, task, now);
             if let Some(unexpected) = unexpected {
@@ -273,7 +281,7 @@
             }
             return;
         }
-        let other = self.run_mut(task, id).map(|_| Stray::OtherRun);
+        let other = self.run_mut(task, id).map(|_| UnexpectedRun::OtherRun);
         if let Some(unexpected) = unexpected.or(other) {
             self.log_unexpected_run(id, task, run, unexpected);
             self.send_stop(id, task, run, out);
@@ -283,32 +291,39 @@
     }
 
     /// Why a run of a task at a worker is unexpected, if it is.
-    fn why_unexpected(&self, id: &Incarnation, task: TaskId) -> Option<Stray> {
+    fn why_unexpected(&self, id: &Incarnation, task: TaskId) -> Option<UnexpectedRun> {
         let job = self.jobs.get(&task.of.job);
         let found = job.and_then(|job| Some((job, job.task(task.of, task.index)?)));
         let Some((job, entry)) = found else {
-            return Some(Stray::NoJob);
+            return Some(UnexpectedRun::NoJob);
         };
         if entry.done {
-            return Some(Stray::Done);
+            return Some(UnexpectedRun::Done);
         }
         if !job.is_open() {
-            return Some(Stray::NoJob);
+            return Some(UnexpectedRun::NoJob);
         }
-        let elsewhere = entry.copies.iter().any(|task_run| task_run.worker != *id);
-        (elsewhere && !job.step(task.of.step).speculative).then_some(Stray::Elsewhere)
+        let elsewhere = entry.runs.iter().any(|task_run| task_run.worker != *id);
+        (elsewhere && !job.step(task.of.step).speculative).then_some(UnexpectedRun::Elsewhere)
     }
 
     /// Logs a run that should not be there. Two runs of one task are first noticed here, whichever
     /// of the two owners polls.
-    fn log_unexpected_run(&mut self, id: &Incarnation, task: TaskId, run: u32, unexpected: Stray) {
-        *self.counts.strays.entry(unexpected.word()).or_default() += 1;
+    fn log_unexpected_run(
+        &mut self,
+        id: &Incarnation,
+        task: TaskId,
+        run: u32,
+        unexpected: UnexpectedRun,
+    ) {
+        *self.counts.unexpected_runs.entry(unexpected.word()).or_default() += 1;
         let (job, token, why) = (task.of.job, self.token, unexpected.word());
         let entry = self.jobs.get(&job).and_then(|job| job.task(task.of, task.index));
-        let others = entry.iter().flat_map(|entry| &entry.copies);
+        let others = entry.iter().flat_map(|entry| &entry.runs);
         let others: Vec<String> =
             others.map(|task_run| format!("run {} at {}", task_run.run, task_run.worker)).collect();
-        let level = if unexpected == Stray::NoJob { log::Level::Info } else { log::Level::Warn };
+        let level =
+            if unexpected == UnexpectedRun::NoJob { log::Level::Info } else { log::Level::Warn };
         log::log!(
             level,
             "job {job}: task {task} run {run} at {id}: stopped by token {token}: {why} {others:?}"
@@ -333,17 +348,17 @@
             return;
         };
         entry.run = entry.run.max(run);
-        if !entry.accounted {
-            entry.inherited = Some(run);
+        if !entry.location_known {
+            entry.adopted_run = Some(run);
         }
-        entry.accounted = true;
-        entry.copies.push(Copy {
+        entry.location_known = true;
+        entry.runs.push(Run {
             since: sent,
             began: Some(now),
             listed: true,
             adopted: Some(now),
             percent,
-            ..Copy::new(id.clone(), run, Phase::Running, now)
+            ..Run::new(id.clone(), run, Phase::Running, now)
         });
         if let Some(worker) = self.workers.get_mut(id) {
             worker.occupy(task, run, &charge);
@@ -367,7 +382,7 @@
             return;
         };
         let missing: Vec<TaskId> =
-            worker.copies.keys().filter(|task| !listed.contains(task)).copied().collect();
+            worker.runs.keys().filter(|task| !listed.contains(task)).copied().collect();
         for task in missing {
             let Some(task_run) = self.run_mut(task, id) else {
                 continue;
@@ -376,16 +391,16 @@
             match task_run.phase {
                 Phase::Running if complete && task_run.since < sent => {
                     log::warn!("job {}: task {task} at {id}: gone without an end", task.of.job);
-                    self.remove_run(task, id, Gone::Unlisted, now);
+                    self.remove_run(task, id, RunEnd::Unlisted, now);
                 }
                 Phase::Stopped(at) if complete && at < sent => {
-                    self.remove_run(task, id, Gone::Stopped, now);
+                    self.remove_run(task, id, RunEnd::Stopped, now);
                 }
                 Phase::Unknown => self.stop_run(task, id, now, out),
                 Phase::Stopping if STOP_RETRY_MS < now.since(task_run.since) => {
                     task_run.since = now;
                     let run = task_run.run;
-                    self.counts.again += 1;
+                    self.counts.resent_orders += 1;
                     self.send_stop(id, task, run, out);
                 }
                 _ => {}
@@ -413,14 +428,15 @@
             let Some(job) = self.jobs.get(&task.of.job) else {
                 return false;
             };
-            let task_runs =
-                job.task(task.of, task.index).into_iter().flat_map(|entry| &entry.copies);
+            let task_runs = job.task(task.of, task.index).into_iter().flat_map(|entry| &entry.runs);
             let mut here = task_runs.filter(|task_run| task_run.worker == *id);
-            let late = |task_run: &Copy| confirmed < task_run.since.after(LATE_ORDER_MS + LATE_MS);
-            !job.step(task.of.step).lasting
+            let late = |task_run: &Run| {
+                confirmed < task_run.since.after(MAX_ORDER_DELAY_MS + EXPIRY_DELAY_MS)
+            };
+            !job.step(task.of.step).long_running
                 && here.any(|task_run| task_run.is_unanswered() && late(task_run))
         };
-        worker.copies.keys().filter(is_awaited).copied().collect()
+        worker.runs.keys().filter(is_awaited).copied().collect()
     }
 
     /// Removes runs at workers that have been silent until all their leases expired, and workers
@@ -428,26 +444,26 @@
     /// counts: a later owner may renew the lease of a worker that is silent here.
     pub(super) fn remove_expired_runs(&mut self, now: Steady) {
         let confirmed = self.confirmed.min(now);
-        let expired = |worker: &&Worker| worker.misses != 0 && worker.has_lapsed(confirmed);
+        let expired = |worker: &&Worker| worker.missed_polls != 0 && worker.has_lapsed(confirmed);
         let expired: Vec<Incarnation> =
             self.workers.values().filter(expired).map(|w| w.report.id.clone()).collect();
         for id in expired {
             let awaited = self.awaited_starts(&id, confirmed);
             let worker = &self.workers[&id];
-            if !awaited.is_empty() && awaited.len() == worker.copies.len() {
+            if !awaited.is_empty() && awaited.len() == worker.runs.len() {
                 continue;
             }
-            for Lost { task, .. } in self.note_worker_loss(&id, now) {
+            for LostRun { task, .. } in self.note_worker_loss(&id, now) {
                 if !awaited.contains(&task) {
                     log::info!("job {}: task {task} at {id}: lapsed unseen", task.of.job);
-                    self.remove_run(task, &id, Gone::Lapsed, now);
+                    self.remove_run(task, &id, RunEnd::Lapsed, now);
                 }
             }
             if !awaited.is_empty() {
                 continue;
             }
             let worker = &self.workers[&id];
-            let untouched = !worker.touched && confirmed < self.fenced_until;
+            let untouched = !worker.has_reported && confirmed < self.fenced_until;
             if !worker.is_listed() && !untouched {
                 log::info!("worker {id}: removed: not listed, and silent");
                 self.remove_silent_worker(&id, now);
--- a/src/jobs/owner/pace.rs
+++ b/src/jobs/owner/pace.rs
@@ -5,7 +5,7 @@
 use super::Owner;
 use crate::{
     jobs::{event::Effect, job::Phase},
-    model::{id::Incarnation, job::TaskId, unit::Steady, worker::OrderEnd},
+    model::{id::Incarnation, job::TaskId, unit::Steady, worker::OrderResult},
 };
 
 /// A tail latency above this share of its target, in percent, slows background tasks down.
@@ -57,15 +57,15 @@
         let Some(worker) = self.workers.get(id) else {
             return sharing;
         };
-        for task in worker.copies.keys() {
+        for task in worker.runs.keys() {
             let Some(job) = self.jobs.get(&task.of.job) else {
                 continue;
             };
             let step = job.step(task.of.step);
-            if step.target_ms == 0 && !step.fills {
+            if step.target_ms == 0 && !step.background {
                 continue;
             }
-            let task_runs = job.task(task.of, task.index).map(|entry| &entry.copies);
+            let task_runs = job.task(task.of, task.index).map(|entry| &entry.runs);
             let Some(task_run) =
                 task_runs.and_then(|task_runs| task_runs.iter().find(|c| c.worker == *id))
             else {
@@ -74,8 +74,9 @@
             if task_run.phase != Phase::Running {
                 continue;
             }
-            if step.fills {
-                let (run, throttle_percent, since) = (task_run.run, task_run.pace, task_run.since);
+            if step.background {
+                let (run, throttle_percent, since) =
+                    (task_run.run, task_run.throttle_percent, task_run.since);
                 sharing.background.push(BackgroundRun {
                     task: *task,
                     run,
@@ -114,9 +115,9 @@
                 return;
             };
             let to = worker.addressee(self.token);
-            out.push(Effect::Pace { to, task, run, percent: wanted });
+            out.push(Effect::Throttle { to, task, run, percent: wanted });
             if let Some(task_run) = self.run_mut(task, id) {
-                task_run.pace = wanted;
+                task_run.throttle_percent = wanted;
                 task_run.since = now;
             }
         }
@@ -128,9 +129,9 @@
         id: &Incarnation,
         task: TaskId,
         percent: u32,
-        end: &OrderEnd<u64>,
+        end: &OrderResult<u64>,
     ) {
-        if matches!(end, OrderEnd::Done(_)) {
+        if matches!(end, OrderResult::Done(_)) {
             return;
         }
         // It may or may not have taken effect: the next poll decides anew.
@@ -138,8 +139,10 @@
             "job {}: task {task} at {id}: throttle to {percent} % not confirmed",
             task.of.job
         );
-        if let Some(task_run) = self.run_mut(task, id).filter(|task_run| task_run.pace == percent) {
-            task_run.pace = if percent == 100 { 99 } else { 100 };
+        if let Some(task_run) =
+            self.run_mut(task, id).filter(|task_run| task_run.throttle_percent == percent)
+        {
+            task_run.throttle_percent = if percent == 100 { 99 } else { 100 };
         }
     }
 }
