--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -6,10 +6,10 @@
 use crate::{
     jobs::{
         event::Effect,
-        job::{Copy, Phase, StepTasks},
-        place::Scene,
+        job::{Phase, Run, StepTasks},
+        place::TaskPlacer,
         urgency,
-        worker::SETTLED_MS,
+        worker::STABLE_MS,
     },
     model::{
         id::Incarnation,
@@ -36,7 +36,7 @@
 
 /// Delay after an isolated retry starts until its worker is polled, in milliseconds: an answer then
 /// shows that the run is stable.
-pub(super) const ISOLATED_RETRY_POLL_MS: u64 = SETTLED_MS + 40;
+pub(super) const ISOLATED_RETRY_POLL_MS: u64 = STABLE_MS + 40;
 
 /// The percent at which a long-running task is ready.
 const READY_PERCENT: u32 = 100;
@@ -72,7 +72,7 @@
             .map(|(key, _)| *key)
             .collect();
         for (time, step) in due {
-            let of = StepId { job: id, time, step };
+            let of = StepId { job: id, occurrence: time, step };
             let waiting = self.waiting_tasks(of, unconfirmed, now.steady);
             if waiting.is_empty() {
                 continue;
@@ -93,8 +93,8 @@
                 }
             };
             if let Some(tasks) = self.step_tasks_mut(of) {
-                let since = tasks.starved.unwrap_or(now.steady);
-                tasks.starved = (!placed).then_some(since);
+                let since = tasks.unplaced_since.unwrap_or(now.steady);
+                tasks.unplaced_since = (!placed).then_some(since);
             }
             if !placed {
                 self.reserve_worker(of, now.steady);
@@ -104,19 +104,19 @@
         }
     }
 
-    pub(super) fn scene(&self, now: Steady) -> Scene<'_> {
+    pub(super) fn scene(&self, now: Steady) -> TaskPlacer<'_> {
         let (workers, emptying) = (&self.workers, &self.draining);
-        Scene { workers, emptying, reserved: &self.reserved, now }
+        TaskPlacer { workers, draining: emptying, reserved: &self.reserved, now }
     }
 
     fn step_tasks_mut(&mut self, of: StepId) -> Option<&mut StepTasks> {
-        self.jobs.get_mut(&of.job)?.steps.get_mut(&(of.time, of.step))
+        self.jobs.get_mut(&of.job)?.steps.get_mut(&(of.occurrence, of.step))
     }
 
     /// Whether the current plan has found no worker for something that needs no more than the step.
     /// Capacity that is reserved for long-running tasks is not counted.
     fn is_unplaceable(&self, of: StepId) -> bool {
-        let Some(step) = self.step(of).filter(|step| !step.lasting) else {
+        let Some(step) = self.step(of).filter(|step| !step.long_running) else {
             return false;
         };
         let charge = step.charge();
@@ -130,8 +130,8 @@
         };
         let step = job.step(of.step);
         let is_constrained =
-            !step.label.is_empty() || step.apart != 0 || job.record.advice.is_some();
-        if !is_constrained && !step.lasting {
+            !step.label.is_empty() || step.max_per_worker != 0 || job.record.advice.is_some();
+        if !is_constrained && !step.long_running {
             self.unplaceable.push(step.charge());
         }
     }
@@ -142,11 +142,11 @@
         let Some(job) = self.jobs.get(&of.job) else {
             return;
         };
-        let (step, tasks) = (job.step(of.step), job.steps.get(&(of.time, of.step)));
-        let Some(tasks) = tasks.filter(|_| step.lasting) else {
+        let (step, tasks) = (job.step(of.step), job.steps.get(&(of.occurrence, of.step)));
+        let Some(tasks) = tasks.filter(|_| step.long_running) else {
             return;
         };
-        let worker = self.scene(now).to_reserve(step, tasks).map(|w| w.report.id.clone());
+        let worker = self.scene(now).worker_to_reserve(step, tasks).map(|w| w.report.id.clone());
         self.reserved.extend(worker);
     }
 
@@ -155,21 +155,21 @@
         let Some(job) = self.jobs.get_mut(&of.job) else {
             return;
         };
-        let pause = WAITING_LOG_MS << job.times_told.min(WAITING_LOG_MAX_DOUBLINGS);
-        if now.since(job.told_waiting) < pause {
+        let pause = WAITING_LOG_MS << job.wait_logs.min(WAITING_LOG_MAX_DOUBLINGS);
+        if now.since(job.wait_logged) < pause {
             return;
         }
         let step = job.record.steps[of.step as usize].clone();
         let ticketed = job.record.advice.is_some();
         // The first call only starts the delay: a short wait is not logged.
-        let first = job.told_waiting == Steady::default();
-        job.told_waiting = now;
-        job.times_told += u32::from(!first);
-        let Some(tasks) = job.steps.get(&(of.time, of.step)).filter(|_| !first) else {
+        let first = job.wait_logged == Steady::default();
+        job.wait_logged = now;
+        job.wait_logs += u32::from(!first);
+        let Some(tasks) = job.steps.get(&(of.occurrence, of.step)).filter(|_| !first) else {
             return;
         };
         let (workers, emptying) = (&self.workers, &self.draining);
-        let scene = Scene { workers, emptying, reserved: &self.reserved, now };
+        let scene = TaskPlacer { workers, draining: emptying, reserved: &self.reserved, now };
         let refusals = scene.refusals(&step, tasks, ticketed);
         log::info!("job {}: step {of} waits: {refusals:?}", of.job);
     }
@@ -183,14 +183,14 @@
         let Some(job) = self.jobs.get(&of.job) else {
             return Vec::new();
         };
-        let Some(tasks) = job.steps.get(&(of.time, of.step)) else {
+        let Some(tasks) = job.steps.get(&(of.occurrence, of.step)) else {
             return Vec::new();
         };
         let waits = |(index, task): (usize, &crate::jobs::job::Task)| {
             let index = index as u32;
             // For a run that was taken over its place is known, but not how often its task has
             // failed.
-            let known = task.accounted && !job.may_have_failed(of, index);
+            let known = task.location_known && !job.may_have_failed(of, index);
             let certain = known || !unconfirmed.covers(&TaskId { of, index });
             let may = task.not_before <= now && certain && job.may_start(task);
             (task.is_waiting() && may).then_some(index)
@@ -203,7 +203,7 @@
         let is_announced = |index: &u32| {
             let job = self.jobs.get(&of.job);
             let task = job.and_then(|job| job.task(of, *index));
-            task.is_some_and(|task| task.trial_at.is_some())
+            task.is_some_and(|task| task.isolated_worker.is_some())
         };
         tasks.into_iter().partition(is_announced)
     }
@@ -239,7 +239,7 @@
         now: Steady,
     ) -> Option<Incarnation> {
         let job = self.jobs.get(&of.job)?;
-        let tasks = job.steps.get(&(of.time, of.step))?;
+        let tasks = job.steps.get(&(of.occurrence, of.step))?;
         let task = tasks.tasks.get(index as usize)?;
         let scene = self.scene(now);
         let ticketed = job.record.advice.is_some();
@@ -258,7 +258,7 @@
         }
         let racks: BTreeSet<String> = self.workers.values().map(|w| w.rack().to_owned()).collect();
         let mut choices: Vec<Option<String>> = racks.into_iter().map(Some).collect();
-        choices.sort_by_key(|rack| rack.as_deref() != Some(step.near.as_str()));
+        choices.sort_by_key(|rack| rack.as_deref() != Some(step.data_rack.as_str()));
         if !step.same_rack {
             choices = vec![None];
         } else {
@@ -297,7 +297,7 @@
         }
         for (index, id) in &places {
             if let Some(worker) = self.workers.get_mut(id) {
-                worker.vacate(TaskId { of, index: *index }, &charge);
+                worker.release(TaskId { of, index: *index }, &charge);
             }
         }
         (places.len() == waiting.len()).then_some(places)
@@ -311,15 +311,16 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(tasks) =
-            self.jobs.get_mut(&of.job).and_then(|job| job.steps.get_mut(&(of.time, of.step)))
+            self.jobs.get_mut(&of.job).and_then(|job| job.steps.get_mut(&(of.occurrence, of.step)))
         else {
             return;
         };
         let run = tasks.tasks.iter().map(|task| task.run).max().unwrap_or_default();
-        let saved = tasks.tasks.iter().map(|task| task.saved.clone()).max().unwrap_or_default();
+        let saved =
+            tasks.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
         for task in &mut tasks.tasks {
             task.run = run;
-            task.saved = saved.clone();
+            task.checkpoint = saved.clone();
         }
         for (index, worker) in places {
             self.start_run(of, index, &worker, Some(saved.clone()), now, out);
@@ -342,30 +343,31 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let Some(until_ms) = worker.give(now.steady) else {
+        let Some(until_ms) = worker.extend_lease(now.steady) else {
             return;
         };
-        let (charge, long_running) = (job.step(of.step).charge(), job.step(of.step).lasting);
+        let (charge, long_running) = (job.step(of.step).charge(), job.step(of.step).long_running);
         let payload = job.record.payload.clone();
-        let ticket = job.steps.get(&(of.time, of.step)).and_then(|step| step.tickets.get(id));
+        let ticket = job.steps.get(&(of.occurrence, of.step)).and_then(|step| step.tickets.get(id));
         let ticket = ticket.map(|(ticket, _)| ticket.clone()).unwrap_or_default();
         let Some(entry) = job.task_mut(of, index) else {
             return;
         };
         entry.run += 1;
-        entry.accounted = true;
+        entry.location_known = true;
         let previous = entry.previous.take();
-        let (run, checkpoint) = (entry.run, saved.unwrap_or_else(|| entry.saved.clone()));
+        let (run, checkpoint) = (entry.run, saved.unwrap_or_else(|| entry.checkpoint.clone()));
         let trial = entry.suspect;
-        entry
-            .copies
-            .push(Copy { trial, ..Copy::new(id.clone(), run, Phase::Starting, now.steady) });
+        entry.runs.push(Run {
+            isolated: trial,
+            ..Run::new(id.clone(), run, Phase::Starting, now.steady)
+        });
         let task = TaskId { of, index };
         worker.occupy(task, run, &charge);
         if entry.suspect {
-            worker.trial = Some(task);
-            worker.next_look = now.steady.after(ISOLATED_RETRY_POLL_MS);
-            worker.hurried = true;
+            worker.isolated_task = Some(task);
+            worker.next_poll = now.steady.after(ISOLATED_RETRY_POLL_MS);
+            worker.urgent_poll = true;
             log::info!(
                 "job {}: task {task} run {run} at {id}: on trial: {} workers were lost under it",
                 of.job,
@@ -374,8 +376,8 @@
         }
         match &previous {
             Some(before) => {
-                *self.counts.restarts.entry(before.why.word()).or_default() += 1;
-                let before = before.told(now.steady);
+                *self.counts.restarts.entry(before.reason.word()).or_default() += 1;
+                let before = before.describe(now.steady);
                 log::info!(
                     "job {}: task {task} run {run} at {id}: started again by token {token}: {before}",
                     of.job
@@ -399,11 +401,11 @@
             .filter(|worker| {
                 worker.report.leaves_ms.is_some() || self.draining.contains_key(&worker.report.host)
             })
-            .filter(|worker| !worker.copies.is_empty())
+            .filter(|worker| !worker.runs.is_empty())
             .map(|worker| worker.report.id.clone())
             .collect();
         for id in to_drain {
-            let tasks: Vec<TaskId> = self.workers[&id].copies.keys().copied().collect();
+            let tasks: Vec<TaskId> = self.workers[&id].runs.keys().copied().collect();
             for task in tasks {
                 if self.may_stop_for_leave(task, &id, now) {
                     log::info!(
@@ -422,7 +424,7 @@
             return false;
         };
         let step = job.step(task.of.step);
-        let Some(tasks) = job.steps.get(&(task.of.time, task.of.step)) else {
+        let Some(tasks) = job.steps.get(&(task.of.occurrence, task.of.step)) else {
             return false;
         };
         let Some(worker) = self.workers.get(id) else {
@@ -430,24 +432,24 @@
         };
         let task_run = tasks.tasks.get(task.index as usize);
         let task_run =
-            task_run.and_then(|task| task.copies.iter().find(|task_run| task_run.worker == *id));
+            task_run.and_then(|task| task.runs.iter().find(|task_run| task_run.worker == *id));
         let Some(task_run) = task_run.filter(|task_run| task_run.phase == Phase::Running) else {
             return false;
         };
-        if !step.lasting {
+        if !step.long_running {
             // Tasks with checkpoints resume where they were; others, and those that are nearly
             // done, run to their end.
             let estimate = self.durations.expect(&job.record.queue, step.estimate_ms);
             let left = estimate * u64::from(100 - task_run.percent.min(100)) / 100;
-            return step.saves && MOVE_MIN_REMAINING_MS < left;
+            return step.checkpoints && MOVE_MIN_REMAINING_MS < left;
         }
-        if worker.report.leaves_ms.is_some() || step.may_miss == 0 {
+        if worker.report.leaves_ms.is_some() || step.max_unavailable == 0 {
             return true;
         }
-        let is_ready = |task_run: &Copy| {
+        let is_ready = |task_run: &Run| {
             // A silent worker may have ended.
             let answers =
-                self.workers.get(&task_run.worker).is_some_and(|worker| worker.is_heard(now));
+                self.workers.get(&task_run.worker).is_some_and(|worker| worker.is_responsive(now));
             // An earlier owner may have ordered a run that was taken over to stop.
             let is_certain = task_run.adopted.is_none_or(|at| LATE_STOP_MS <= now.since(at));
             answers
@@ -455,8 +457,7 @@
                 && task_run.phase == Phase::Running
                 && READY_PERCENT <= task_run.percent
         };
-        let unavailable =
-            tasks.tasks.iter().filter(|task| !task.copies.iter().any(is_ready)).count();
-        (unavailable as u32) < step.may_miss
+        let unavailable = tasks.tasks.iter().filter(|task| !task.runs.iter().any(is_ready)).count();
+        (unavailable as u32) < step.max_unavailable
     }
 }
--- a/src/jobs/owner/roster.rs
+++ b/src/jobs/owner/roster.rs
@@ -9,7 +9,7 @@
         event::{Effect, Event},
         handover::Handover,
         job::{Job, Task},
-        roster::{Away, Holding, Roster, RosterNote},
+        roster::{Holding, Roster, RosterWrite, SilentWorkers},
         worker::Worker,
     },
     model::{
@@ -57,7 +57,7 @@
     pub(crate) fn inherit(
         &mut self,
         workers: Vec<WorkerReport>,
-        away: &Away,
+        away: &SilentWorkers,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -75,7 +75,7 @@
                 self.handle(Event::Worker(report), now, out);
                 self.handle(Event::Unlisted(id.worker.clone()), now, out);
                 if let Some(worker) = self.workers.get_mut(&id) {
-                    worker.heard = has_answered;
+                    worker.has_answered = has_answered;
                 }
             }
         }
@@ -84,7 +84,7 @@
     /// What to persist for the next owner when this one gives no further orders; none if it does
     /// not know all that may run. It holds whether or not pending writes take effect before it:
     /// none can take effect after it, since they are conditional on this ownership.
-    pub(crate) fn parting(&self, now: Now) -> Option<Away> {
+    pub(crate) fn handover_record(&self, now: Now) -> Option<SilentWorkers> {
         let recently = |at| now.steady.since(at) < UNKNOWN_RUN_MS;
         if !self.unknown.is_empty() || self.unknown_seen.is_some_and(recently) {
             return None;
@@ -94,7 +94,7 @@
         };
         for job in self.jobs.values() {
             for ((time, step), entries) in &job.steps {
-                let of = StepId { job: job.id, time: *time, step: *step };
+                let of = StepId { job: job.id, occurrence: *time, step: *step };
                 let numbered = (0u32..).zip(&entries.tasks);
                 let held = numbered.filter(|(_, task)| self.may_run_or_count(job, task));
                 tasks.extend(held.map(|(index, _)| TaskId { of, index }));
@@ -103,7 +103,7 @@
         let handover = Some(Handover::new(self.earlier, tasks)?);
         let silent =
             self.roster.listed().filter_map(|id| Some((id.clone(), self.silent_holding(id)?)));
-        Some(Away { silent: silent.collect(), handover })
+        Some(SilentWorkers { silent: silent.collect(), handover })
     }
 
     /// Whether a run of a task may exist somewhere, or has ended with a result that is not durable
@@ -111,7 +111,7 @@
     fn may_run_or_count(&self, job: &Job, task: &Task) -> bool {
         let begun = task.run != 0 && task.run != self.first_run;
         let uncounted = job.is_dirty() && (task.done || begun || job.state.is_final());
-        !task.copies.is_empty() || uncounted
+        !task.runs.is_empty() || uncounted
     }
 
     /// What may run at a listed worker that does not answer or is no longer to be used; none if it
@@ -121,36 +121,37 @@
             // It has ended, or all that it may run has expired.
             return Some(BTreeSet::new());
         };
-        if !worker.told_all {
+        if !worker.reported_all {
             return match self.roster.holding(id) {
                 Some(Holding::Only(tasks)) => Some(tasks.clone()),
                 Some(Holding::Any) | None => None,
             };
         }
         let is_drained = self.draining.contains_key(&worker.report.host) && worker.is_empty();
-        let silent = worker.misses != 0 && worker.unacknowledged.is_empty();
-        (is_drained || silent).then(|| worker.copies.keys().copied().collect())
+        let silent = worker.missed_polls != 0 && worker.unacknowledged.is_empty();
+        (is_drained || silent).then(|| worker.runs.keys().copied().collect())
     }
 
     /// What is to be persisted for a later owner, if that has changed, in one write that changes
     /// the records of at most `limit` workers. The caller reports when it is persisted; workers get
     /// work only by what is persisted.
-    pub(crate) fn roster_note(&mut self, limit: usize) -> Option<RosterNote> {
+    pub(crate) fn roster_note(&mut self, limit: usize) -> Option<RosterWrite> {
         let holdings = self.holdings();
         let workers = &self.workers;
-        let note = self.roster.note(holdings, limit, |id| workers.get(id).map(|w| &w.report))?;
+        let note =
+            self.roster.next_write(holdings, limit, |id| workers.get(id).map(|w| &w.report))?;
         for worker in self.workers.values_mut() {
-            worker.rostered &= note.lets_work(&worker.report.id);
+            worker.rostered &= note.allows_work(&worker.report.id);
         }
         Some(note)
     }
 
     /// Records that the roster was persisted by the write with this revision.
-    pub(crate) fn rostered(&mut self, note: &RosterNote, revision: Revision) {
-        self.roster.kept(note);
+    pub(crate) fn note_roster_written(&mut self, note: &RosterWrite, revision: Revision) {
+        self.roster.confirm_write(note);
         for worker in self.workers.values_mut() {
-            worker.rostered = note.lets_work(&worker.report.id);
-            worker.give_fence(revision);
+            worker.rostered = note.allows_work(&worker.report.id);
+            worker.assign_fencing_token(revision);
         }
     }
 
@@ -162,14 +163,14 @@
 
     fn holding_of(&self, worker: &Worker) -> Option<Holding> {
         let persisted = self.roster.holding(&worker.report.id);
-        if !worker.told_all {
-            return persisted.or(worker.inherited.as_ref()).cloned();
+        if !worker.reported_all {
+            return persisted.or(worker.earlier_tasks.as_ref()).cloned();
         }
-        if worker.misses < SILENT_MISSES {
+        if worker.missed_polls < SILENT_MISSES {
             let is_drained = self.draining.contains_key(&worker.report.host) && worker.is_empty();
             return (!is_drained).then_some(Holding::Any);
         }
-        let tasks: BTreeSet<TaskId> = worker.copies.keys().copied().collect();
+        let tasks: BTreeSet<TaskId> = worker.runs.keys().copied().collect();
         (persisted.is_some() || !tasks.is_empty()).then_some(Holding::Only(tasks))
     }
 
@@ -180,7 +181,7 @@
             return;
         }
         self.unblocking_logged = true;
-        let polled = self.workers.values().filter(|worker| worker.touched).count();
+        let polled = self.workers.values().filter(|worker| worker.has_reported).count();
         let (workers, token) = (self.workers.len(), self.token);
         let rest = if self.fenced_until <= now {
             "all other runs have expired"
@@ -200,13 +201,13 @@
         let confirmed = self.confirmed.min(now);
         let fence_passed = self.fenced_until <= confirmed;
         let may_hide = |worker: &&Worker| match fence_passed {
-            true => worker.owes_ends(confirmed),
-            false => !worker.told_all,
+            true => worker.may_list_unseen_ends(confirmed),
+            false => !worker.reported_all,
         };
         let mut any = false;
         for worker in self.workers.values().filter(may_hide) {
             let held = self.roster.holding(&worker.report.id);
-            match held.or(worker.inherited.as_ref()) {
+            match held.or(worker.earlier_tasks.as_ref()) {
                 Some(Holding::Any) => any = true,
                 Some(Holding::Only(held)) => {
                     tasks.extend(held.iter().inspect(|_| tally_unconfirmed()));
--- a/src/jobs/owner/shown.rs
+++ b/src/jobs/owner/shown.rs
@@ -22,10 +22,10 @@
     pub(crate) waiting: usize,
     pub(crate) workers: usize,
     /// Workers that answer.
-    pub(crate) touched: usize,
+    pub(crate) responding: usize,
     /// The workers' processor time in use, in millicores.
     pub(crate) used: u32,
-    pub(crate) room: u32,
+    pub(crate) capacity: u32,
 }
 
 /// The use of a host's processor time, in percent, up to which it counts as light.
@@ -47,7 +47,7 @@
 
 /// A host on which nothing runs or can begin, as long as its drain mark stands.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Emptied {
+pub(crate) struct DrainedHost {
     pub(crate) host: HostId,
     /// The worker on which nothing runs.
     pub(crate) worker: Incarnation,
@@ -61,9 +61,9 @@
         let mut summary = Summary { jobs: self.jobs.len(), ..Summary::default() };
         for worker in self.workers.values() {
             summary.workers += 1;
-            summary.touched += usize::from(worker.touched && worker.misses == 0);
+            summary.responding += usize::from(worker.has_reported && worker.missed_polls == 0);
             summary.used += worker.used.cpu.0;
-            summary.room += worker.report.room.cpu.0;
+            summary.capacity += worker.report.capacity.cpu.0;
         }
         let steps = self.jobs.values().flat_map(|job| job.steps.values());
         let tasks = steps.flat_map(|step| &step.tasks);
@@ -82,14 +82,16 @@
     }
 
     /// The hosts to be drained on whose workers nothing runs or can begin.
-    pub(crate) fn emptied(&self) -> Vec<Emptied> {
+    pub(crate) fn drained_hosts(&self) -> Vec<DrainedHost> {
         let empty = |worker: &&Worker| {
-            self.draining.contains_key(&worker.report.host) && worker.touched && worker.is_empty()
+            self.draining.contains_key(&worker.report.host)
+                && worker.has_reported
+                && worker.is_empty()
         };
         let workers = self.workers.values().filter(empty);
         let emptied = |worker: &Worker| {
             let (host, worker) = (worker.report.host.clone(), worker.report.id.clone());
-            Emptied { mark: self.draining[&host], host, worker }
+            DrainedHost { mark: self.draining[&host], host, worker }
         };
         workers.map(emptied).collect()
     }
@@ -98,12 +100,12 @@
     pub(crate) fn usage(&self) -> HostUsage {
         let mut usage = HostUsage::default();
         let (mut light, mut busy) = (Vec::new(), Vec::new());
-        for worker in self.workers.values().filter(|worker| worker.touched) {
+        for worker in self.workers.values().filter(|worker| worker.has_reported) {
             let host = worker.report.host.clone();
-            let share = worker.used.cpu.0 * 100 / worker.report.room.cpu.0.max(1);
-            if worker.copies.is_empty() {
+            let share = worker.used.cpu.0 * 100 / worker.report.capacity.cpu.0.max(1);
+            if worker.runs.is_empty() {
                 usage.idle.insert(host);
-            } else if !worker.copies.keys().any(|task| self.is_long_running(task)) {
+            } else if !worker.runs.keys().any(|task| self.is_long_running(task)) {
                 let list = if share <= LIGHT_LOAD_PERCENT { &mut light } else { &mut busy };
                 list.push((share, host));
             }
@@ -126,6 +128,6 @@
     }
 
     fn is_long_running(&self, task: &TaskId) -> bool {
-        self.jobs.get(&task.of.job).is_some_and(|job| job.step(task.of.step).lasting)
+        self.jobs.get(&task.of.job).is_some_and(|job| job.step(task.of.step).long_running)
     }
 }
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -9,7 +9,7 @@
     },
     model::{
         id::{HostId, Incarnation},
-        job::{Room, Step},
+        job::{Step, TaskResources},
         unit::{Revision, Steady},
     },
 };
@@ -34,20 +34,20 @@
 }
 
 /// The state on which a placement is based, besides the task.
-pub(crate) struct Scene<'a> {
+pub(crate) struct TaskPlacer<'a> {
     pub(crate) workers: &'a BTreeMap<Incarnation, Worker>,
     /// Hosts that are being drained.
-    pub(crate) emptying: &'a BTreeMap<HostId, Revision>,
+    pub(crate) draining: &'a BTreeMap<HostId, Revision>,
     /// Workers whose resources are reserved for lasting tasks.
     pub(crate) reserved: &'a BTreeSet<Incarnation>,
     pub(crate) now: Steady,
 }
 
-impl Scene<'_> {
+impl TaskPlacer<'_> {
     /// Whether a worker may run a step, regardless of resources and tickets.
     pub(crate) fn is_eligible(&self, worker: &Worker, step: &Step) -> bool {
         worker.takes_work(self.now)
-            && !self.emptying.contains_key(&worker.report.host)
+            && !self.draining.contains_key(&worker.report.host)
             && (step.label.is_empty() || worker.report.labels.contains(&step.label))
     }
 
@@ -56,11 +56,11 @@
     /// other worker was found for a while. Otherwise, tasks that must not be down together could
     /// block each other.
     fn may_start_on_draining_host(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
-        let starved = tasks.starved.is_some_and(|since| STARVED_MS < self.now.since(since));
-        step.lasting
+        let starved = tasks.unplaced_since.is_some_and(|since| STARVED_MS < self.now.since(since));
+        step.long_running
             && starved
             && worker.takes_work(self.now)
-            && !worker.copies.is_empty()
+            && !worker.runs.is_empty()
             && (step.label.is_empty() || worker.report.labels.contains(&step.label))
     }
 
@@ -75,28 +75,28 @@
         rack: Option<&str>,
     ) -> Option<&Worker> {
         let fits = |worker: &&Worker| {
-            worker.trial.is_none()
-                && self.may_take(worker, step, tasks, needs_ticket)
+            worker.isolated_task.is_none()
+                && self.can_run(worker, step, tasks, needs_ticket)
                 && rack.is_none_or(|rack| worker.rack() == rack)
         };
         self.workers.values().filter(fits).min_by_key(|worker| {
-            let is_far = !step.near.is_empty() && worker.rack() != step.near;
+            let is_far = !step.data_rack.is_empty() && worker.rack() != step.data_rack;
             let has_failed = task.failed_at.contains(&worker.report.id);
             // A task that has failed before needs a worker that is known to work.
             let is_suspect = worker.is_suspect();
             let cpu_left = worker.cpu_left();
             // If a worker is lost with several new runs, it is not known which of them crashed it,
             // and everything else that runs there is lost too.
-            let has_new_runs = task.suspect && !worker.is_settled();
-            let by_count = step.fills || task.suspect;
-            let load = if by_count { worker.copies.len() as u32 } else { cpu_left };
+            let has_new_runs = task.suspect && !worker.all_runs_stable();
+            let by_count = step.background || task.suspect;
+            let load = if by_count { worker.runs.len() as u32 } else { cpu_left };
             (has_failed, is_suspect, has_new_runs, !worker.is_listed(), is_far, load)
         })
     }
 
     /// Whether a worker may run a task of a step and has the resources for it, regardless of an
     /// isolated retry there.
-    pub(crate) fn may_take(
+    pub(crate) fn can_run(
         &self,
         worker: &Worker,
         step: &Step,
@@ -104,19 +104,19 @@
         needs_ticket: bool,
     ) -> bool {
         (self.is_eligible(worker, step) || self.may_start_on_draining_host(worker, step, tasks))
-            && (step.lasting || !self.reserved.contains(&worker.report.id))
-            && worker.report.room.fits(&worker.used, &step.charge())
+            && (step.long_running || !self.reserved.contains(&worker.report.id))
+            && worker.report.capacity.fits(&worker.used, &step.charge())
             && self.satisfies_spread(worker, step, tasks)
             && (!needs_ticket || self.has_ticket(worker, tasks))
     }
 
     /// The worker where resources for a lasting task become free first if no other work starts
     /// there: the one with the most processor time left.
-    pub(crate) fn to_reserve(&self, step: &Step, tasks: &StepTasks) -> Option<&Worker> {
+    pub(crate) fn worker_to_reserve(&self, step: &Step, tasks: &StepTasks) -> Option<&Worker> {
         let charge = step.charge();
         let is_possible = |worker: &&Worker| {
             self.is_eligible(worker, step)
-                && worker.report.room.fits(&Room::default(), &charge)
+                && worker.report.capacity.fits(&TaskResources::default(), &charge)
                 && self.satisfies_spread(worker, step, tasks)
         };
         self.workers.values().filter(is_possible).max_by_key(|worker| worker.cpu_left())
@@ -126,10 +126,10 @@
     pub(crate) fn refusals(&self, step: &Step, tasks: &StepTasks, needs_ticket: bool) -> Refusals {
         let mut refusals = Refusals::default();
         for worker in self.workers.values() {
-            let reason = if !worker.touched || !worker.is_heard(self.now) {
+            let reason = if !worker.has_reported || !worker.is_responsive(self.now) {
                 &mut refusals.silent
             } else if worker.report.leaves_ms.is_some()
-                || self.emptying.contains_key(&worker.report.host)
+                || self.draining.contains_key(&worker.report.host)
             {
                 &mut refusals.leaving
             } else if !self.is_eligible(worker, step) {
@@ -147,12 +147,12 @@
     }
 
     fn satisfies_spread(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
-        if step.apart == 0 {
+        if step.max_per_worker == 0 {
             return true;
         }
         let id = &worker.report.id;
-        let runs_there = |task: &&Task| task.copies.iter().any(|copy| copy.worker == *id);
-        (tasks.tasks.iter().filter(runs_there).count() as u32) < step.apart
+        let runs_there = |task: &&Task| task.runs.iter().any(|copy| copy.worker == *id);
+        (tasks.tasks.iter().filter(runs_there).count() as u32) < step.max_per_worker
     }
 
     fn has_ticket(&self, worker: &Worker, tasks: &StepTasks) -> bool {
--- a/src/jobs/roster.rs
+++ b/src/jobs/roster.rs
@@ -33,7 +33,7 @@
 
 /// The listed workers that are silent, with all tasks that may run there.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub(crate) struct Away {
+pub(crate) struct SilentWorkers {
     #[serde(rename = "s", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub(crate) silent: BTreeMap<Incarnation, BTreeSet<TaskId>>,
     /// The tasks that may run at all others, if the previous owner handed over the pool.
@@ -43,25 +43,25 @@
 
 /// One write of the roster.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct RosterNote {
+pub(crate) struct RosterWrite {
     /// The reports of workers to be added to the list.
     pub(crate) added: Vec<WorkerReport>,
     /// Workers to be removed from the list: nothing can run there.
     pub(crate) dropped: Vec<Incarnation>,
     /// The silent workers among those listed after the write.
-    pub(crate) away: Away,
+    pub(crate) silent_workers: SilentWorkers,
     /// The tasks that each worker may run once the write is done.
     holdings: BTreeMap<Incarnation, Holding>,
 }
 
-impl RosterNote {
+impl RosterWrite {
     /// Whether a worker may get work once the write is done.
-    pub(crate) fn lets_work(&self, id: &Incarnation) -> bool {
+    pub(crate) fn allows_work(&self, id: &Incarnation) -> bool {
         self.holdings.get(id) == Some(&Holding::Any)
     }
 
     /// The number of workers' records that the write changes.
-    pub(crate) fn changes(&self) -> usize {
+    pub(crate) fn record_count(&self) -> usize {
         self.added.len() + self.dropped.len()
     }
 }
@@ -80,7 +80,7 @@
 
 impl Roster {
     /// The roster that earlier owners persisted.
-    pub(crate) fn inherited(workers: &[WorkerReport], away: &Away) -> Roster {
+    pub(crate) fn inherited(workers: &[WorkerReport], away: &SilentWorkers) -> Roster {
         let holding = |id: &Incarnation| match away.silent.get(id) {
             Some(tasks) => Holding::Only(tasks.clone()),
             None => Holding::Any,
@@ -101,12 +101,12 @@
 
     /// The next write that brings the roster to the `wanted` state and changes at most `limit`
     /// workers' records; `None` if that state is already persisted.
-    pub(crate) fn note<'a>(
+    pub(crate) fn next_write<'a>(
         &mut self,
         wanted: BTreeMap<Incarnation, Holding>,
         limit: usize,
         report: impl Fn(&Incarnation) -> Option<&'a WorkerReport>,
-    ) -> Option<RosterNote> {
+    ) -> Option<RosterWrite> {
         if !self.is_write_pending && self.unconfirmed.is_empty() && wanted == self.holdings {
             return None;
         }
@@ -124,11 +124,11 @@
             Holding::Any => None,
             Holding::Only(tasks) => Some((id.clone(), tasks.clone())),
         });
-        let away = Away { silent: silent.collect(), handover: None };
+        let away = SilentWorkers { silent: silent.collect(), handover: None };
         self.is_write_pending = true;
         self.unconfirmed.extend(added.iter().map(|report| report.id.clone()));
         self.unconfirmed.extend(dropped.iter().cloned());
-        Some(RosterNote { added, dropped, away, holdings })
+        Some(RosterWrite { added, dropped, silent_workers: away, holdings })
     }
 
     /// The tasks that each certainly listed worker may run once a write is done. A worker that the
@@ -152,7 +152,7 @@
     }
 
     /// Records that a write was done.
-    pub(crate) fn kept(&mut self, note: &RosterNote) {
+    pub(crate) fn confirm_write(&mut self, note: &RosterWrite) {
         self.holdings = note.holdings.clone();
         for id in note.added.iter().map(|report| &report.id).chain(&note.dropped) {
             self.unconfirmed.remove(id);
--- a/src/jobs/saves.rs
+++ b/src/jobs/saves.rs
@@ -53,7 +53,7 @@
     }
 
     /// Records that the write of a job's progress has ended, whether or not it succeeded.
-    pub(crate) fn settle(&mut self, id: JobId) {
+    pub(crate) fn finish(&mut self, id: JobId) {
         self.writing.remove(&id);
     }
 }
--- a/src/jobs/tests/balance.rs
+++ b/src/jobs/tests/balance.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::{
-    jobs::balance::{Capacity, pool_cost, rank, to_give},
+    jobs::balance::{Capacity, pool_cost, rank, to_release},
     model::unit::Millicores,
 };
 
@@ -41,7 +41,7 @@
     let (large, small) = (pool_cost(80), pool_cost(10));
     let nodes = nodes(&[("a", 120, large.0 + small.0), ("b", 500, 0)]);
     let owned = BTreeMap::from([("pool-large", large), ("pool-small", small)]);
-    assert_eq!(to_give(&nodes, "a", &owned), Some("pool-large"));
+    assert_eq!(to_release(&nodes, "a", &owned), Some("pool-large"));
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let cost = pool_cost(80);
     let owned = BTreeMap::from([("pool", cost)]);
     let not_overloaded = nodes(&[("a", 500, cost.0), ("b", 500, 0)]);
-    assert_eq!(to_give(&not_overloaded, "a", &owned), None);
+    assert_eq!(to_release(&not_overloaded, "a", &owned), None);
     let equally_loaded = nodes(&[("a", 120, cost.0), ("b", 120, 0)]);
-    assert_eq!(to_give(&equally_loaded, "a", &owned), None);
+    assert_eq!(to_release(&equally_loaded, "a", &owned), None);
 }
--- a/src/jobs/tests/cold.rs
+++ b/src/jobs/tests/cold.rs
@@ -1,21 +1,21 @@
 //! Tests of the conclusions that an owner draws from missing information.
 
-use super::{Bench, done, id, one_worker, report, step, stored};
+use super::{Harness, done, id, one_worker, report, step, stored};
 use crate::{
     jobs::{
         event::{Effect, Event},
-        roster::Away,
+        roster::SilentWorkers,
     },
     model::job::TaskId,
 };
 
 /// The highest end that the owner's next poll acknowledges.
-fn acknowledged(harness: &mut Bench) -> u64 {
+fn acknowledged(harness: &mut Harness) -> u64 {
     harness.effects.clear();
     harness.now += 1_100;
     harness.work();
     let polls = harness.effects.iter().filter_map(|effect| match effect {
-        Effect::Look { acknowledged, .. } => Some(*acknowledged),
+        Effect::Poll { acknowledged, .. } => Some(*acknowledged),
         _ => None,
     });
     polls.max().expect("a poll is due")
@@ -29,23 +29,23 @@
 /// started anew.
 #[test]
 fn an_end_of_a_job_that_cannot_be_read_yet_is_not_acknowledged() {
-    let mut harness = Bench::inheriting(&[("w1", "h1")], Away::default());
+    let mut harness = Harness::inheriting(&[("w1", "h1")], SilentWorkers::default());
     let task: TaskId = format!("{}.0.0.0", id(1)).parse().unwrap();
     let mut ended = vec![done(1, task, 1)];
     harness.work();
-    harness.look("w1", vec![], ended.clone());
-    harness.keep_roster();
+    harness.poll("w1", vec![], ended.clone());
+    harness.persist_roster();
     for _ in 0..3 {
         let highest = acknowledged(&mut harness);
         ended.retain(|end| highest < end.number);
-        harness.look("w1", vec![], ended.clone());
+        harness.poll("w1", vec![], ended.clone());
     }
     let discarded = ended.is_empty();
-    harness.tell(Event::Job(stored(1, vec![step(1)], 50)));
-    harness.look("w1", vec![], ended);
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
+    harness.poll("w1", vec![], ended);
     harness.effects.clear();
     harness.work();
-    assert_eq!(harness.starts(), vec![], "it is done; discarded by the worker: {discarded}");
+    assert_eq!(harness.take_starts(), vec![], "it is done; discarded by the worker: {discarded}");
 }
 
 /// Guards against a second run of a task whose end was acknowledged (fuzzing seed 7002368). A
@@ -56,26 +56,26 @@
 #[test]
 fn a_second_end_of_a_task_is_acknowledged_only_once_the_first_is_durable() {
     let mut harness = one_worker();
-    harness.tell(Event::Worker(report("w2", "h2")));
-    harness.touch("w2", vec![]);
-    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.deliver(Event::Worker(report("w2", "h2")));
+    harness.connect("w2", vec![]);
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 110)));
     harness.work();
-    let (task, run, first) = harness.starts()[0].clone();
-    harness.started(task, run, &first);
+    let (task, run, first) = harness.take_starts()[0].clone();
+    harness.confirm_start(task, run, &first);
     let second = if first.worker.as_str() == "w1" { "w2" } else { "w1" };
-    harness.miss(first.worker.as_str());
+    harness.poll_unanswered(first.worker.as_str());
     harness.now += 10_000;
-    harness.look(second, vec![], vec![]);
+    harness.poll(second, vec![], vec![]);
     harness.work();
-    let (_, again, at) = harness.starts()[0].clone();
+    let (_, again, at) = harness.take_starts()[0].clone();
     assert_eq!(at.worker.as_str(), second, "the run at the silent worker has expired");
-    harness.started(task, again, &at);
+    harness.confirm_start(task, again, &at);
     harness.now += 500;
-    harness.look(first.worker.as_str(), vec![], vec![done(1, task, run)]);
-    harness.look(second, vec![], vec![done(1, task, again)]);
+    harness.poll(first.worker.as_str(), vec![], vec![done(1, task, run)]);
+    harness.poll(second, vec![], vec![done(1, task, again)]);
     assert_eq!(acknowledged(&mut harness), 0, "neither end is durable");
-    harness.save();
-    harness.look(first.worker.as_str(), vec![], vec![done(1, task, run)]);
-    harness.look(second, vec![], vec![done(1, task, again)]);
+    harness.persist_progress();
+    harness.poll(first.worker.as_str(), vec![], vec![done(1, task, run)]);
+    harness.poll(second, vec![], vec![done(1, task, again)]);
     assert_eq!(acknowledged(&mut harness), 1);
 }
--- a/src/jobs/tests/crashes.rs
+++ b/src/jobs/tests/crashes.rs
@@ -63,7 +63,7 @@
 #[test]
 fn an_owner_gives_up_a_lasting_task_that_crashes_its_workers() {
     for mut pool in Pool::with_each_naming(6) {
-        let job = pool.submit(vec![Step { lasting: true, ..step(2) }]);
+        let job = pool.submit(vec![Step { long_running: true, ..step(2) }]);
         pool.crashing_tasks.insert(pool.task(job, 0, 0));
         pool.run(LONG_MS);
         assert!(pool.max_starts_after_three() <= MAX_STARTS_AFTER_THREE, "{:?}", pool.crashed);
@@ -76,7 +76,7 @@
 fn tasks_beside_tasks_that_crash_their_workers_succeed() {
     for mut pool in Pool::with_each_naming(6) {
         let small = Step {
-            need: crate::model::job::Room { cpu: Millicores(250), ..step(1).need },
+            need: crate::model::job::TaskResources { cpu: Millicores(250), ..step(1).need },
             ..step(6)
         };
         let mut others = Vec::new();
@@ -107,7 +107,7 @@
 #[test]
 fn tasks_whose_hosts_lose_power_are_not_given_up() {
     for mut pool in Pool::with_each_naming(6) {
-        let lasting = pool.submit(vec![Step { lasting: true, ..step(3) }]);
+        let lasting = pool.submit(vec![Step { long_running: true, ..step(3) }]);
         let jobs: Vec<_> = (0..4)
             .map(|_| pool.submit(vec![step(2), Step { after: vec![0], ..step(2) }]))
             .collect();
--- a/src/jobs/tests/crashes/announced.rs
+++ b/src/jobs/tests/crashes/announced.rs
@@ -17,7 +17,7 @@
 /// `number` consecutive steps of `count` tasks, each on a different worker.
 fn steps(number: u32, count: u32) -> Vec<Step> {
     let after = |step: u32| step.checked_sub(1).into_iter().collect();
-    (0..number).map(|of| Step { after: after(of), apart: 1, ..step(count) }).collect()
+    (0..number).map(|of| Step { after: after(of), max_per_worker: 1, ..step(count) }).collect()
 }
 
 #[test]
--- a/src/jobs/tests/crashes/many.rs
+++ b/src/jobs/tests/crashes/many.rs
@@ -9,7 +9,7 @@
 use crate::{
     jobs::tests::step,
     model::{
-        job::{JobId, JobState, Room, Step},
+        job::{JobId, JobState, Step, TaskResources},
         unit::Millicores,
     },
 };
@@ -18,7 +18,7 @@
 const LONG_MS: u64 = 60_000;
 
 fn small(count: u32) -> Step {
-    Step { need: Room { cpu: Millicores(250), ..step(1).need }, ..step(count) }
+    Step { need: TaskResources { cpu: Millicores(250), ..step(1).need }, ..step(count) }
 }
 
 /// Submits a job every `interval_ms` for ten seconds, every `nth` with a task that crashes its
@@ -41,7 +41,7 @@
 fn check(hosts: usize, interval_ms: u64, nth: usize) {
     for mut pool in Pool::with_each_naming(hosts) {
         let lasting: Vec<JobId> =
-            (0..3).map(|_| pool.submit(vec![Step { lasting: true, ..small(6) }])).collect();
+            (0..3).map(|_| pool.submit(vec![Step { long_running: true, ..small(6) }])).collect();
         pool.run(1_000);
         let (sound, crashing) = submit_jobs(&mut pool, interval_ms, nth);
         pool.run(LONG_MS);
--- a/src/jobs/tests/crashes/pool.rs
+++ b/src/jobs/tests/crashes/pool.rs
@@ -7,14 +7,16 @@
     jobs::{
         event::{Effect, Event, StoredJob},
         owner::Owner,
-        roster::Away,
+        roster::SilentWorkers,
     },
     model::{
         id::Incarnation,
         job::{JobId, JobState, Progress, Step, StepId, TaskId},
         order::Addressee,
         unit::{Now, Revision, Steady, Time},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, Refusal, WorkerReport},
+        worker::{
+            EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome, WorkerReport,
+        },
     },
 };
 
@@ -53,7 +55,7 @@
     /// The zero point of its clock.
     started: u64,
     runs: BTreeMap<TaskId, Run>,
-    ends: Vec<Ended>,
+    ends: Vec<EndedRun>,
     next_end: u64,
     lease_end_ms: u64,
 }
@@ -87,7 +89,7 @@
     pending_answers: Vec<(u64, Event)>,
     jobs: BTreeMap<JobId, StoredJob>,
     progress: BTreeMap<JobId, (Progress, u64)>,
-    roster: (BTreeMap<Incarnation, WorkerReport>, Away),
+    roster: (BTreeMap<Incarnation, WorkerReport>, SilentWorkers),
     /// How long a host is down after a crash.
     pub(super) down_ms: u64,
     /// Tasks that crash every worker that starts them.
@@ -116,7 +118,7 @@
             pending_answers: Vec::new(),
             jobs: BTreeMap::new(),
             progress: BTreeMap::new(),
-            roster: (BTreeMap::new(), Away::default()),
+            roster: (BTreeMap::new(), SilentWorkers::default()),
             down_ms: 3_000,
             crashing_tasks: BTreeSet::new(),
             crashed: BTreeMap::new(),
@@ -173,7 +175,7 @@
     }
 
     pub(super) fn task(&self, job: JobId, step: u32, index: u32) -> TaskId {
-        TaskId { of: StepId { job, time: 0, step }, index }
+        TaskId { of: StepId { job, occurrence: 0, step }, index }
     }
 
     /// The state of a job that callers see: the persisted one.
@@ -186,7 +188,8 @@
     pub(super) fn announced(&self, job: JobId) -> usize {
         let steps = self.progress.get(&job).into_iter().flat_map(|(progress, _)| &progress.steps);
         let tasks = steps.flat_map(|(_, note)| note.tasks.values());
-        let unconfirmed: BTreeSet<&Incarnation> = tasks.flat_map(|note| &note.doubted).collect();
+        let unconfirmed: BTreeSet<&Incarnation> =
+            tasks.flat_map(|note| &note.unconfirmed_crashes).collect();
         let up = self.hosts.iter().filter(|host| host.up_at.is_none());
         up.filter(|host| unconfirmed.contains(&host.process.report.id)).count()
     }
@@ -237,7 +240,7 @@
     fn stored(&self, mut job: StoredJob) -> StoredJob {
         if let Some((progress, revision)) = self.progress.get(&job.id) {
             job.progress = Some(progress.clone().into());
-            job.saved_at = Revision(*revision);
+            job.progress_revision = Revision(*revision);
         }
         job
     }
@@ -259,29 +262,29 @@
         due.into_iter().for_each(|(_, event)| self.handle(event));
         let (now, mut out) = (self.at(), Vec::new());
         self.owner.set_confirmed(now.steady);
-        self.owner.work(now, &mut out);
+        self.owner.tick(now, &mut out);
         self.apply(out);
         self.persist();
     }
 
     /// Writes what the owner wants persisted.
     fn persist(&mut self) {
-        let saves = self.owner.saves(100);
+        let saves = self.owner.take_saves(100);
         if !saves.is_empty() {
             self.revision += 1;
             for save in &saves {
                 let progress = serde_json::from_slice(&save.value).unwrap();
                 self.progress.insert(save.job, (progress, self.revision));
             }
-            self.owner.saved(&saves, Revision(self.revision));
+            self.owner.note_saved(&saves, Revision(self.revision));
         }
         if let Some(note) = self.owner.roster_note(100) {
             let (workers, away) = &mut self.roster;
             workers.extend(note.added.iter().map(|report| (report.id.clone(), report.clone())));
             workers.retain(|id, _| !note.dropped.contains(id));
-            *away = note.away.clone();
+            *away = note.silent_workers.clone();
             self.revision += 1;
-            self.owner.rostered(&note, Revision(self.revision));
+            self.owner.note_roster_written(&note, Revision(self.revision));
         }
     }
 
@@ -315,9 +318,9 @@
                 *remaining_ms
             });
             if lapsed {
-                ended.push((*task, run.number, HowEnded::Lapsed));
+                ended.push((*task, run.number, RunOutcome::Lapsed));
             } else if remaining_ms == Some(0) {
-                ended.push((*task, run.number, HowEnded::Done));
+                ended.push((*task, run.number, RunOutcome::Done));
             }
         }
         for (task, run, how) in ended {
@@ -349,7 +352,7 @@
                     let worker = to.worker;
                     self.answer(end, |end| Event::Stopped { worker, task, run, end });
                 }
-                Effect::Look { to, acknowledged, until_ms, wait } => {
+                Effect::Poll { to, acknowledged, until_ms, wait } => {
                     if let Some(host) = self.host_of(&to)
                         && self.is_addressed(host, &to)
                     {
@@ -360,16 +363,20 @@
                     let (sent, deadline) = (self.now, self.now + wait.as_millis() as u64);
                     self.open_polls.push(OpenPoll { to, acknowledged, sent, deadline });
                 }
-                Effect::Pace { .. } | Effect::Advise { .. } => {}
+                Effect::Throttle { .. } | Effect::Advise { .. } => {}
             }
         }
     }
 
     /// Queues the result of an order for the owner; an order without an answer fails later.
-    fn answer(&mut self, end: Option<OrderEnd<u64>>, event: impl FnOnce(OrderEnd<u64>) -> Event) {
+    fn answer(
+        &mut self,
+        end: Option<OrderResult<u64>>,
+        event: impl FnOnce(OrderResult<u64>) -> Event,
+    ) {
         let (delay_ms, end) = match end {
             Some(end) => (0, end),
-            None => (NO_ANSWER_MS, OrderEnd::Unknown),
+            None => (NO_ANSWER_MS, OrderResult::Unknown),
         };
         self.pending_answers.push((self.now + delay_ms, event(end)));
     }
@@ -391,7 +398,7 @@
         task: TaskId,
         run: u32,
         until_ms: u64,
-    ) -> Option<OrderEnd<u64>> {
+    ) -> Option<OrderResult<u64>> {
         let host = self.host_of(to)?;
         if let Some((crashed, starts)) = self.crashed.get_mut(&task)
             && 3 <= crashed.len()
@@ -399,9 +406,9 @@
             *starts += 1;
         }
         let (now, crashes) = (self.now, self.crashing_tasks.contains(&task));
-        let lasting = self.jobs[&task.of.job].record.steps[task.of.step as usize].lasting;
+        let lasting = self.jobs[&task.of.job].record.steps[task.of.step as usize].long_running;
         if !self.is_addressed(host, to) {
-            return Some(OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None });
+            return Some(OrderResult::Refused { why: Refusal::OtherLife, clock_ms: None });
         }
         let process = &mut self.hosts[host].process;
         process.lease_end_ms = process.lease_end_ms.max(until_ms);
@@ -409,19 +416,19 @@
         if crashes {
             self.hosts[host].next_crash.get_or_insert((now + CRASH_DELAY_MS, task));
         }
-        Some(OrderEnd::Done(self.hosts[host].process.clock(now)))
+        Some(OrderResult::Done(self.hosts[host].process.clock(now)))
     }
 
-    fn stop_run(&mut self, to: &Addressee, task: TaskId, run: u32) -> Option<OrderEnd<u64>> {
+    fn stop_run(&mut self, to: &Addressee, task: TaskId, run: u32) -> Option<OrderResult<u64>> {
         let host = self.host_of(to)?;
         if !self.is_addressed(host, to) {
-            return Some(OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None });
+            return Some(OrderResult::Refused { why: Refusal::OtherLife, clock_ms: None });
         }
         let (now, process) = (self.now, &mut self.hosts[host].process);
         if process.runs.remove(&task).is_some() {
-            process.add_end(task, run, HowEnded::Stopped);
+            process.add_end(task, run, RunOutcome::Stopped);
         }
-        Some(OrderEnd::Done(process.clock(now)))
+        Some(OrderResult::Done(process.clock(now)))
     }
 
     /// Answers polls that have timed out, whose worker has an end to report, or whose host is down.
@@ -432,24 +439,24 @@
                     self.open_polls.push(poll);
                     continue;
                 }
-                None => OrderEnd::Unknown,
+                None => OrderResult::Unknown,
                 Some(host) => {
                     let is_addressed = self.is_addressed(host, &poll.to);
                     let (now, process) = (self.now, &mut self.hosts[host].process);
                     if !is_addressed {
-                        OrderEnd::Refused { why: Refusal::OtherLife, clock_ms: None }
+                        OrderResult::Refused { why: Refusal::OtherLife, clock_ms: None }
                     } else {
                         process.ends.retain(|end| poll.acknowledged < end.number);
                         if process.ends.is_empty() && now < poll.deadline {
                             self.open_polls.push(poll);
                             continue;
                         }
-                        OrderEnd::Done(process.poll_result(now))
+                        OrderResult::Done(process.poll_result(now))
                     }
                 }
             };
             let sent = Steady::from_millis(poll.sent);
-            self.handle(Event::Looked { worker: poll.to.worker, sent, end });
+            self.handle(Event::Polled { worker: poll.to.worker, sent, end });
         }
     }
 }
@@ -466,23 +473,23 @@
         1_000 + now - self.started
     }
 
-    fn add_end(&mut self, task: TaskId, run: u32, how: HowEnded) {
+    fn add_end(&mut self, task: TaskId, run: u32, how: RunOutcome) {
         let number = self.next_end;
         self.next_end += 1;
-        self.ends.push(Ended { number, task, run, how, saved: String::new() });
+        self.ends.push(EndedRun { number, task, run, how, checkpoint: String::new() });
     }
 
-    fn poll_result(&self, now: u64) -> Look {
-        let present = self.runs.iter().map(|(task, run)| Present {
+    fn poll_result(&self, now: u64) -> PollResponse {
+        let present = self.runs.iter().map(|(task, run)| PresentRun {
             task: *task,
             run: run.number,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: run
                 .remaining_ms
                 .map_or(100, |remaining| (100 - remaining * 100 / WORK_MS) as u32),
             gauge: 0,
         });
-        Look {
+        PollResponse {
             born: self.report.id.born,
             clock_ms: self.clock(now),
             present: present.collect(),
--- a/src/jobs/tests/cut.rs
+++ b/src/jobs/tests/cut.rs
@@ -8,13 +8,13 @@
 
 use std::collections::BTreeMap;
 
-use super::{Bench, done, id, one_worker, step, stored, worker_id};
+use super::{Harness, done, id, one_worker, step, stored, worker_id};
 use crate::{
-    jobs::{event::Event, roster::Away},
+    jobs::{event::Event, roster::SilentWorkers},
     model::{
         job::{JobId, TaskId},
         unit::Revision,
-        worker::Ended,
+        worker::EndedRun,
     },
 };
 
@@ -32,26 +32,26 @@
 }
 
 /// The ends of the first tasks of a job, as a worker lists them: no more than it lists at once.
-fn ends(job: JobId, count: u64, run: u32) -> Vec<Ended> {
+fn ends(job: JobId, count: u64, run: u32) -> Vec<EndedRun> {
     (1..=count.min(MAX_LISTED)).map(|number| done(number, nth_task(job, number - 1), run)).collect()
 }
 
 /// An owner whose worker has ended up to a batch of tasks more than it lists at once, none of them
 /// acknowledged; with the tasks of the last batch.
-fn undurable_ends() -> (Bench, Vec<TaskId>) {
+fn undurable_ends() -> (Harness, Vec<TaskId>) {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![step(MAX_LISTED as u32 + CAPACITY)], 110)));
+    harness.deliver(Event::Job(stored(1, vec![step(MAX_LISTED as u32 + CAPACITY)], 110)));
     let mut last = Vec::new();
     for ended in (0..=MAX_LISTED).step_by(CAPACITY as usize) {
         harness.work();
-        let starts = harness.starts();
+        let starts = harness.take_starts();
         assert_eq!(starts.len(), CAPACITY as usize, "after {ended} ends");
         for (task, run, worker) in &starts {
-            harness.started(*task, *run, worker);
+            harness.confirm_start(*task, *run, worker);
         }
         last = starts.into_iter().map(|(task, ..)| task).collect();
         harness.now += 20;
-        harness.look("w1", vec![], ends(id(1), ended + u64::from(CAPACITY), 1));
+        harness.poll("w1", vec![], ends(id(1), ended + u64::from(CAPACITY), 1));
     }
     (harness, last)
 }
@@ -59,34 +59,34 @@
 #[test]
 fn a_run_whose_end_was_cut_off_the_list_is_not_started_again() {
     let (mut harness, last) = undurable_ends();
-    harness.tell(Event::Worker(super::report("w2", "h2")));
-    harness.touch("w2", vec![]);
+    harness.deliver(Event::Worker(super::report("w2", "h2")));
+    harness.connect("w2", vec![]);
     harness.work();
-    assert_eq!(harness.starts(), vec![], "the runs have ended, and their ends follow");
-    harness.save();
+    assert_eq!(harness.take_starts(), vec![], "the runs have ended, and their ends follow");
+    harness.persist_progress();
     harness.now += 20;
     let rest = (MAX_LISTED + 1..).zip(&last).map(|(number, task)| done(number, *task, 1)).collect();
-    harness.look("w1", vec![], rest);
+    harness.poll("w1", vec![], rest);
     harness.work();
-    assert_eq!(harness.starts(), vec![]);
-    let saved = harness.save();
+    assert_eq!(harness.take_starts(), vec![]);
+    let saved = harness.persist_progress();
     assert_eq!(saved[0].1.state, crate::model::job::JobState::Succeeded);
 }
 
 /// A later owner that finds the first 500 ends of another job, and behind them the end of a task
 /// that it has no record of.
-fn later_owner() -> Bench {
-    let mut harness = Bench::inheriting(&[("w1", "h1")], Away::default());
-    harness.tell(Event::Job(stored(1, vec![step(1)], 50)));
-    harness.tell(Event::Job(stored(2, vec![step(MAX_LISTED as u32)], 51)));
+fn later_owner() -> Harness {
+    let mut harness = Harness::inheriting(&[("w1", "h1")], SilentWorkers::default());
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
+    harness.deliver(Event::Job(stored(2, vec![step(MAX_LISTED as u32)], 51)));
     harness.work();
-    harness.look("w1", vec![], ends(id(2), MAX_LISTED, 1));
-    harness.keep_roster();
+    harness.poll("w1", vec![], ends(id(2), MAX_LISTED, 1));
+    harness.persist_roster();
     harness
 }
 
 /// The end of the task of the first job, which the worker lists once those before are acknowledged.
-fn hidden_end() -> Ended {
+fn hidden_end() -> EndedRun {
     done(MAX_LISTED + 1, nth_task(id(1), 0), 1)
 }
 
@@ -94,31 +94,31 @@
 fn a_later_owner_starts_no_task_whose_end_was_cut_off_the_list() {
     let mut harness = later_owner();
     harness.work();
-    assert_eq!(harness.starts(), vec![]);
+    assert_eq!(harness.take_starts(), vec![]);
     harness.now += AFTER_FENCE_MS;
-    harness.look("w1", vec![], ends(id(2), MAX_LISTED, 1));
+    harness.poll("w1", vec![], ends(id(2), MAX_LISTED, 1));
     harness.work();
-    assert_eq!(harness.starts(), vec![], "an end does not expire");
-    harness.save();
-    harness.look("w1", vec![], vec![hidden_end()]);
+    assert_eq!(harness.take_starts(), vec![], "an end does not expire");
+    harness.persist_progress();
+    harness.poll("w1", vec![], vec![hidden_end()]);
     harness.work();
-    assert_eq!(harness.starts(), vec![]);
+    assert_eq!(harness.take_starts(), vec![]);
 }
 
 /// A host that is taken away with an uncounted end loses it.
 #[test]
 fn a_host_is_not_drained_while_its_list_of_ends_is_cut_short() {
     let mut harness = later_owner();
-    harness.owner.set_emptying(BTreeMap::from([("h1".parse().unwrap(), Revision(5))]));
-    harness.save();
+    harness.owner.set_draining(BTreeMap::from([("h1".parse().unwrap(), Revision(5))]));
+    harness.persist_progress();
     assert_eq!(
-        harness.owner.emptied(),
+        harness.owner.drained_hosts(),
         vec![],
         "the listed ends are durable, others are not listed yet"
     );
-    harness.look("w1", vec![], vec![hidden_end()]);
-    harness.save();
-    let emptied = harness.owner.emptied();
+    harness.poll("w1", vec![], vec![hidden_end()]);
+    harness.persist_progress();
+    let emptied = harness.owner.drained_hosts();
     assert_eq!(emptied.len(), 1);
     assert_eq!(emptied[0].worker, worker_id("w1"));
 }
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -6,17 +6,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
-    jobs::fleet::{CallEnd, Demand, Fleet, FleetEffect, Leave, Mark, Scene, Sizing, WriteEnd},
+    jobs::fleet::{
+        CallResult, Demand, DrainMark, FleetEffect, FleetOwner, FleetSnapshot, HostAction, Sizing,
+        WriteResult,
+    },
     model::{
         id::{HostId, PoolId, WorkerId},
-        job::Room,
+        job::TaskResources,
         queue::{PoolRules, QueueConfig},
         unit::{Megabytes, Millicores, Revision, Steady},
         worker::{HostPhase, ListedHost, Upkeep},
     },
 };
 
-const UPKEEP: Leave = Leave::Upkeep(1);
+const UPKEEP: HostAction = HostAction::Upkeep(1);
 
 /// The input of the fleet owner.
 struct Fixture {
@@ -24,7 +27,7 @@
     demands: BTreeMap<PoolId, Demand>,
     /// The store revision that the view has reached.
     view_revision: Revision,
-    marks: BTreeMap<HostId, Mark>,
+    marks: BTreeMap<HostId, DrainMark>,
     drained: BTreeMap<HostId, WorkerId>,
     upkeeps: Vec<Upkeep>,
     maintained: BTreeMap<u64, BTreeSet<HostId>>,
@@ -37,7 +40,7 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let rules = |off| PoolRules { off, guards: true };
+        let rules = |off| PoolRules { headroom: off, admission_check: true };
         let pools = BTreeMap::from([(pool("busy"), rules(false)), (pool("off"), rules(true))]);
         Fixture {
             config: QueueConfig { version: 1, queues: vec![], pools },
@@ -56,24 +59,24 @@
     }
 
     /// Lets the view show a mark.
-    fn show_mark(&mut self, host: HostId, action: Leave) {
-        self.marks.insert(host, Mark { leave: action, revision: self.view_revision });
+    fn show_mark(&mut self, host: HostId, action: HostAction) {
+        self.marks.insert(host, DrainMark { action: action, revision: self.view_revision });
     }
 
-    fn snapshot(&self) -> Scene<'_> {
-        Scene {
+    fn snapshot(&self) -> FleetSnapshot<'_> {
+        FleetSnapshot {
             config: &self.config,
             demands: &self.demands,
-            known: self.view_revision,
-            leaves: &self.marks,
-            empties: &self.drained,
+            view_revision: self.view_revision,
+            marks: &self.marks,
+            drained: &self.drained,
             upkeeps: &self.upkeeps,
             maintained: &self.maintained,
             reported: &self.reported,
             idle: &self.idle,
             light: &self.light,
             busy: &self.busy,
-            resting: &self.recently_called,
+            recently_called: &self.recently_called,
         }
     }
 }
@@ -93,7 +96,7 @@
         phase: HostPhase::Up,
         worker: (pool_name != "off").then(|| format!("w{number}").parse().unwrap()),
         labels: vec![],
-        room: Room { cpu: Millicores(32_000), memory: Megabytes(1), gpus: 0 },
+        capacity: TaskResources { cpu: Millicores(32_000), memory: Megabytes(1), gpus: 0 },
     }
 }
 
@@ -101,17 +104,17 @@
     Steady::from_millis(millis)
 }
 
-fn fleet(hosts: Vec<ListedHost>) -> Fleet {
+fn fleet(hosts: Vec<ListedHost>) -> FleetOwner {
     let sizing =
         Sizing { full_percent: 80, growth_percent: 0, margin_hosts: 0, shrink_after_ms: 1_000 };
-    let mut fleet = Fleet::new(7, sizing, at(0));
-    fleet.heard_list(at(1), Some(hosts));
+    let mut fleet = FleetOwner::new(7, sizing, at(0));
+    fleet.update_hosts(at(1), Some(hosts));
     fleet
 }
 
 /// Demand of work that ends by itself and arrived long ago.
 fn demand(cpu: u64, spread: usize) -> Demand {
-    Demand { cpu, spread, ends: true, ..Demand::default() }
+    Demand { cpu, spread, finite: true, ..Demand::default() }
 }
 
 fn count_moves(effects: &[FleetEffect]) -> usize {
@@ -119,9 +122,9 @@
 }
 
 /// Reports all writes as committed.
-fn confirm_writes(fleet: &mut Fleet, effects: &[FleetEffect], now: Steady) {
+fn confirm_writes(fleet: &mut FleetOwner, effects: &[FleetEffect], now: Steady) {
     for effect in effects {
-        fleet.written(effect, &WriteEnd::Done(Revision(100)), now);
+        fleet.note_write_result(effect, &WriteResult::Done(Revision(100)), now);
     }
 }
 
@@ -158,9 +161,9 @@
     let mut fixture = Fixture::new();
     let hosts: Vec<ListedHost> = (1..9).map(|n| listed_host(n, "busy")).collect();
     let all = (1..9).map(host).collect();
-    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, at_once: 2 }];
+    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, max_concurrent: 2 }];
     for number in 1..9 {
-        fixture.show_mark(host(number), Leave::Upkeep(1));
+        fixture.show_mark(host(number), HostAction::Upkeep(1));
         fixture.drained.insert(host(number), format!("w{number}").parse().unwrap());
     }
     let mut fleet = fleet(hosts);
@@ -168,16 +171,16 @@
         effects.iter().filter(|effect| matches!(effect, FleetEffect::Maintain(..))).count()
     };
     assert_eq!(begun(fleet.plan(&fixture.snapshot(), at(100))), 2);
-    fleet.called(&host(1), UPKEEP, CallEnd::Begun, at(150));
+    fleet.note_call_result(&host(1), UPKEEP, CallResult::Begun, at(150));
     // Without an answer, it may be away as well.
-    fleet.called(&host(2), UPKEEP, CallEnd::Unknown, at(150));
+    fleet.note_call_result(&host(2), UPKEEP, CallResult::Unknown, at(150));
     assert_eq!(begun(fleet.plan(&fixture.snapshot(), at(200))), 0);
 }
 
 #[test]
 fn a_host_is_not_moved_before_its_current_worker_is_empty() {
     let mut fixture = Fixture::new();
-    fixture.show_mark(host(1), Leave::Move(pool("off")));
+    fixture.show_mark(host(1), HostAction::Move(pool("off")));
     fixture.drained.insert(host(1), "w-before".parse().unwrap());
     let mut fleet = fleet(vec![listed_host(1, "busy")]);
     assert_eq!(count_moves(&fleet.plan(&fixture.snapshot(), at(100))), 0);
@@ -189,7 +192,7 @@
 #[test]
 fn a_host_recently_called_by_another_owner_is_not_called() {
     let mut fixture = Fixture::new();
-    fixture.show_mark(host(1), Leave::Move(pool("off")));
+    fixture.show_mark(host(1), HostAction::Move(pool("off")));
     fixture.drained.insert(host(1), "w1".parse().unwrap());
     fixture.recently_called.insert(host(1));
     let mut fleet = fleet(vec![listed_host(1, "busy")]);
@@ -204,7 +207,7 @@
 fn hosts_recently_called_by_another_owner_count_as_away_for_their_wave() {
     let mut fixture = Fixture::new();
     let all = (1..9).map(host).collect();
-    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, at_once: 2 }];
+    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, max_concurrent: 2 }];
     for number in 1..9 {
         fixture.show_mark(host(number), UPKEEP);
         fixture.drained.insert(host(number), format!("w{number}").parse().unwrap());
@@ -223,7 +226,7 @@
 fn a_wave_is_done_only_when_every_listed_host_is_maintained() {
     let mut fixture = Fixture::new();
     let hosts = vec![host(1), host(2), host(9)];
-    fixture.upkeeps = vec![Upkeep { wave: 1, hosts, period_ms: 20_000, at_once: 1 }];
+    fixture.upkeeps = vec![Upkeep { wave: 1, hosts, period_ms: 20_000, max_concurrent: 1 }];
     fixture.maintained.insert(1, BTreeSet::from([host(1)]));
     let mut fleet = fleet(vec![listed_host(1, "busy"), listed_host(2, "busy")]);
     let done = FleetEffect::Report(1, true);
@@ -246,10 +249,10 @@
     fleet.plan(&fixture.snapshot(), at(100));
     let first = fleet.plan(&fixture.snapshot(), at(200));
     assert_eq!(count_moves(&first), 1);
-    fleet.called(&host(2), Leave::Move(pool("busy")), CallEnd::Begun, at(250));
+    fleet.note_call_result(&host(2), HostAction::Move(pool("busy")), CallResult::Begun, at(250));
     let mut down = listed_host(2, "off");
     down.phase = HostPhase::Down;
-    fleet.heard_list(at(300), Some(vec![listed_host(1, "busy"), down, listed_host(3, "off")]));
+    fleet.update_hosts(at(300), Some(vec![listed_host(1, "busy"), down, listed_host(3, "off")]));
     let mut later = 0;
     for tick in 4..60 {
         later += count_moves(&fleet.plan(&fixture.snapshot(), at(tick * 100)));
@@ -261,13 +264,13 @@
 #[test]
 fn a_peak_in_another_pool_leaves_hosts_for_spreading_lasting_tasks() {
     let mut fixture = Fixture::new();
-    fixture.config.pools.insert(pool("peak"), PoolRules { off: false, guards: true });
+    fixture.config.pools.insert(pool("peak"), PoolRules { headroom: false, admission_check: true });
     fixture.demands.insert(pool("busy"), demand(1_000, 3));
     fixture.demands.insert(pool("peak"), demand(9_000_000, 0));
     let hosts = (1..10).map(|n| listed_host(n, if n < 3 { "busy" } else { "peak" })).collect();
     let mut fleet = fleet(hosts);
     let effects = fleet.plan(&fixture.snapshot(), at(100));
-    let returned = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, Leave::Move(to)) if *to == pool("busy"));
+    let returned = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, HostAction::Move(to)) if *to == pool("busy"));
     // It has two hosts, and wants three.
     assert_eq!(effects.iter().filter(returned).count(), 1, "{effects:?}");
 }
@@ -276,7 +279,7 @@
 #[test]
 fn a_pool_below_its_share_gets_the_least_loaded_hosts() {
     let mut fixture = Fixture::new();
-    fixture.config.pools.insert(pool("peak"), PoolRules { off: false, guards: true });
+    fixture.config.pools.insert(pool("peak"), PoolRules { headroom: false, admission_check: true });
     fixture.demands.insert(pool("busy"), demand(64_000, 0));
     fixture.demands.insert(pool("peak"), demand(9_000_000, 0));
     let hosts = (1..7).map(|n| listed_host(n, if n < 6 { "busy" } else { "peak" })).collect();
@@ -284,7 +287,7 @@
     let mut fleet = fleet(hosts);
     let effects = fleet.plan(&fixture.snapshot(), at(100));
     let taken = effects.iter().filter_map(|effect| match effect {
-        FleetEffect::Mark(host, Leave::Move(to)) if *to == pool("peak") => Some(host.clone()),
+        FleetEffect::Mark(host, HostAction::Move(to)) if *to == pool("peak") => Some(host.clone()),
         _ => None,
     });
     assert_eq!(taken.collect::<Vec<_>>(), vec![host(4), host(2)]);
@@ -297,9 +300,9 @@
     let mut fixture = Fixture::new();
     let hosts: Vec<ListedHost> = (1..5).map(|n| listed_host(n, "busy")).collect();
     let all = (1..5).map(host).collect();
-    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, at_once: 4 }];
+    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, max_concurrent: 4 }];
     for number in 1..5 {
-        fixture.show_mark(host(number), Leave::Upkeep(1));
+        fixture.show_mark(host(number), HostAction::Upkeep(1));
         fixture.drained.insert(host(number), format!("w{number}").parse().unwrap());
     }
     let mut fleet = fleet(hosts.clone());
@@ -313,14 +316,14 @@
     let calls = fleet.plan(&fixture.snapshot(), at(100));
     confirm_writes(&mut fleet, &calls, at(120));
     for number in 1..4 {
-        fleet.called(&host(number), UPKEEP, CallEnd::Begun, at(150));
+        fleet.note_call_result(&host(number), UPKEEP, CallResult::Begun, at(150));
     }
-    fleet.heard_list(at(2_500), Some(hosts.clone()));
+    fleet.update_hosts(at(2_500), Some(hosts.clone()));
     let first = BTreeSet::from([host(1), host(2), host(3)]);
     let writes = fleet.plan(&fixture.snapshot(), at(2_600));
     assert_eq!(recorded(writes.clone()), vec![first.clone()]);
-    fleet.called(&host(4), UPKEEP, CallEnd::Begun, at(2_650));
-    fleet.heard_list(at(2_700), Some(hosts));
+    fleet.note_call_result(&host(4), UPKEEP, CallResult::Begun, at(2_650));
+    fleet.update_hosts(at(2_700), Some(hosts));
     // The first write has no answer yet.
     assert_eq!(
         recorded(fleet.plan(&fixture.snapshot(), at(2_800))),
@@ -338,7 +341,8 @@
 #[test]
 fn a_host_marked_for_upkeep_is_not_moved_and_a_move_does_not_count_as_upkeep() {
     let mut fixture = Fixture::new();
-    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: vec![host(2)], period_ms: 20_000, at_once: 4 }];
+    fixture.upkeeps =
+        vec![Upkeep { wave: 1, hosts: vec![host(2)], period_ms: 20_000, max_concurrent: 4 }];
     fixture.demands.insert(pool("busy"), demand(70_000, 0));
     let mut fleet = fleet(vec![listed_host(1, "busy"), listed_host(2, "off")]);
     let first = fleet.plan(&fixture.snapshot(), at(100));
@@ -346,8 +350,8 @@
     // The view does not show the mark yet.
     assert_eq!(count_moves(&fleet.plan(&fixture.snapshot(), at(200))), 0);
     fixture.show_mark(host(2), UPKEEP);
-    fleet.called(&host(2), Leave::Move(pool("busy")), CallEnd::Begun, at(250));
-    fleet.heard_list(at(2_500), Some(vec![listed_host(1, "busy"), listed_host(2, "busy")]));
+    fleet.note_call_result(&host(2), HostAction::Move(pool("busy")), CallResult::Begun, at(250));
+    fleet.update_hosts(at(2_500), Some(vec![listed_host(1, "busy"), listed_host(2, "busy")]));
     let later = fleet.plan(&fixture.snapshot(), at(2_600));
     assert!(!later.iter().any(|e| matches!(e, FleetEffect::Maintained(..))), "{later:?}");
 }
@@ -356,13 +360,13 @@
 #[test]
 fn a_demand_beyond_the_fleet_leaves_other_pools_what_they_need() {
     let mut fixture = Fixture::new();
-    fixture.config.pools.insert(pool("peak"), PoolRules { off: false, guards: true });
+    fixture.config.pools.insert(pool("peak"), PoolRules { headroom: false, admission_check: true });
     fixture.demands.insert(pool("busy"), demand(400_000, 0));
     fixture.demands.insert(pool("peak"), demand(40_000_000, 0));
     let hosts = (1..101).map(|n| listed_host(n, if n < 19 { "busy" } else { "peak" })).collect();
     let mut fleet = fleet(hosts);
     let effects = fleet.plan(&fixture.snapshot(), at(100));
-    let is_taken = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, Leave::Move(to)) if *to == pool("peak"));
+    let is_taken = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, HostAction::Move(to)) if *to == pool("peak"));
     assert_eq!(effects.iter().filter(is_taken).count(), 0, "{effects:?}");
 }
 
@@ -375,15 +379,15 @@
     hosts.extend((100..1_100).map(|n| listed_host(n, "off")));
     let sizing =
         Sizing { full_percent: 50, growth_percent: 300, margin_hosts: 3, shrink_after_ms: 2_500 };
-    let mut fleet = Fleet::new(7, sizing, at(0));
-    fleet.heard_list(at(1), Some(hosts));
+    let mut fleet = FleetOwner::new(7, sizing, at(0));
+    fleet.update_hosts(at(1), Some(hosts));
     let mut expected_hosts = 0;
     for tick in 1..=10 {
         let part = tick * 1_000 / 10;
         let peak = Demand {
             cpu: 9_300 * part,
-            ends: true,
-            arriving: 15_840 * part,
+            finite: true,
+            arriving_cpu: 15_840 * part,
             arrivals: (60 * tick / 10) as u32,
             ..Demand::default()
         };
@@ -401,15 +405,15 @@
 #[test]
 fn hosts_move_from_late_work_to_work_that_can_still_end_in_time() {
     let mut fixture = Fixture::new();
-    fixture.config.pools.insert(pool("peak"), PoolRules { off: false, guards: true });
-    let late = Demand { cpu: 64_000, late: 9_000_000, ends: true, ..Demand::default() };
+    fixture.config.pools.insert(pool("peak"), PoolRules { headroom: false, admission_check: true });
+    let late = Demand { cpu: 64_000, late_cpu: 9_000_000, finite: true, ..Demand::default() };
     fixture.demands.insert(pool("busy"), late);
     fixture.demands.insert(pool("peak"), demand(9_000_000, 0));
     fixture.busy = (1..9).map(host).collect();
     let hosts = (1..11).map(|n| listed_host(n, if n < 10 { "busy" } else { "peak" })).collect();
     let mut fleet = fleet(hosts);
     let effects = fleet.plan(&fixture.snapshot(), at(100));
-    let is_moved = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, Leave::Move(to)) if *to == pool("peak"));
+    let is_moved = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, HostAction::Move(to)) if *to == pool("peak"));
     // Three stay for work that can still end in time, and one so that another can be drained.
     assert_eq!(effects.iter().filter(is_moved).count(), 6, "{effects:?}");
 }
@@ -420,7 +424,7 @@
 #[test]
 fn a_peak_shift_over_a_thousand_hosts_is_planned_quickly() {
     let mut fixture = Fixture::new();
-    fixture.config.pools.insert(pool("peak"), PoolRules { off: false, guards: true });
+    fixture.config.pools.insert(pool("peak"), PoolRules { headroom: false, admission_check: true });
     fixture.demands.insert(pool("busy"), demand(1_000_000, 0));
     fixture.demands.insert(pool("peak"), demand(30_000_000, 0));
     fixture.busy = (0..1_000).rev().map(host).collect();
@@ -453,7 +457,7 @@
     let mut fixture = Fixture::new();
     let mut hosts: Vec<ListedHost> = (0..4).map(|n| listed_host(n, "busy")).collect();
     hosts.extend((4..40).map(|n| listed_host(n, "off")));
-    hosts[0].room.cpu = Millicores(3_200);
+    hosts[0].capacity.cpu = Millicores(3_200);
     let mut fleet = fleet(hosts);
     fixture.demands.insert(pool("busy"), demand(100_000, 0));
     fleet.plan(&fixture.snapshot(), at(100));
--- a/src/jobs/tests/fleet/calls.rs
+++ b/src/jobs/tests/fleet/calls.rs
@@ -2,7 +2,7 @@
 
 use super::{Fixture, UPKEEP, at, demand, fleet, host, listed_host, pool};
 use crate::{
-    jobs::fleet::{FleetEffect, Leave},
+    jobs::fleet::{FleetEffect, HostAction},
     model::{
         queue::PoolRules,
         worker::{ListedHost, Upkeep},
@@ -15,16 +15,19 @@
 #[test]
 fn calls_are_made_for_shortages_then_for_upkeep_then_for_switching_off() {
     let mut fixture = Fixture::new();
-    fixture.config.pools.insert(pool("short"), PoolRules { off: false, guards: true });
+    fixture
+        .config
+        .pools
+        .insert(pool("short"), PoolRules { headroom: false, admission_check: true });
     fixture.demands.insert(pool("short"), demand(800_000, 0));
     let hosts: Vec<ListedHost> = (100..320).map(|number| listed_host(number, "busy")).collect();
     let actions = [
-        (100..200, Leave::Move(pool("off"))),
+        (100..200, HostAction::Move(pool("off"))),
         (200..210, UPKEEP),
-        (300..320, Leave::Move(pool("short"))),
+        (300..320, HostAction::Move(pool("short"))),
     ];
     let due = (200..210).map(host).collect();
-    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: due, period_ms: 20_000, at_once: 10 }];
+    fixture.upkeeps = vec![Upkeep { wave: 1, hosts: due, period_ms: 20_000, max_concurrent: 10 }];
     for (numbers, action) in actions {
         for number in numbers {
             fixture.show_mark(host(number), action.clone());
--- a/src/jobs/tests/fleet/lagging.rs
+++ b/src/jobs/tests/fleet/lagging.rs
@@ -9,7 +9,9 @@
 
 use super::{Fixture, at, demand, host, listed_host, pool};
 use crate::{
-    jobs::fleet::{CallEnd, Fleet, FleetEffect, Leave, Mark, Sizing, WriteEnd},
+    jobs::fleet::{
+        CallResult, DrainMark, FleetEffect, FleetOwner, HostAction, Sizing, WriteResult,
+    },
     model::{
         id::HostId,
         unit::{Revision, Steady},
@@ -28,7 +30,7 @@
 
 /// A change of the store, as it reaches the view.
 enum StoreChange {
-    Mark(HostId, Option<Leave>),
+    Mark(HostId, Option<HostAction>),
     Empty(HostId),
     Maintained(u64, BTreeSet<HostId>),
     Reported(u64),
@@ -36,17 +38,17 @@
 
 /// An answer to the owner.
 enum Answer {
-    Call { host: HostId, action: Leave, rejected: bool },
-    Write { effect: FleetEffect, result: WriteEnd },
+    Call { host: HostId, action: HostAction, rejected: bool },
+    Write { effect: FleetEffect, result: WriteResult },
     List { sent: u64, hosts: Vec<ListedHost> },
 }
 
 /// A simulation of the store, the platform, and a node that processes changes one after the other.
 struct Simulation {
-    fleet: Fleet,
+    fleet: FleetOwner,
     view: Fixture,
     /// The marks in the store.
-    marks: BTreeMap<HostId, Mark>,
+    marks: BTreeMap<HostId, DrainMark>,
     /// The store's revision.
     revision: Revision,
     hosts: BTreeMap<HostId, (ListedHost, u64)>,
@@ -83,7 +85,7 @@
             Sizing { full_percent: 80, growth_percent: 0, margin_hosts: 0, shrink_after_ms: 1_000 };
         let hosts = hosts.into_iter().map(|host| (host.host.clone(), (host, 0)));
         Simulation {
-            fleet: Fleet::new(7, sizing, at(0)),
+            fleet: FleetOwner::new(7, sizing, at(0)),
             view: Fixture { view_revision: Revision(0), ..Fixture::new() },
             marks: BTreeMap::new(),
             revision: Revision(0),
@@ -179,14 +181,16 @@
             match answer {
                 Answer::Call { host, action, rejected } => {
                     let result = match () {
-                        () if rejected => CallEnd::Limited,
-                        () if self.calls_unanswered => CallEnd::Unknown,
-                        () => CallEnd::Begun,
+                        () if rejected => CallResult::RateLimited,
+                        () if self.calls_unanswered => CallResult::Unknown,
+                        () => CallResult::Begun,
                     };
-                    self.fleet.called(&host, action, result, at(now));
+                    self.fleet.note_call_result(&host, action, result, at(now));
+                }
+                Answer::Write { effect, result } => {
+                    self.fleet.note_write_result(&effect, &result, at(now))
                 }
-                Answer::Write { effect, result } => self.fleet.written(&effect, &result, at(now)),
-                Answer::List { sent, hosts } => self.fleet.heard_list(at(sent), Some(hosts)),
+                Answer::List { sent, hosts } => self.fleet.update_hosts(at(sent), Some(hosts)),
             }
         }
     }
@@ -212,26 +216,26 @@
             }
             FleetEffect::Mark(host, action) => {
                 if !self.count_order(format!("mark {host:?} {action:?}")) {
-                    WriteEnd::Lost
+                    WriteResult::Unknown
                 } else if let Some(mark) = self.marks.get(host) {
-                    WriteEnd::Refused(Some(mark.clone()))
+                    WriteResult::Refused(Some(mark.clone()))
                 } else {
                     self.publish(StoreChange::Mark(host.clone(), Some(action.clone())));
-                    let mark = Mark { leave: action.clone(), revision: self.revision };
+                    let mark = DrainMark { action: action.clone(), revision: self.revision };
                     self.marks.insert(host.clone(), mark);
                     self.drains.push((self.now + DRAIN_MS, host.clone()));
-                    WriteEnd::Done(self.revision)
+                    WriteResult::Done(self.revision)
                 }
             }
             FleetEffect::Unmark(host, revision) => {
                 if !self.count_order(format!("unmark {host:?}")) {
-                    WriteEnd::Lost
+                    WriteResult::Unknown
                 } else if self.marks.get(host).is_none_or(|mark| mark.revision != *revision) {
-                    WriteEnd::Refused(self.marks.get(host).cloned())
+                    WriteResult::Refused(self.marks.get(host).cloned())
                 } else {
                     self.marks.remove(host);
                     self.publish(StoreChange::Mark(host.clone(), None));
-                    WriteEnd::Done(self.revision)
+                    WriteResult::Done(self.revision)
                 }
             }
             FleetEffect::Maintained(hosts, wave) => {
@@ -249,33 +253,33 @@
                         self.marks.remove(host);
                         self.publish(StoreChange::Mark(host.clone(), None));
                     }
-                    WriteEnd::Done(self.revision)
+                    WriteResult::Done(self.revision)
                 } else {
-                    WriteEnd::Lost
+                    WriteResult::Unknown
                 }
             }
             FleetEffect::Report(wave, done) => {
                 if !self.count_order(format!("report {wave} {done}")) {
-                    WriteEnd::Lost
+                    WriteResult::Unknown
                 } else {
                     if *done {
                         self.publish(StoreChange::Reported(*wave));
                     }
-                    WriteEnd::Done(self.revision)
+                    WriteResult::Done(self.revision)
                 }
             }
             FleetEffect::Maintain(host, wave) => {
-                return self.call_platform(host.clone(), Leave::Upkeep(*wave));
+                return self.call_platform(host.clone(), HostAction::Upkeep(*wave));
             }
             FleetEffect::Move(host, to) => {
-                return self.call_platform(host.clone(), Leave::Move(to.clone()));
+                return self.call_platform(host.clone(), HostAction::Move(to.clone()));
             }
         };
         self.answer(Answer::Write { effect, result });
     }
 
     /// Makes a call. It is recorded before, and that change reaches the view too.
-    fn call_platform(&mut self, host: HostId, action: Leave) {
+    fn call_platform(&mut self, host: HostId, action: HostAction) {
         self.count_order(format!("call {host:?} {action:?}"));
         self.charge();
         let now = self.now;
@@ -286,12 +290,12 @@
         }
         self.accepted_calls.push_back(now);
         let (entry, back_at) = self.hosts.get_mut(&host).unwrap();
-        let is_there = matches!(&action, Leave::Move(to) if entry.pool == *to);
+        let is_there = matches!(&action, HostAction::Move(to) if entry.pool == *to);
         if entry.phase == HostPhase::Up && !is_there && !self.calls_unanswered {
             entry.phase = HostPhase::Moving;
             *back_at = now + AWAY_MS;
             entry.worker = None;
-            if let Leave::Move(to) = &action {
+            if let HostAction::Move(to) = &action {
                 entry.pool = to.clone();
             }
         }
@@ -325,7 +329,7 @@
     let mut sim =
         Simulation::new((0..40).map(|n| listed_host(n, "busy")).collect(), base_lag_ms, cost_us);
     let hosts = (0..40).map(host).collect();
-    sim.view.upkeeps = vec![Upkeep { wave: 1, hosts, period_ms: 20_000, at_once: 10 }];
+    sim.view.upkeeps = vec![Upkeep { wave: 1, hosts, period_ms: 20_000, max_concurrent: 10 }];
     sim
 }
 
--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -12,16 +12,18 @@
 use super::{id, report, step, stored};
 use crate::{
     jobs::{
-        event::{Effect, Event, Save, StoredJob},
-        owner::{LEASE_MS, OVERTIME_MS, Owner},
-        roster::{Away, RosterNote},
-        worker::HOLD_MS,
+        event::{Effect, Event, ProgressWrite, StoredJob},
+        owner::{GRACE_PERIOD_MS, LEASE_MS, Owner},
+        roster::{RosterWrite, SilentWorkers},
+        worker::WORKER_LEASE_MS,
     },
     model::{
         id::{HostId, Incarnation},
         job::{JobId, JobState, Progress, Step, StepId, TaskId},
         unit::{Now, Revision, Steady, Time},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, Refusal, WorkerReport},
+        worker::{
+            EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome, WorkerReport,
+        },
     },
     tests::fuzz,
 };
@@ -32,7 +34,7 @@
 const WORK_MS: u64 = 700;
 /// After how long a delayed start order is late, in milliseconds: workers refuse it, unless they
 /// have restarted.
-const START_EXPIRY_MS: u64 = HOLD_MS;
+const START_EXPIRY_MS: u64 = WORKER_LEASE_MS;
 /// How long a worker takes to stop a run, in milliseconds.
 const STOP_DELAY_MS: u64 = 400;
 /// How long after a cancellation tasks may still start, in milliseconds, if the owner receives it
@@ -144,7 +146,7 @@
     /// When its lease expires, on its clock.
     lease_until: u64,
     runs: BTreeMap<TaskId, Run>,
-    ends: Vec<Ended>,
+    ends: Vec<EndedRun>,
     next_end: u64,
     /// The highest end that was listed when the lease expired: by the platform's contract, a later
     /// acknowledgement of these ends is never binding.
@@ -196,14 +198,14 @@
     cancelled: BTreeMap<JobId, u64>,
     progress: BTreeMap<JobId, (Progress, u64)>,
     /// The persisted roster, and the revision of its latest write.
-    roster: (BTreeMap<Incarnation, WorkerReport>, Away, u64),
+    roster: (BTreeMap<Incarnation, WorkerReport>, SilentWorkers, u64),
     /// Hosts with a drain mark.
     draining: BTreeSet<usize>,
     late_orders: Vec<Effect>,
     /// Whether the start order that is being executed is late.
     is_order_late: bool,
-    late_saves: Vec<(u64, Vec<Save>)>,
-    late_rosters: Vec<(u64, u64, RosterNote)>,
+    late_saves: Vec<(u64, Vec<ProgressWrite>)>,
+    late_rosters: Vec<(u64, u64, RosterWrite)>,
     /// Jobs with a run that has started on a worker.
     started_jobs: BTreeSet<JobId>,
     /// Tasks with a run that has actually ended as done.
@@ -236,7 +238,7 @@
             jobs: BTreeMap::new(),
             cancelled: BTreeMap::new(),
             progress: BTreeMap::new(),
-            roster: (BTreeMap::new(), Away::default(), 0),
+            roster: (BTreeMap::new(), SilentWorkers::default(), 0),
             draining: BTreeSet::new(),
             late_orders: Vec::new(),
             is_order_late: false,
@@ -296,7 +298,7 @@
     fn replace_owner(&mut self, listed: bool) {
         let now = self.now;
         if let Some(before) = self.owners.last_mut() {
-            before.active_until = before.active_until.min(now + LEASE_MS + OVERTIME_MS);
+            before.active_until = before.active_until.min(now + LEASE_MS + GRACE_PERIOD_MS);
         }
         self.revision += 1;
         self.token = self.revision;
@@ -305,7 +307,7 @@
         let (mut out, at) = (Vec::new(), self.at());
         let (workers, away, roster_revision) = self.roster.clone();
         owner.inherit(workers.into_values().collect(), &away, at, &mut out);
-        owner.set_emptying(self.drain_marks());
+        owner.set_draining(self.drain_marks());
         for worker in self.workers.iter().filter(|worker| listed && worker.alive) {
             owner.handle(Event::Worker(worker.report.clone()), at, &mut out);
         }
@@ -320,7 +322,7 @@
         let mut job = job.clone();
         if let Some((progress, revision)) = self.progress.get(&job.id) {
             job.progress = Some(progress.clone().into());
-            job.saved_at = Revision(*revision);
+            job.progress_revision = Revision(*revision);
         }
         job.cancelled = self.cancelled.contains_key(&job.id);
         job
@@ -348,7 +350,7 @@
         if last {
             sim_owner.owner.set_confirmed(at.steady);
         }
-        sim_owner.owner.work(at, &mut out);
+        sim_owner.owner.tick(at, &mut out);
         sim_owner.orders.extend(out.into_iter().map(|effect| (effect, now)));
     }
 
@@ -363,7 +365,7 @@
             self.draining.insert(host);
         }
         let (drain_marks, owner) = (self.drain_marks(), self.current_owner());
-        self.owners[owner].owner.set_emptying(drain_marks);
+        self.owners[owner].owner.set_draining(drain_marks);
     }
 
     /// An owner writes its roster; the write is made or lost.
@@ -384,7 +386,7 @@
                 let found = self.roster.2;
                 let sim_owner = &mut self.owners[owner];
                 match written {
-                    true => sim_owner.owner.rostered(&note, Revision(found)),
+                    true => sim_owner.owner.note_roster_written(&note, Revision(found)),
                     // An earlier unanswered write was made.
                     false if token == self.token => {}
                     false => return,
@@ -395,7 +397,7 @@
     }
 
     /// Writes a roster under its conditions, as the store does. Returns whether they were met.
-    fn write_roster(&mut self, token: u64, expects: u64, note: &RosterNote) -> bool {
+    fn write_roster(&mut self, token: u64, expects: u64, note: &RosterWrite) -> bool {
         if token != self.token || self.roster.2 != expects {
             return false;
         }
@@ -404,7 +406,7 @@
         let added = note.added.iter().map(|report| (report.id.clone(), report.clone()));
         workers.extend(added);
         workers.retain(|id, _| !note.dropped.contains(id));
-        (*away, *at) = (note.away.clone(), self.revision);
+        (*away, *at) = (note.silent_workers.clone(), self.revision);
         true
     }
 
@@ -416,8 +418,8 @@
         let steps = match kind % 5 {
             0 => vec![step(1)],
             1 => vec![step(2), Step { after: vec![0], ..step(1) }],
-            2 => vec![Step { saves: true, ..step(2) }],
-            3 => vec![Step { apart: 2, ..step(3) }],
+            2 => vec![Step { checkpoints: true, ..step(2) }],
+            3 => vec![Step { max_per_worker: 2, ..step(3) }],
             _ => vec![step(3)],
         };
         self.revision += 1;
@@ -483,7 +485,7 @@
             worker.lapsed_end = worker.lapsed_end.max(listed);
             let runs = std::mem::take(&mut self.workers[host].runs);
             for (task, run) in runs {
-                self.end_run(host, task, run.run, HowEnded::Lapsed);
+                self.end_run(host, task, run.run, RunOutcome::Lapsed);
             }
             return;
         }
@@ -492,20 +494,20 @@
         for (task, run) in &mut self.workers[host].runs {
             run.remaining_ms = run.remaining_ms.saturating_sub(20);
             if run.stops_at.is_some_and(|at| at <= now) {
-                finished.push((*task, run.run, HowEnded::Stopped));
+                finished.push((*task, run.run, RunOutcome::Stopped));
             } else if run.remaining_ms == 0 {
-                finished.push((*task, run.run, HowEnded::Done));
+                finished.push((*task, run.run, RunOutcome::Done));
             }
         }
         for (task, run, how) in finished {
-            let poison = how == HowEnded::Done && self.is_poison(task.of.job);
+            let poison = how == RunOutcome::Done && self.is_poison(task.of.job);
             self.workers[host].runs.remove(&task);
-            self.end_run(host, task, run, if poison { HowEnded::Failed } else { how });
+            self.end_run(host, task, run, if poison { RunOutcome::Failed } else { how });
         }
     }
 
-    fn end_run(&mut self, host: usize, task: TaskId, run: u32, how: HowEnded) {
-        if how == HowEnded::Done {
+    fn end_run(&mut self, host: usize, task: TaskId, run: u32, how: RunOutcome) {
+        if how == RunOutcome::Done {
             self.done_tasks.insert(task);
         }
         let worker = &mut self.workers[host];
@@ -513,7 +515,7 @@
         *highest = (*highest).max(run);
         let number = worker.next_end;
         worker.next_end += 1;
-        worker.ends.push(Ended { number, task, run, how, saved: String::new() });
+        worker.ends.push(EndedRun { number, task, run, how, checkpoint: String::new() });
     }
 
     fn worker_clock(&self, host: usize) -> u64 {
@@ -557,7 +559,7 @@
 
     /// An order is lost between two nodes. A poll may have been executed nevertheless.
     fn report_unsent(&mut self, owner: usize, effect: Effect, sent: u64, reached: bool) {
-        if reached && matches!(effect, Effect::Look { .. }) {
+        if reached && matches!(effect, Effect::Poll { .. }) {
             let _ = self.apply_order(clone_order(&effect), Steady::from_millis(sent));
         }
         self.report_undelivered(owner, effect, sent, true);
@@ -568,8 +570,8 @@
     }
 
     fn report_undelivered(&mut self, owner: usize, effect: Effect, sent: u64, unsent: bool) {
-        fn end<T>(unsent: bool) -> OrderEnd<T> {
-            if unsent { OrderEnd::Unsent } else { OrderEnd::Unknown }
+        fn end<T>(unsent: bool) -> OrderResult<T> {
+            if unsent { OrderResult::Unsent } else { OrderResult::Unknown }
         }
         let sent = Steady::from_millis(sent);
         let event = match effect {
@@ -580,8 +582,8 @@
             Effect::Stop { to, task, run } => {
                 Event::Stopped { worker: to.worker, task, run, end: end(unsent) }
             }
-            Effect::Look { to, .. } => Event::Looked { worker: to.worker, sent, end: end(unsent) },
-            Effect::Pace { .. } | Effect::Advise { .. } => return,
+            Effect::Poll { to, .. } => Event::Polled { worker: to.worker, sent, end: end(unsent) },
+            Effect::Throttle { .. } | Effect::Advise { .. } => return,
         };
         self.deliver(owner, event);
     }
@@ -608,11 +610,11 @@
                 let end = self.apply_stop(&to.worker, to.token, task, run);
                 Some(Event::Stopped { worker: to.worker, task, run, end })
             }
-            Effect::Look { to, acknowledged, until_ms, .. } => {
+            Effect::Poll { to, acknowledged, until_ms, .. } => {
                 let end = self.apply_poll(&to.worker, to.token, acknowledged, until_ms);
-                Some(Event::Looked { worker: to.worker, sent, end })
+                Some(Event::Polled { worker: to.worker, sent, end })
             }
-            Effect::Pace { .. } | Effect::Advise { .. } => None,
+            Effect::Throttle { .. } | Effect::Advise { .. } => None,
         }
     }
 
@@ -634,8 +636,8 @@
         task: TaskId,
         run: u32,
         until: u64,
-    ) -> OrderEnd<u64> {
-        let refused = |why| OrderEnd::Refused { why, clock_ms: None };
+    ) -> OrderResult<u64> {
+        let refused = |why| OrderResult::Refused { why, clock_ms: None };
         let host = match self.admit_order(worker, token) {
             Ok(host) => host,
             Err(why) => return refused(why),
@@ -647,7 +649,7 @@
         let sim = &mut self.workers[host];
         sim.lease_until = sim.lease_until.max(until);
         if sim.runs.get(&task).is_some_and(|there| there.run == run) {
-            return OrderEnd::Done(clock);
+            return OrderResult::Done(clock);
         }
         if sim.highest_over.get(&task).is_some_and(|over| run <= *over)
             || sim.runs.contains_key(&task)
@@ -664,7 +666,7 @@
             self.count_crashing_start(task);
             self.workers[host].crash_at.get_or_insert(self.now + CRASH_DELAY_MS);
         }
-        OrderEnd::Done(clock)
+        OrderResult::Done(clock)
     }
 
     /// Checks the invariants that must hold when a run starts.
@@ -690,7 +692,7 @@
         // worker that has not restarted refuses such an order.
         if let Some(at) = self.cancelled.get(&task.of.job).filter(|_| !self.is_order_late) {
             assert!(
-                self.now <= at + CANCEL_GRACE_MS + LEASE_MS + OVERTIME_MS,
+                self.now <= at + CANCEL_GRACE_MS + LEASE_MS + GRACE_PERIOD_MS,
                 "{task} starts after its cancellation"
             );
         }
@@ -714,10 +716,10 @@
         token: u64,
         task: TaskId,
         run: u32,
-    ) -> OrderEnd<u64> {
+    ) -> OrderResult<u64> {
         let host = match self.admit_order(worker, token) {
             Ok(host) => host,
-            Err(why) => return OrderEnd::Refused { why, clock_ms: None },
+            Err(why) => return OrderResult::Refused { why, clock_ms: None },
         };
         let (clock, now) = (self.worker_clock(host), self.now);
         let sim = &mut self.workers[host];
@@ -730,7 +732,7 @@
                 *highest = (*highest).max(run);
             }
         }
-        OrderEnd::Done(clock)
+        OrderResult::Done(clock)
     }
 
     fn apply_poll(
@@ -739,13 +741,13 @@
         token: u64,
         acknowledged: u64,
         until: Option<u64>,
-    ) -> OrderEnd<Look> {
+    ) -> OrderResult<PollResponse> {
         let host = match self.admit_order(worker, token) {
             Ok(host) => host,
-            Err(why) => return OrderEnd::Refused { why, clock_ms: None },
+            Err(why) => return OrderResult::Refused { why, clock_ms: None },
         };
         let clock_ms = self.worker_clock(host);
-        let acknowledged_ends: Vec<Ended> = {
+        let acknowledged_ends: Vec<EndedRun> = {
             let sim = &mut self.workers[host];
             sim.lease_until = sim.lease_until.max(until.unwrap_or(0));
             let (acknowledged_ends, left) =
@@ -758,28 +760,28 @@
             .iter()
             .for_each(|end| self.note_acknowledged(end, lapsed_end < end.number));
         let sim = &self.workers[host];
-        let present = sim.runs.iter().map(|(task, run)| Present {
+        let present = sim.runs.iter().map(|(task, run)| PresentRun {
             task: *task,
             run: run.run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: (100 - run.remaining_ms.min(WORK_MS) * 100 / WORK_MS) as u32,
             gauge: 0,
         });
         let (present, ended) = (present.collect(), sim.ends.clone());
-        OrderEnd::Done(Look { born: sim.report.id.born, clock_ms, present, ended })
+        OrderResult::Done(PollResponse { born: sim.report.id.born, clock_ms, present, ended })
     }
 
     /// An end is acknowledged: it must be persisted by now. Later starts are checked against it if
     /// `counts` is set, i.e. if the worker's lease has not expired since the end was listed.
-    fn note_acknowledged(&mut self, end: &Ended, counts: bool) {
+    fn note_acknowledged(&mut self, end: &EndedRun, counts: bool) {
         let job = end.task.of.job;
         let is_over = self.cancelled.contains_key(&job)
             || self.progress.get(&job).is_some_and(|(progress, _)| progress.state.is_final());
-        let name = format!("{}.{}", end.task.of.time, end.task.of.step);
+        let name = format!("{}.{}", end.task.of.occurrence, end.task.of.step);
         let persisted = self.progress.get(&job).and_then(|(progress, _)| progress.steps.get(&name));
         let persisted_done = persisted.is_some_and(|note| note.done.contains(&end.task.index));
         match end.how {
-            HowEnded::Done => {
+            RunOutcome::Done => {
                 assert!(
                     is_over || persisted_done,
                     "{} is acknowledged before it is persisted",
@@ -789,7 +791,7 @@
                     self.acknowledged_done.insert(end.task);
                 }
             }
-            HowEnded::Failed => {
+            RunOutcome::Failed => {
                 let runs = persisted.and_then(|note| note.tasks.get(&end.task.index));
                 let persisted_failed = runs.is_some_and(|note| note.failed.contains(&end.run));
                 assert!(
@@ -807,29 +809,29 @@
 
     fn persist_progress(&mut self, owner: usize, delivery: Delivery) {
         let token = self.owners[owner].owner.token;
-        let saves = self.owners[owner].owner.saves(15);
+        let saves = self.owners[owner].owner.take_saves(15);
         if saves.is_empty() {
             return;
         }
         match delivery {
-            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.not_saved(&saves),
+            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.note_save_failed(&saves),
             Delivery::Late => {
-                self.owners[owner].owner.not_saved(&saves);
+                self.owners[owner].owner.note_save_failed(&saves);
                 self.late_saves.push((token, saves));
             }
             Delivery::Delivered | Delivery::AnswerLost => {
                 let written = self.write_progress(token, &saves);
                 match written {
                     Ok(revision) if delivery == Delivery::Delivered => {
-                        self.owners[owner].owner.saved(&saves, revision);
+                        self.owners[owner].owner.note_saved(&saves, revision);
                     }
                     Err(conflicts) if delivery == Delivery::Delivered => {
                         for (job, revision) in conflicts {
                             self.owners[owner].owner.rebase(job, revision);
                         }
-                        self.owners[owner].owner.not_saved(&saves);
+                        self.owners[owner].owner.note_save_failed(&saves);
                     }
-                    _ => self.owners[owner].owner.not_saved(&saves),
+                    _ => self.owners[owner].owner.note_save_failed(&saves),
                 }
             }
         }
@@ -839,10 +841,10 @@
     fn write_progress(
         &mut self,
         token: u64,
-        saves: &[Save],
+        saves: &[ProgressWrite],
     ) -> Result<Revision, Vec<(JobId, Revision)>> {
         let at = |job: &JobId| self.progress.get(job).map_or(0, |(_, revision)| *revision);
-        let conflicts = saves.iter().filter(|save| at(&save.job) != save.expects.0);
+        let conflicts = saves.iter().filter(|save| at(&save.job) != save.expected_revision.0);
         let conflicts: Vec<(JobId, Revision)> =
             conflicts.map(|save| (save.job, Revision(at(&save.job)))).collect();
         if token != self.token || !conflicts.is_empty() {
@@ -870,7 +872,7 @@
                 let record = &self.jobs[&job].record;
                 for (number, step) in record.steps.iter().enumerate() {
                     for index in 0..step.count {
-                        let of = StepId { job, time: 0, step: number as u32 };
+                        let of = StepId { job, occurrence: 0, step: number as u32 };
                         let task = TaskId { of, index };
                         assert!(self.done_tasks.contains(&task), "{job} succeeded without {task}");
                     }
@@ -1062,15 +1064,15 @@
 }
 
 fn first_task(job: JobId) -> TaskId {
-    TaskId { of: StepId { job, time: 0, step: 0 }, index: 0 }
+    TaskId { of: StepId { job, occurrence: 0, step: 0 }, index: 0 }
 }
 
 fn worker_of(effect: &Effect) -> Option<&Incarnation> {
     match effect {
-        Effect::Start { to, .. } | Effect::Stop { to, .. } | Effect::Look { to, .. } => {
+        Effect::Start { to, .. } | Effect::Stop { to, .. } | Effect::Poll { to, .. } => {
             Some(&to.worker)
         }
-        Effect::Pace { .. } | Effect::Advise { .. } => None,
+        Effect::Throttle { .. } | Effect::Advise { .. } => None,
     }
 }
 
@@ -1078,14 +1080,14 @@
     match effect {
         Effect::Start { to, start } => Effect::Start { to: to.clone(), start: start.clone() },
         Effect::Stop { to, task, run } => Effect::Stop { to: to.clone(), task: *task, run: *run },
-        Effect::Look { to, acknowledged, until_ms, wait } => Effect::Look {
+        Effect::Poll { to, acknowledged, until_ms, wait } => Effect::Poll {
             to: to.clone(),
             acknowledged: *acknowledged,
             until_ms: *until_ms,
             wait: *wait,
         },
-        Effect::Pace { to, task, run, percent } => {
-            Effect::Pace { to: to.clone(), task: *task, run: *run, percent: *percent }
+        Effect::Throttle { to, task, run, percent } => {
+            Effect::Throttle { to: to.clone(), task: *task, run: *run, percent: *percent }
         }
         Effect::Advise { step, workers, needs } => {
             Effect::Advise { step: *step, workers: workers.clone(), needs: *needs }
--- a/src/jobs/tests/fuzz/wire.rs
+++ b/src/jobs/tests/fuzz/wire.rs
@@ -8,11 +8,11 @@
 use crate::{
     jobs::{
         event::{Effect, Event},
-        worker::LATE_MS,
+        worker::EXPIRY_DELAY_MS,
     },
     model::{
         unit::Steady,
-        worker::{OrderEnd, Refusal},
+        worker::{OrderResult, Refusal},
     },
     tests::fuzz,
 };
@@ -23,7 +23,7 @@
 
 /// How late workers end their runs after their lease has expired, in milliseconds: the maximum that
 /// an owner allows for, less one step of simulated time, at the end of which they do it.
-const EXPIRY_LAG_MS: u64 = LATE_MS - 25;
+const EXPIRY_LAG_MS: u64 = EXPIRY_DELAY_MS - 25;
 
 /// Longer than any of these tests runs, in milliseconds.
 const LONG_RUN_MS: u64 = 60_000;
@@ -126,8 +126,8 @@
         let Some((effect, sent)) = self.take_order(owner, index) else {
             return;
         };
-        fn refused<T>() -> OrderEnd<T> {
-            OrderEnd::Refused { why: Refusal::Unwell, clock_ms: None }
+        fn refused<T>() -> OrderResult<T> {
+            OrderResult::Refused { why: Refusal::Unwell, clock_ms: None }
         }
         let sent = Steady::from_millis(sent);
         let event = match effect {
@@ -138,8 +138,8 @@
             Effect::Stop { to, task, run } => {
                 Event::Stopped { worker: to.worker, task, run, end: refused() }
             }
-            Effect::Look { to, .. } => Event::Looked { worker: to.worker, sent, end: refused() },
-            Effect::Pace { .. } | Effect::Advise { .. } => return,
+            Effect::Poll { to, .. } => Event::Polled { worker: to.worker, sent, end: refused() },
+            Effect::Throttle { .. } | Effect::Advise { .. } => return,
         };
         self.deliver(owner, event);
     }
--- a/src/jobs/tests/handover.rs
+++ b/src/jobs/tests/handover.rs
@@ -2,35 +2,35 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Bench, done, id, present, report, step, stored, worker_id};
+use super::{Harness, done, id, present, report, step, stored, worker_id};
 use crate::{
     jobs::{
         event::{Effect, Event},
         owner::UNCONFIRMED_ADDED,
-        roster::Away,
+        roster::SilentWorkers,
     },
     model::{
         id::Incarnation,
         job::{JobId, TaskId},
-        worker::Ended,
+        worker::EndedRun,
     },
 };
 
 /// An owner of workers, each with as many tasks as it can run.
-fn busy_owner(workers: usize) -> (Bench, BTreeMap<Incarnation, Vec<(TaskId, u32)>>) {
-    let mut harness = Bench::new(0);
+fn busy_owner(workers: usize) -> (Harness, BTreeMap<Incarnation, Vec<(TaskId, u32)>>) {
+    let mut harness = Harness::new(0);
     for number in 0..workers {
         let name = format!("w{number}");
-        harness.tell(Event::Worker(report(&name, &format!("h{number}"))));
+        harness.deliver(Event::Worker(report(&name, &format!("h{number}"))));
     }
     harness.work();
-    (0..workers).for_each(|number| harness.look(&format!("w{number}"), vec![], vec![]));
-    while harness.keep_roster().is_some() {}
-    harness.tell(Event::Job(stored(1, vec![step(workers as u32 * 4)], 110)));
+    (0..workers).for_each(|number| harness.poll(&format!("w{number}"), vec![], vec![]));
+    while harness.persist_roster().is_some() {}
+    harness.deliver(Event::Job(stored(1, vec![step(workers as u32 * 4)], 110)));
     harness.work();
     let mut runs: BTreeMap<Incarnation, Vec<(TaskId, u32)>> = BTreeMap::new();
-    for (task, run, worker) in harness.starts() {
-        harness.started(task, run, &worker);
+    for (task, run, worker) in harness.take_starts() {
+        harness.confirm_start(task, run, &worker);
         runs.entry(worker).or_default().push((task, run));
     }
     assert_eq!(runs.values().map(Vec::len).sum::<usize>(), workers * 4);
@@ -38,20 +38,24 @@
 }
 
 /// The next owner of the same workers, with jobs that are older than its ownership.
-fn next_owner(harness: &Bench, workers: usize, jobs: impl Iterator<Item = (u64, u32)>) -> Bench {
-    let away = harness.owner.parting(harness.at()).unwrap_or_default();
+fn next_owner(
+    harness: &Harness,
+    workers: usize,
+    jobs: impl Iterator<Item = (u64, u32)>,
+) -> Harness {
+    let away = harness.owner.handover_record(harness.at()).unwrap_or_default();
     let names: Vec<(String, String)> =
         (0..workers).map(|number| (format!("w{number}"), format!("h{number}"))).collect();
     let listed: Vec<(&str, &str)> = names.iter().map(|(w, h)| (w.as_str(), h.as_str())).collect();
-    let mut next = Bench::inheriting(&listed, away);
+    let mut next = Harness::inheriting(&listed, away);
     for (number, tasks) in jobs {
-        next.tell(Event::Job(stored(number, vec![step(tasks)], 50)));
+        next.deliver(Event::Job(stored(number, vec![step(tasks)], 50)));
     }
     next
 }
 
 /// The ends of a worker's runs.
-fn ends(runs: &[(TaskId, u32)]) -> Vec<Ended> {
+fn ends(runs: &[(TaskId, u32)]) -> Vec<EndedRun> {
     (1..).zip(runs).map(|(number, (task, run))| done(number, *task, *run)).collect()
 }
 
@@ -67,22 +71,22 @@
     const RESPONDING: usize = 250;
     let (mut earlier, runs) = busy_owner(WORKERS);
     // That the first job has begun is durable: its tasks are held back because they run.
-    earlier.save();
+    earlier.persist_progress();
     let mut harness =
         next_owner(&earlier, WORKERS, [(1, 2_200)].into_iter().chain((2..386).map(|n| (n, 9))));
     harness.work();
-    harness.look("w0", vec![], ends(&runs[&worker_id("w0")]));
-    harness.keep_roster();
+    harness.poll("w0", vec![], ends(&runs[&worker_id("w0")]));
+    harness.persist_roster();
     harness.work();
-    let first = harness.starts();
+    let first = harness.take_starts();
     assert_eq!(first.len(), 4, "one of {WORKERS} workers was polled, and has four cores");
     for number in 1..RESPONDING {
         let name = format!("w{number}");
-        harness.look(&name, vec![], ends(&runs[&worker_id(&name)]));
+        harness.poll(&name, vec![], ends(&runs[&worker_id(&name)]));
     }
-    harness.keep_roster();
+    harness.persist_roster();
     harness.work();
-    let others = harness.starts();
+    let others = harness.take_starts();
     assert_eq!(others.len(), (RESPONDING - 1) * 4);
     let may_run: BTreeSet<JobId> = [id(1)].into();
     let mut started = first.iter().chain(&others);
@@ -97,13 +101,13 @@
 #[test]
 fn a_task_whose_end_is_not_durable_waits_for_the_worker_that_lists_it() {
     let (mut earlier, runs) = busy_owner(2);
-    earlier.look("w1", vec![], ends(&runs[&worker_id("w1")]));
+    earlier.poll("w1", vec![], ends(&runs[&worker_id("w1")]));
     let mut harness = next_owner(&earlier, 2, [(1, 8), (2, 3)].into_iter());
     harness.work();
-    harness.look("w0", vec![], ends(&runs[&worker_id("w0")]));
-    harness.keep_roster();
+    harness.poll("w0", vec![], ends(&runs[&worker_id("w0")]));
+    harness.persist_roster();
     harness.work();
-    let started: Vec<JobId> = harness.starts().iter().map(|(task, ..)| task.of.job).collect();
+    let started: Vec<JobId> = harness.take_starts().iter().map(|(task, ..)| task.of.job).collect();
     assert_eq!(started, vec![id(2); 3]);
 }
 
@@ -111,17 +115,17 @@
 #[test]
 fn a_handover_record_applies_to_the_very_next_owner_only() {
     let (earlier, runs) = busy_owner(2);
-    let record = earlier.owner.parting(earlier.at()).expect("all is known");
+    let record = earlier.owner.handover_record(earlier.at()).expect("all is known");
     for owners in [1, 2, 3] {
-        let mut harness = Bench::new(owners);
+        let mut harness = Harness::new(owners);
         let now = harness.at();
         let workers = vec![report("w0", "h0"), report("w1", "h1")];
         harness.owner.inherit(workers, &record, now, &mut harness.effects);
-        harness.tell(Event::Job(stored(2, vec![step(3)], 50)));
+        harness.deliver(Event::Job(stored(2, vec![step(3)], 50)));
         harness.work();
-        harness.look("w0", vec![], ends(&runs[&worker_id("w0")]));
+        harness.poll("w0", vec![], ends(&runs[&worker_id("w0")]));
         harness.work();
-        let started = harness.starts().len();
+        let started = harness.take_starts().len();
         assert_eq!(started, if owners == 1 { 3 } else { 0 }, "{owners} owners before");
     }
 }
@@ -130,22 +134,22 @@
 #[test]
 fn a_handover_record_can_be_read_back() {
     let (earlier, _) = busy_owner(3);
-    let record = earlier.owner.parting(earlier.at()).expect("all is known");
+    let record = earlier.owner.handover_record(earlier.at()).expect("all is known");
     let text = serde_json::to_string(&record).unwrap();
     assert_eq!(text.matches("0000000000000001.0.0").count(), 1, "each step is named once: {text}");
-    assert_eq!(serde_json::from_str::<Away>(&text).unwrap(), record);
-    assert_eq!(serde_json::from_str::<Away>("{}").unwrap(), Away::default());
-    assert!(serde_json::from_str::<Away>(r#"{"h":{"o":1,"t":{"no step":[1]}}}"#).is_err());
+    assert_eq!(serde_json::from_str::<SilentWorkers>(&text).unwrap(), record);
+    assert_eq!(serde_json::from_str::<SilentWorkers>("{}").unwrap(), SilentWorkers::default());
+    assert!(serde_json::from_str::<SilentWorkers>(r#"{"h":{"o":1,"t":{"no step":[1]}}}"#).is_err());
 }
 
 /// An owner that still waits for workers has nothing to hand over.
 #[test]
 fn an_owner_that_does_not_know_what_may_run_hands_nothing_over() {
-    let mut harness = Bench::inheriting(&[("w0", "h0"), ("w1", "h1")], Away::default());
-    harness.touch("w0", vec![]);
-    assert_eq!(harness.owner.parting(harness.at()), None);
-    harness.touch("w1", vec![]);
-    assert!(harness.owner.parting(harness.at()).is_some());
+    let mut harness = Harness::inheriting(&[("w0", "h0"), ("w1", "h1")], SilentWorkers::default());
+    harness.connect("w0", vec![]);
+    assert_eq!(harness.owner.handover_record(harness.at()), None);
+    harness.connect("w1", vec![]);
+    assert!(harness.owner.handover_record(harness.at()).is_some());
 }
 
 /// A run or an end of a job that the owner does not know may belong to one that the next owner
@@ -154,11 +158,11 @@
 fn runs_and_ends_of_unknown_jobs_prevent_a_handover_record() {
     let task: TaskId = format!("{}.0.0.0", id(7)).parse().unwrap();
     let (mut run, _) = busy_owner(2);
-    run.look("w1", vec![present(task, 1, 30)], vec![]);
-    assert_eq!(run.owner.parting(run.at()), None);
+    run.poll("w1", vec![present(task, 1, 30)], vec![]);
+    assert_eq!(run.owner.handover_record(run.at()), None);
     let (mut end, _) = busy_owner(2);
-    end.look("w1", vec![], vec![done(1, task, 1)]);
-    assert_eq!(end.owner.parting(end.at()), None);
+    end.poll("w1", vec![], vec![done(1, task, 1)]);
+    assert_eq!(end.owner.handover_record(end.at()), None);
 }
 
 /// An owner that knows that nothing runs on hosts that have moved away does not poll them for
@@ -166,14 +170,14 @@
 #[test]
 fn unlisted_workers_without_runs_are_not_polled() {
     let (mut earlier, runs) = busy_owner(3);
-    earlier.look("w2", vec![], ends(&runs[&worker_id("w2")]));
-    earlier.save();
-    earlier.miss("w2");
+    earlier.poll("w2", vec![], ends(&runs[&worker_id("w2")]));
+    earlier.persist_progress();
+    earlier.poll_unanswered("w2");
     let mut harness = next_owner(&earlier, 3, std::iter::empty());
     harness.work();
     let polled: BTreeSet<Incarnation> = (harness.effects.iter())
         .filter_map(|effect| match effect {
-            Effect::Look { to, .. } => Some(to.worker.clone()),
+            Effect::Poll { to, .. } => Some(to.worker.clone()),
             _ => None,
         })
         .collect();
--- a/src/jobs/tests/helpers.rs
+++ b/src/jobs/tests/helpers.rs
@@ -4,7 +4,7 @@
 
 use super::worker_id;
 use crate::{
-    jobs::helpers::{Helpers, is_small},
+    jobs::helpers::{Delegates, can_call_directly},
     model::{id::Incarnation, unit::Millicores},
 };
 
@@ -16,7 +16,7 @@
     (0..count).map(|n| format!("node-{n}")).collect()
 }
 
-fn shares(delegates: &Helpers, workers: &[Incarnation]) -> BTreeMap<String, usize> {
+fn shares(delegates: &Delegates, workers: &[Incarnation]) -> BTreeMap<String, usize> {
     let mut shares = BTreeMap::new();
     for worker in workers {
         *shares.entry(delegates.of(worker).unwrap().to_owned()).or_default() += 1;
@@ -26,15 +26,15 @@
 
 #[test]
 fn a_node_calls_as_many_workers_itself_as_its_processor_allows() {
-    assert!(is_small(24, Millicores(120)));
-    assert!(!is_small(25, Millicores(120)));
-    assert!(is_small(49, Millicores(250)));
-    assert!(!is_small(900, Millicores(500)));
+    assert!(can_call_directly(24, Millicores(120)));
+    assert!(!can_call_directly(25, Millicores(120)));
+    assert!(can_call_directly(49, Millicores(250)));
+    assert!(!can_call_directly(900, Millicores(500)));
 }
 
 #[test]
 fn workers_are_distributed_evenly_and_keep_their_delegate() {
-    let mut delegates = Helpers::default();
+    let mut delegates = Delegates::default();
     let (few, many) = (workers(100), workers(300));
     delegates.choose("pool", &nodes(40), &few);
     let before: Vec<String> = few.iter().map(|w| delegates.of(w).unwrap().to_owned()).collect();
@@ -47,7 +47,7 @@
 
 #[test]
 fn the_workers_of_a_removed_delegate_go_to_the_others() {
-    let mut delegates = Helpers::default();
+    let mut delegates = Delegates::default();
     let workers = workers(60);
     delegates.choose("pool", &nodes(5), &workers);
     delegates.choose("pool", &nodes(4), &workers);
@@ -59,7 +59,7 @@
 
 #[test]
 fn without_other_nodes_the_owner_makes_all_calls() {
-    let mut delegates = Helpers::default();
+    let mut delegates = Delegates::default();
     delegates.choose("pool", &[], &workers(60));
     assert_eq!(delegates.of(&worker_id("w1")), None);
 }
--- a/src/jobs/tests/late.rs
+++ b/src/jobs/tests/late.rs
@@ -1,11 +1,11 @@
 //! Tests of how long an owner waits for workers whose timers fire late.
 
-use super::{Bench, one_worker, report, step, stored};
+use super::{Harness, one_worker, report, step, stored};
 use crate::jobs::{
     event::Event,
-    owner::{LEASE_MS, OVERTIME_MS},
-    roster::Away,
-    worker::HOLD_MS,
+    owner::{GRACE_PERIOD_MS, LEASE_MS},
+    roster::SilentWorkers,
+    worker::WORKER_LEASE_MS,
 };
 
 /// The latest that a timer of 20 ms fired in a process beside 24 busy ones, in milliseconds, by
@@ -13,15 +13,15 @@
 const TIMER_MS: u64 = 157 + 20;
 
 /// How long the last lease lasts on a clock that is 2 % slow, in milliseconds.
-const SLOW_HOLD_MS: u64 = HOLD_MS * 100 / 98 + 1;
+const SLOW_HOLD_MS: u64 = WORKER_LEASE_MS * 100 / 98 + 1;
 
 /// Advances time until a task is started at a worker that answers; returns that time.
-fn next_start(harness: &mut Bench, answers: &str) -> u64 {
+fn next_start(harness: &mut Harness, answers: &str) -> u64 {
     for _ in 0..2_000 {
         harness.now += 10;
-        harness.look(answers, vec![], vec![]);
+        harness.poll(answers, vec![], vec![]);
         harness.work();
-        if !harness.starts().is_empty() {
+        if !harness.take_starts().is_empty() {
             return harness.now;
         }
     }
@@ -33,18 +33,18 @@
 #[test]
 fn runs_of_a_silent_worker_expire_only_after_its_late_timer() {
     let mut harness = one_worker();
-    harness.tell(Event::Worker(report("w2", "h2")));
-    harness.touch("w2", vec![]);
+    harness.deliver(Event::Worker(report("w2", "h2")));
+    harness.connect("w2", vec![]);
     // A lease that an earlier owner may have granted ends no later than one that this owner grants.
     harness.now += 500;
-    harness.look("w1", vec![], vec![]);
-    harness.look("w2", vec![], vec![]);
-    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.poll("w1", vec![], vec![]);
+    harness.poll("w2", vec![], vec![]);
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 110)));
     harness.work();
-    let (task, run, worker) = harness.starts()[0].clone();
-    harness.started(task, run, &worker);
+    let (task, run, worker) = harness.take_starts()[0].clone();
+    harness.confirm_start(task, run, &worker);
     let given = harness.now;
-    harness.miss(worker.worker.as_str());
+    harness.poll_unanswered(worker.worker.as_str());
     let other = if worker.worker.as_str() == "w1" { "w2" } else { "w1" };
     let start = next_start(&mut harness, other);
     assert!(given + SLOW_HOLD_MS + TIMER_MS <= start, "{} ms after the order", start - given);
@@ -53,13 +53,13 @@
 /// As above, for a worker that got its last order from the previous owner.
 #[test]
 fn runs_of_an_unreached_worker_expire_only_after_its_late_timer() {
-    let mut harness = Bench::inheriting(&[("w1", "h1"), ("w2", "h2")], Away::default());
-    harness.tell(Event::Worker(report("w2", "h2")));
-    harness.tell(Event::Job(stored(1, vec![step(1)], 50)));
-    harness.touch("w2", vec![]);
+    let mut harness = Harness::inheriting(&[("w1", "h1"), ("w2", "h2")], SilentWorkers::default());
+    harness.deliver(Event::Worker(report("w2", "h2")));
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
+    harness.connect("w2", vec![]);
     let start = next_start(&mut harness, "w2");
     // The previous owner estimated the worker's clock by an answer that was up to 1.25 s old.
     let clock_ms = 25;
-    let least = LEASE_MS + OVERTIME_MS + SLOW_HOLD_MS + clock_ms + TIMER_MS;
+    let least = LEASE_MS + GRACE_PERIOD_MS + SLOW_HOLD_MS + clock_ms + TIMER_MS;
     assert!(least <= start, "{start} ms after the change of owners, not {least}");
 }
--- a/src/jobs/tests/refusals.rs
+++ b/src/jobs/tests/refusals.rs
@@ -1,11 +1,11 @@
 //! Tests of refused orders: whether the run may still be there, or may still begin.
 
-use super::{Bench, done, one_worker, present, report, step, stored, worker_id};
+use super::{Harness, done, one_worker, present, report, step, stored, worker_id};
 use crate::{
     jobs::event::Event,
     model::{
         job::TaskId,
-        worker::{OrderEnd, Refusal},
+        worker::{OrderResult, Refusal},
     },
 };
 
@@ -14,27 +14,27 @@
 const AFTER_PAUSE_MS: u64 = 1_000;
 
 /// Two workers, and a task whose start at one of them is on its way.
-fn start_pending() -> (Bench, TaskId, u32, &'static str, &'static str) {
+fn start_pending() -> (Harness, TaskId, u32, &'static str, &'static str) {
     let mut harness = one_worker();
-    harness.tell(Event::Worker(report("w2", "h2")));
-    harness.touch("w2", vec![]);
-    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.deliver(Event::Worker(report("w2", "h2")));
+    harness.connect("w2", vec![]);
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 110)));
     harness.work();
-    let (task, run, worker) = harness.starts()[0].clone();
+    let (task, run, worker) = harness.take_starts()[0].clone();
     match worker.worker.as_str() {
         "w1" => (harness, task, run, "w1", "w2"),
         _ => (harness, task, run, "w2", "w1"),
     }
 }
 
-fn refuse_start(harness: &mut Bench, at: &str, task: TaskId, run: u32, why: Refusal) {
-    let end = OrderEnd::Refused { why, clock_ms: None };
-    harness.tell(Event::Started { worker: worker_id(at), task, run, end });
+fn refuse_start(harness: &mut Harness, at: &str, task: TaskId, run: u32, why: Refusal) {
+    let end = OrderResult::Refused { why, clock_ms: None };
+    harness.deliver(Event::Started { worker: worker_id(at), task, run, end });
 }
 
-fn refuse_stop(harness: &mut Bench, at: &str, task: TaskId, run: u32, why: Refusal) {
-    let end = OrderEnd::Refused { why, clock_ms: None };
-    harness.tell(Event::Stopped { worker: worker_id(at), task, run, end });
+fn refuse_stop(harness: &mut Harness, at: &str, task: TaskId, run: u32, why: Refusal) {
+    let end = OrderResult::Refused { why, clock_ms: None };
+    harness.deliver(Event::Stopped { worker: worker_id(at), task, run, end });
 }
 
 /// Guards against two runs of one task. A start got no answer and was still on its way. The order
@@ -46,18 +46,23 @@
 fn a_refused_stop_does_not_free_the_task() {
     for why in [Refusal::Invalid, Refusal::Late, Refusal::Room, Refusal::Ticket, Refusal::Unwell] {
         let (mut harness, task, run, at, other) = start_pending();
-        harness.tell(Event::Started { worker: worker_id(at), task, run, end: OrderEnd::Unknown });
+        harness.deliver(Event::Started {
+            worker: worker_id(at),
+            task,
+            run,
+            end: OrderResult::Unknown,
+        });
         harness.work();
         harness.now += 5;
-        harness.look(at, vec![], vec![]);
-        assert_eq!(harness.stops(), vec![task], "{why:?}");
+        harness.poll(at, vec![], vec![]);
+        assert_eq!(harness.take_stops(), vec![task], "{why:?}");
         refuse_stop(&mut harness, at, task, run, why);
         harness.now += AFTER_PAUSE_MS;
-        harness.look(at, vec![], vec![]);
-        harness.look(other, vec![], vec![]);
-        assert_eq!(harness.stops(), vec![task], "{why:?}: it is stopped again");
+        harness.poll(at, vec![], vec![]);
+        harness.poll(other, vec![], vec![]);
+        assert_eq!(harness.take_stops(), vec![task], "{why:?}: it is stopped again");
         harness.work();
-        assert_eq!(harness.starts(), vec![], "{why:?}");
+        assert_eq!(harness.take_starts(), vec![], "{why:?}");
     }
 }
 
@@ -65,15 +70,15 @@
 #[test]
 fn a_stop_refused_as_old_frees_the_task_with_the_next_poll() {
     let (mut harness, task, run, at, _) = start_pending();
-    harness.tell(Event::Started { worker: worker_id(at), task, run, end: OrderEnd::Unknown });
+    harness.deliver(Event::Started { worker: worker_id(at), task, run, end: OrderResult::Unknown });
     harness.work();
     harness.now += 5;
-    harness.look(at, vec![], vec![]);
+    harness.poll(at, vec![], vec![]);
     refuse_stop(&mut harness, at, task, run, Refusal::Old);
     harness.now += 5;
-    harness.look(at, vec![], vec![]);
+    harness.poll(at, vec![], vec![]);
     harness.work();
-    assert_eq!(harness.starts().len(), 1);
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 /// Guards against two runs of one task. A worker that refuses a start as old has another run of the
@@ -85,10 +90,10 @@
     refuse_start(&mut harness, at, task, run, Refusal::Old);
     harness.now += AFTER_PAUSE_MS;
     harness.work();
-    assert_eq!(harness.starts(), vec![], "it may run there, or may be done");
-    harness.look(at, vec![], vec![done(1, task, run)]);
+    assert_eq!(harness.take_starts(), vec![], "it may run there, or may be done");
+    harness.poll(at, vec![], vec![done(1, task, run)]);
     harness.work();
-    assert_eq!(harness.starts(), vec![], "it is done");
+    assert_eq!(harness.take_starts(), vec![], "it is done");
 }
 
 /// As above: the run that is there ends before the task is started again.
@@ -97,14 +102,14 @@
     let (mut harness, task, run, at, _) = start_pending();
     refuse_start(&mut harness, at, task, run, Refusal::Old);
     harness.now += AFTER_PAUSE_MS;
-    harness.look(at, vec![present(task, run + 1, 10)], vec![]);
-    assert_eq!(harness.stops(), vec![task], "the other run is stopped");
+    harness.poll(at, vec![present(task, run + 1, 10)], vec![]);
+    assert_eq!(harness.take_stops(), vec![task], "the other run is stopped");
     harness.work();
-    assert_eq!(harness.starts(), vec![]);
+    assert_eq!(harness.take_starts(), vec![]);
     harness.now += AFTER_PAUSE_MS;
-    harness.look(at, vec![], vec![]);
+    harness.poll(at, vec![], vec![]);
     harness.work();
-    assert_eq!(harness.starts().len(), 1);
+    assert_eq!(harness.take_starts().len(), 1);
 }
 
 /// By the platform's contract the worker has done nothing for these orders, and never will.
@@ -115,7 +120,7 @@
         refuse_start(&mut harness, at, task, run, why);
         harness.now += AFTER_PAUSE_MS;
         harness.work();
-        assert_eq!(harness.starts().len(), 1, "{why:?}");
+        assert_eq!(harness.take_starts().len(), 1, "{why:?}");
     }
 }
 
@@ -124,12 +129,12 @@
 fn a_refused_poll_frees_no_task() {
     for why in [Refusal::Invalid, Refusal::Unwell, Refusal::Late, Refusal::Old] {
         let (mut harness, task, run, at, _) = start_pending();
-        harness.started(task, run, &worker_id(at));
+        harness.confirm_start(task, run, &worker_id(at));
         harness.now += AFTER_PAUSE_MS;
         let sent = harness.at().steady;
-        let end = OrderEnd::Refused { why, clock_ms: None };
-        harness.tell(Event::Looked { worker: worker_id(at), sent, end });
+        let end = OrderResult::Refused { why, clock_ms: None };
+        harness.deliver(Event::Polled { worker: worker_id(at), sent, end });
         harness.work();
-        assert_eq!(harness.starts(), vec![], "{why:?}");
+        assert_eq!(harness.take_starts(), vec![], "{why:?}");
     }
 }
--- a/src/jobs/tests/unlisted.rs
+++ b/src/jobs/tests/unlisted.rs
@@ -2,22 +2,22 @@
 //! to serve for a while, and entries that lapsed during a store outage are back within two seconds
 //! after it.
 
-use super::{Bench, one_worker, report, step, stored, worker_id};
+use super::{Harness, one_worker, report, step, stored, worker_id};
 use crate::{jobs::event::Event, model::job::Step};
 
 /// Two workers that answer, of which the first is no longer listed.
-fn one_of_two_is_unlisted() -> Bench {
+fn one_of_two_is_unlisted() -> Harness {
     let mut harness = one_worker();
-    harness.tell(Event::Worker(report("w2", "h2")));
-    harness.touch("w2", vec![]);
-    harness.tell(Event::Unlisted(worker_id("w1").worker));
+    harness.deliver(Event::Worker(report("w2", "h2")));
+    harness.connect("w2", vec![]);
+    harness.deliver(Event::Unlisted(worker_id("w1").worker));
     harness
 }
 
-fn start(harness: &mut Bench, number: u64) -> Vec<String> {
-    harness.tell(Event::Job(stored(number, vec![step(1)], 100 + number)));
+fn start(harness: &mut Harness, number: u64) -> Vec<String> {
+    harness.deliver(Event::Job(stored(number, vec![step(1)], 100 + number)));
     harness.work();
-    harness.starts().into_iter().map(|(_, _, worker)| worker.to_string()).collect()
+    harness.take_starts().into_iter().map(|(_, _, worker)| worker.to_string()).collect()
 }
 
 /// Tasks were interrupted after they had been started on workers that still answered, but whose
@@ -25,16 +25,16 @@
 #[test]
 fn a_worker_whose_entry_stays_missing_gets_no_new_work() {
     let mut harness = one_worker();
-    harness.tell(Event::Unlisted(worker_id("w1").worker));
+    harness.deliver(Event::Unlisted(worker_id("w1").worker));
     for _ in 0..21 {
         harness.now += 100;
-        harness.look("w1", vec![], vec![]);
+        harness.poll("w1", vec![], vec![]);
         harness.work();
     }
     assert_eq!(start(&mut harness, 1), [] as [&str; 0]);
-    harness.tell(Event::Worker(report("w1", "h1")));
+    harness.deliver(Event::Worker(report("w1", "h1")));
     harness.work();
-    assert_eq!(harness.starts().len(), 1, "its entry is back");
+    assert_eq!(harness.take_starts().len(), 1, "its entry is back");
 }
 
 #[test]
@@ -50,15 +50,15 @@
 #[test]
 fn runs_continue_at_a_worker_whose_entry_stays_missing() {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![Step { lasting: true, ..step(1) }], 110)));
+    harness.deliver(Event::Job(stored(1, vec![Step { long_running: true, ..step(1) }], 110)));
     harness.work();
-    let (task, run, worker) = harness.starts()[0].clone();
-    harness.started(task, run, &worker);
-    harness.tell(Event::Unlisted(worker_id("w1").worker));
+    let (task, run, worker) = harness.take_starts()[0].clone();
+    harness.confirm_start(task, run, &worker);
+    harness.deliver(Event::Unlisted(worker_id("w1").worker));
     for _ in 0..30 {
         harness.now += 100;
-        harness.look("w1", vec![super::present(task, run, 100)], vec![]);
+        harness.poll("w1", vec![super::present(task, run, 100)], vec![]);
         harness.work();
     }
-    assert_eq!(harness.stops(), vec![]);
+    assert_eq!(harness.take_stops(), vec![]);
 }
--- a/src/jobs/tests/waiting.rs
+++ b/src/jobs/tests/waiting.rs
@@ -6,13 +6,13 @@
 //! waits. Yet the job was counted as begun as soon as its first start was decided, was persisted so
 //! for all nodes and later owners, and that was never undone.
 
-use super::{Bench, done, id, one_worker, present, report, step, stored, worker_id};
+use super::{Harness, done, id, one_worker, present, report, step, stored, worker_id};
 use crate::{
     jobs::event::Event,
     model::{
         job::{JobState, Progress, Step, StepId, TaskId},
         unit::Revision,
-        worker::{Ended, HowEnded, OrderEnd, Refusal},
+        worker::{EndedRun, OrderResult, Refusal, RunOutcome},
     },
 };
 
@@ -20,8 +20,8 @@
 const AFTER_PAUSE_MS: u64 = 1_000;
 
 /// How many jobs are counted as waiting, and the last persisted state of the first.
-fn waiting_and_state(harness: &mut Bench) -> (usize, JobState) {
-    let saved = harness.save();
+fn waiting_and_state(harness: &mut Harness) -> (usize, JobState) {
+    let saved = harness.persist_progress();
     let kept = saved.iter().rev().find(|(job, _)| *job == id(1));
     let kept = kept.map(|(_, progress)| progress.state).unwrap_or_default();
     (harness.owner.queued().values().sum(), kept)
@@ -31,23 +31,23 @@
 const BEGUN: (usize, JobState) = (0, JobState::Running);
 
 /// A worker, and a task whose first start there was ordered.
-fn order_start() -> (Bench, TaskId, u32) {
+fn order_start() -> (Harness, TaskId, u32) {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![step(1)], 110)));
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 110)));
     harness.work();
-    let (task, run, _) = harness.starts()[0].clone();
+    let (task, run, _) = harness.take_starts()[0].clone();
     (harness, task, run)
 }
 
-fn answer(harness: &mut Bench, task: TaskId, run: u32, end: OrderEnd<u64>) {
-    harness.tell(Event::Started { worker: worker_id("w1"), task, run, end });
+fn answer(harness: &mut Harness, task: TaskId, run: u32, end: OrderResult<u64>) {
+    harness.deliver(Event::Started { worker: worker_id("w1"), task, run, end });
 }
 
 #[test]
 fn a_job_waits_until_its_first_start_is_answered() {
     let (mut harness, task, run) = order_start();
     assert_eq!(waiting_and_state(&mut harness), WAITS);
-    harness.started(task, run, &worker_id("w1"));
+    harness.confirm_start(task, run, &worker_id("w1"));
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
 }
 
@@ -55,7 +55,7 @@
 fn a_job_whose_only_start_was_refused_waits() {
     for why in [Refusal::Room, Refusal::Unwell, Refusal::Late, Refusal::Ticket, Refusal::Old] {
         let (mut harness, task, run) = order_start();
-        answer(&mut harness, task, run, OrderEnd::Refused { why, clock_ms: None });
+        answer(&mut harness, task, run, OrderResult::Refused { why, clock_ms: None });
         assert_eq!(waiting_and_state(&mut harness), WAITS, "{why:?}");
     }
 }
@@ -63,43 +63,43 @@
 #[test]
 fn a_job_whose_only_start_was_unsent_waits() {
     let (mut harness, task, run) = order_start();
-    answer(&mut harness, task, run, OrderEnd::Unsent);
+    answer(&mut harness, task, run, OrderResult::Unsent);
     assert_eq!(waiting_and_state(&mut harness), WAITS);
 }
 
 #[test]
 fn a_job_whose_only_start_got_no_answer_and_did_not_begin_waits() {
     let (mut harness, task, run) = order_start();
-    answer(&mut harness, task, run, OrderEnd::Unknown);
+    answer(&mut harness, task, run, OrderResult::Unknown);
     assert_eq!(waiting_and_state(&mut harness), WAITS, "it may not have begun");
     harness.now += 5;
-    harness.look("w1", vec![], vec![]);
-    let end = OrderEnd::Done(1_000 + harness.now);
-    harness.tell(Event::Stopped { worker: worker_id("w1"), task, run, end });
+    harness.poll("w1", vec![], vec![]);
+    let end = OrderResult::Done(1_000 + harness.now);
+    harness.deliver(Event::Stopped { worker: worker_id("w1"), task, run, end });
     harness.now += 5;
-    harness.look("w1", vec![], vec![]);
+    harness.poll("w1", vec![], vec![]);
     assert_eq!(waiting_and_state(&mut harness), WAITS);
     harness.work();
-    assert_eq!(harness.starts().len(), 1, "it is started again");
+    assert_eq!(harness.take_starts().len(), 1, "it is started again");
 }
 
 #[test]
 fn a_job_whose_worker_ended_before_it_answered_waits() {
     let (mut harness, ..) = order_start();
-    harness.tell(Event::Worker(report("w2", "h1")));
-    harness.look("w2", vec![], vec![]);
+    harness.deliver(Event::Worker(report("w2", "h1")));
+    harness.poll("w2", vec![], vec![]);
     assert_eq!(waiting_and_state(&mut harness), WAITS);
 }
 
 #[test]
 fn a_job_whose_worker_fell_silent_before_it_answered_waits() {
     let (mut harness, task, run) = order_start();
-    answer(&mut harness, task, run, OrderEnd::Unknown);
-    harness.miss("w1");
+    answer(&mut harness, task, run, OrderResult::Unknown);
+    harness.poll_unanswered("w1");
     for _ in 0..6 {
         harness.now += AFTER_PAUSE_MS;
         harness.work();
-        harness.miss("w1");
+        harness.poll_unanswered("w1");
     }
     assert_eq!(waiting_and_state(&mut harness), WAITS);
 }
@@ -107,12 +107,12 @@
 #[test]
 fn a_gang_of_which_no_member_began_waits() {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![Step { gang: true, ..step(2) }], 110)));
+    harness.deliver(Event::Job(stored(1, vec![Step { gang: true, ..step(2) }], 110)));
     harness.work();
-    let starts = harness.starts();
+    let starts = harness.take_starts();
     assert_eq!(starts.len(), 2);
     for (task, run, _) in starts {
-        let end = OrderEnd::Refused { why: Refusal::Room, clock_ms: None };
+        let end = OrderResult::Refused { why: Refusal::Room, clock_ms: None };
         answer(&mut harness, task, run, end);
     }
     assert_eq!(waiting_and_state(&mut harness), WAITS);
@@ -121,10 +121,10 @@
 #[test]
 fn a_long_running_job_whose_only_start_was_refused_waits() {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![Step { lasting: true, ..step(1) }], 110)));
+    harness.deliver(Event::Job(stored(1, vec![Step { long_running: true, ..step(1) }], 110)));
     harness.work();
-    let (task, run, _) = harness.starts()[0].clone();
-    answer(&mut harness, task, run, OrderEnd::Refused { why: Refusal::Room, clock_ms: None });
+    let (task, run, _) = harness.take_starts()[0].clone();
+    answer(&mut harness, task, run, OrderResult::Refused { why: Refusal::Room, clock_ms: None });
     assert_eq!(waiting_and_state(&mut harness), WAITS);
 }
 
@@ -132,41 +132,42 @@
 #[test]
 fn a_job_of_which_one_task_began_has_begun() {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![step(2)], 110)));
+    harness.deliver(Event::Job(stored(1, vec![step(2)], 110)));
     harness.work();
-    let starts = harness.starts();
+    let starts = harness.take_starts();
     let [(first, run, worker), (second, other, _)] = &starts[..] else {
         panic!("{starts:?}");
     };
-    let room = OrderEnd::Refused { why: Refusal::Room, clock_ms: None };
+    let room = OrderResult::Refused { why: Refusal::Room, clock_ms: None };
     answer(&mut harness, *second, *other, room);
     assert_eq!(waiting_and_state(&mut harness), WAITS);
-    harness.started(*first, *run, worker);
+    harness.confirm_start(*first, *run, worker);
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
-    harness.tell(Event::Worker(report("w2", "h1")));
-    harness.look("w2", vec![], vec![]);
+    harness.deliver(Event::Worker(report("w2", "h1")));
+    harness.poll("w2", vec![], vec![]);
     assert_eq!(harness.owner.queued().values().sum::<usize>(), 0);
 }
 
 #[test]
 fn a_job_whose_run_a_poll_lists_has_begun() {
     let (mut harness, task, run) = order_start();
-    answer(&mut harness, task, run, OrderEnd::Unknown);
+    answer(&mut harness, task, run, OrderResult::Unknown);
     harness.now += 5;
-    harness.look("w1", vec![present(task, run, 10)], vec![]);
+    harness.poll("w1", vec![present(task, run, 10)], vec![]);
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
 }
 
 /// However the run ended: it is listed only if it had begun.
 #[test]
 fn a_job_with_a_listed_end_has_begun() {
-    let ways = [HowEnded::Failed, HowEnded::Stopped, HowEnded::Lapsed, HowEnded::Broken];
-    for how in ways.into_iter().chain([HowEnded::Alone]) {
+    let ways =
+        [RunOutcome::Failed, RunOutcome::Stopped, RunOutcome::Lapsed, RunOutcome::GangBroken];
+    for how in ways.into_iter().chain([RunOutcome::GangIncomplete]) {
         let (mut harness, task, run) = order_start();
-        answer(&mut harness, task, run, OrderEnd::Unknown);
+        answer(&mut harness, task, run, OrderResult::Unknown);
         harness.now += 5;
-        let end = Ended { number: 1, task, run, how, saved: String::new() };
-        harness.look("w1", vec![], vec![end]);
+        let end = EndedRun { number: 1, task, run, how, checkpoint: String::new() };
+        harness.poll("w1", vec![], vec![end]);
         assert_eq!(waiting_and_state(&mut harness), BEGUN, "{how:?}");
     }
 }
@@ -175,45 +176,45 @@
 #[test]
 fn a_job_whose_start_is_answered_late_has_begun() {
     let (mut harness, task, run) = order_start();
-    harness.tell(Event::Worker(report("w2", "h1")));
-    harness.look("w2", vec![], vec![]);
-    harness.started(task, run, &worker_id("w1"));
+    harness.deliver(Event::Worker(report("w2", "h1")));
+    harness.poll("w2", vec![], vec![]);
+    harness.confirm_start(task, run, &worker_id("w1"));
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
 }
 
 /// The previous owner may have ended before it persisted that the job had begun.
 #[test]
 fn a_job_with_a_run_that_is_taken_over_has_begun() {
-    let mut harness = Bench::new(1);
-    harness.tell(Event::Worker(report("w1", "h1")));
-    harness.tell(Event::Job(stored(1, vec![step(1)], 50)));
+    let mut harness = Harness::new(1);
+    harness.deliver(Event::Worker(report("w1", "h1")));
+    harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
     assert_eq!(waiting_and_state(&mut harness), WAITS);
-    let task = TaskId { of: StepId { job: id(1), time: 0, step: 0 }, index: 0 };
-    harness.touch("w1", vec![present(task, 1, 10)]);
+    let task = TaskId { of: StepId { job: id(1), occurrence: 0, step: 0 }, index: 0 };
+    harness.connect("w1", vec![present(task, 1, 10)]);
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
 }
 
 /// The same where the run has ended meanwhile, and only its end is listed.
 #[test]
 fn a_job_with_a_listed_end_from_an_earlier_owner_has_begun() {
-    let mut harness = Bench::new(1);
-    harness.tell(Event::Worker(report("w1", "h1")));
-    harness.tell(Event::Job(stored(1, vec![step(2)], 50)));
-    let task = TaskId { of: StepId { job: id(1), time: 0, step: 0 }, index: 0 };
+    let mut harness = Harness::new(1);
+    harness.deliver(Event::Worker(report("w1", "h1")));
+    harness.deliver(Event::Job(stored(1, vec![step(2)], 50)));
+    let task = TaskId { of: StepId { job: id(1), occurrence: 0, step: 0 }, index: 0 };
     harness.work();
-    harness.look("w1", vec![], vec![done(1, task, 1)]);
+    harness.poll("w1", vec![], vec![done(1, task, 1)]);
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
 }
 
 /// What an earlier owner has persisted stays: it cannot be queried again.
 #[test]
 fn a_job_that_is_persisted_as_begun_stays_so() {
-    let mut harness = Bench::new(1);
+    let mut harness = Harness::new(1);
     let mut job = stored(1, vec![step(1)], 50);
     let progress = Progress { state: JobState::Running, ..Progress::default() };
     job.progress = Some(progress.into());
-    job.saved_at = Revision(60);
-    harness.tell(Event::Job(job));
+    job.progress_revision = Revision(60);
+    harness.deliver(Event::Job(job));
     assert_eq!(harness.owner.queued().values().sum::<usize>(), 0);
 }
 
@@ -221,17 +222,17 @@
 #[test]
 fn the_begin_of_a_job_is_written_once() {
     let mut harness = one_worker();
-    harness.tell(Event::Job(stored(1, vec![step(2)], 110)));
+    harness.deliver(Event::Job(stored(1, vec![step(2)], 110)));
     harness.work();
-    let mut written = harness.save().len();
-    let starts = harness.starts();
+    let mut written = harness.persist_progress().len();
+    let starts = harness.take_starts();
     for (task, run, worker) in &starts {
-        harness.started(*task, *run, worker);
-        written += harness.save().len();
+        harness.confirm_start(*task, *run, worker);
+        written += harness.persist_progress().len();
     }
     harness.now += 500;
     let runs = starts.iter().map(|(task, run, _)| present(*task, *run, 50)).collect();
-    harness.look("w1", runs, vec![]);
-    written += harness.save().len();
+    harness.poll("w1", runs, vec![]);
+    written += harness.persist_progress().len();
     assert_eq!(written, 1);
 }
--- a/src/jobs/urgency.rs
+++ b/src/jobs/urgency.rs
@@ -19,7 +19,7 @@
 
 impl Durations {
     /// Records how long a task took.
-    pub(crate) fn learn(&mut self, queue: &str, took_ms: u64) {
+    pub(crate) fn record(&mut self, queue: &str, took_ms: u64) {
         match self.means.get_mut(queue) {
             Some(mean) => {
                 *mean =
@@ -55,7 +55,7 @@
 /// The urgency of a job.
 pub(crate) fn of(job: &Job, durations: &Durations, now: Now) -> Urgency {
     let record = &job.record;
-    if record.is_lasting() {
+    if record.is_long_running() {
         return Urgency { priority: 0, lateness: 0, slack: i64::MIN };
     }
     let task_ms = |estimate| durations.expect(&record.queue, estimate);
@@ -64,7 +64,7 @@
         .filter(|number| job.steps.get(&(0, *number)).is_some_and(|step| step.left != 0))
         .map(|number| task_ms(job.step(number).estimate_ms))
         .sum();
-    let objective = chain * u64::from(record.stretch) / 100 + record.target_ms;
+    let objective = chain * u64::from(record.stretch_percent) / 100 + record.target_ms;
     let age = now.wall.since(record.due(0)).as_millis() as u64;
     let slack = objective as i64 - age as i64 - remaining as i64;
     let latest = (objective * LATE_FACTOR) as i64 - age as i64 - remaining as i64;
--- a/src/jobs/worker.rs
+++ b/src/jobs/worker.rs
@@ -5,7 +5,7 @@
 use crate::{
     jobs::roster::Holding,
     model::{
-        job::{JobId, Room, TaskId},
+        job::{JobId, TaskId, TaskResources},
         order::Addressee,
         unit::{Revision, Steady},
         worker::WorkerReport,
@@ -15,10 +15,10 @@
 /// The lease of a worker: how long everything on it may continue to run after an order or a poll.
 /// Longer than a change of owner takes (a poll timeout, then lease and first poll: 3.3 s), and no
 /// longer, since tasks of a lost worker start elsewhere only after it.
-pub(crate) const HOLD_MS: u64 = 3_400;
+pub(crate) const WORKER_LEASE_MS: u64 = 3_400;
 
 /// The slowest rate of a worker's clock, in percent: 2 % slow, by the platform's contract.
-pub(crate) const SLOWEST_PERCENT: u64 = 98;
+pub(crate) const SLOWEST_CLOCK_PERCENT: u64 = 98;
 
 /// How far the clock in an answer may be ahead of the expected value: the previous answer may have
 /// been delayed by this much before it was read.
@@ -26,20 +26,20 @@
 
 /// How late a worker may act on the expiry of its lease: timers fire late on a busy machine. Delays
 /// only the tasks of silent workers.
-pub(crate) const LATE_MS: u64 = 400;
+pub(crate) const EXPIRY_DELAY_MS: u64 = 400;
 
 /// The timeout of a long poll, which waits for the end of a run. Each poll also renews the worker's
 /// lease.
-pub(crate) const LOOK_WAIT_MS: u64 = 1_000;
+pub(crate) const POLL_TIMEOUT_MS: u64 = 1_000;
 
 /// The poll timeout at a worker that runs something while orders get lost: a lost poll hides the
 /// ends there for as long, and objectives allow only one to two seconds more than the work.
-pub(crate) const HASTY_LOOK_WAIT_MS: u64 = 300;
+pub(crate) const SHORT_POLL_TIMEOUT_MS: u64 = 300;
 
 /// After how long a run is stable, by the worker's clock: it does not crash its worker on start.
 /// Tasks that do so crash it within 10 ms; the rest allows for slow workers. No longer, since
 /// nothing else is started beside an isolated retry.
-pub(crate) const SETTLED_MS: u64 = 200;
+pub(crate) const STABLE_MS: u64 = 200;
 
 /// How long a live worker may be missing from the store's list: by the platform's contract, entries
 /// that lapsed during a store outage are listed again within this time.
@@ -51,7 +51,7 @@
 
 /// The longest delay after which an unanswered order may still be carried out, by the platform's
 /// contract.
-pub(crate) const LATE_ORDER_MS: u64 = 12_000;
+pub(crate) const MAX_ORDER_DELAY_MS: u64 = 12_000;
 
 /// How long after its timeout an unanswered poll stops new work for the worker.
 const POLL_OVERDUE_MS: u64 = 250;
@@ -84,37 +84,37 @@
 
 /// A run that ended, or may have ended, with its worker.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Lost {
+pub(crate) struct LostRun {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
     /// For how long it was observed to run, in milliseconds.
-    pub(crate) lived: u64,
+    pub(crate) observed_ms: u64,
     /// Whether it is known to have begun.
     pub(crate) began: bool,
     /// Whether it was an isolated retry that had begun, and the only run there that was not stable:
     /// if the worker crashed, this run caused it.
-    pub(crate) on_trial: bool,
+    pub(crate) sole_suspect: bool,
     /// Whether it was stable while another run there was not: it did not cause the loss.
     pub(crate) cleared: bool,
 }
 
-impl Lost {
+impl LostRun {
     /// A run that may have been at a worker according to the record of an earlier owner.
-    pub(crate) fn unseen(task: TaskId) -> Lost {
-        Lost { task, run: 0, lived: 0, began: false, on_trial: false, cleared: false }
+    pub(crate) fn unobserved(task: TaskId) -> LostRun {
+        LostRun { task, run: 0, observed_ms: 0, began: false, sole_suspect: false, cleared: false }
     }
 }
 
 /// Protection of a worker against orders to its earlier incarnation: it carries them out until it
 /// has received a fencing token of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Guard {
+pub(crate) enum RestartFence {
     /// It refuses such orders, or there are none.
     Clear,
     /// It needs a token of its own.
-    Wanted,
+    Needed,
     /// A token is assigned; no poll that carries it has been sent.
-    Given,
+    Assigned,
     /// The first poll that carries the token was sent then.
     Sent(Steady),
 }
@@ -126,47 +126,47 @@
     /// Since when the store no longer lists it; `None` while it is listed.
     unlisted_since: Option<Steady>,
     /// Whether the store's entry under its id is not its own: it gets no work.
-    pub(crate) barred: bool,
+    pub(crate) blocked: bool,
     /// Whether it has answered at its address, to this owner or an earlier one.
-    pub(crate) heard: bool,
+    pub(crate) has_answered: bool,
     /// Since when it is called at its address: answers to earlier calls are another worker's.
-    pub(crate) placed: Steady,
+    pub(crate) address_since: Steady,
     /// Whether it has seen this owner's token and reported its runs.
-    pub(crate) touched: bool,
+    pub(crate) has_reported: bool,
     /// Whether it has reported everything that it holds to this owner: at least one list of ends
     /// was complete. Everything that it received later is from this owner.
-    pub(crate) told_all: bool,
+    pub(crate) reported_all: bool,
     /// Whether the persisted roster allows any run here, so that it may get work.
     pub(crate) rostered: bool,
     /// The tasks that an earlier incarnation may have run by the roster: orders to it may have been
     /// carried out by this one, until it has reported everything.
-    pub(crate) inherited: Option<Holding>,
+    pub(crate) earlier_tasks: Option<Holding>,
     /// The fencing token of orders to it, if it differs from the owner's; else 0.
     fencing_token: u64,
     /// Whether orders to an earlier incarnation may still be carried out here.
-    pub(crate) guard: Guard,
+    pub(crate) restart_fence: RestartFence,
     reading: Option<ClockReading>,
     /// The latest end of its lease, by the worker's clock.
     lease_end_ms: u64,
     /// When the newest poll in flight was sent.
-    pub(crate) looking: Option<Steady>,
+    pub(crate) poll_sent: Option<Steady>,
     /// The timeout of that poll, in milliseconds.
-    pub(crate) look_wait: u64,
+    pub(crate) poll_timeout_ms: u64,
     /// Whether a run is unconfirmed, so that the next poll is sent and answered at once.
-    pub(crate) hurried: bool,
+    pub(crate) urgent_poll: bool,
     /// The earliest time of the next poll.
-    pub(crate) next_look: Steady,
+    pub(crate) next_poll: Steady,
     /// When a poll was last answered.
-    pub(crate) answered: Option<Steady>,
+    pub(crate) last_answer: Option<Steady>,
     /// The number of unanswered polls in a row.
-    pub(crate) misses: u32,
-    pub(crate) used: Room,
+    pub(crate) missed_polls: u32,
+    pub(crate) used: TaskResources,
     /// Runs that are or may be there.
-    pub(crate) copies: BTreeMap<TaskId, u32>,
+    pub(crate) runs: BTreeMap<TaskId, u32>,
     /// The latest time at which each run that is known to have begun did so, by the worker's clock.
     began_ms: BTreeMap<TaskId, u64>,
     /// The highest end that was counted.
-    pub(crate) counted: u64,
+    pub(crate) last_counted: u64,
     /// The highest end that may be acknowledged.
     pub(crate) acknowledged: u64,
     /// The highest end that an answered poll has acknowledged.
@@ -177,10 +177,10 @@
     /// Jobs that failed here since a task was last done.
     failed_jobs: BTreeSet<JobId>,
     /// The task of an isolated retry: nothing else is started here meanwhile.
-    pub(crate) trial: Option<TaskId>,
+    pub(crate) isolated_task: Option<TaskId>,
     /// Runs that were given up since it became silent. They have ended with it if it has
     /// terminated.
-    pub(crate) lost: Vec<Lost>,
+    pub(crate) lost_runs: Vec<LostRun>,
     pub(crate) last_done: Option<Steady>,
     suspended_until: Steady,
     suspensions: u32,
@@ -191,34 +191,34 @@
         Worker {
             report,
             unlisted_since: None,
-            barred: false,
-            heard: false,
-            placed: now,
-            touched: false,
-            told_all: false,
+            blocked: false,
+            has_answered: false,
+            address_since: now,
+            has_reported: false,
+            reported_all: false,
             rostered: false,
-            inherited: None,
+            earlier_tasks: None,
             fencing_token: 0,
-            guard: Guard::Clear,
+            restart_fence: RestartFence::Clear,
             reading: None,
             lease_end_ms: 0,
-            looking: None,
-            look_wait: 0,
-            hurried: false,
-            next_look: now,
-            answered: None,
-            misses: 0,
-            used: Room::default(),
-            copies: BTreeMap::new(),
+            poll_sent: None,
+            poll_timeout_ms: 0,
+            urgent_poll: false,
+            next_poll: now,
+            last_answer: None,
+            missed_polls: 0,
+            used: TaskResources::default(),
+            runs: BTreeMap::new(),
             began_ms: BTreeMap::new(),
-            counted: 0,
+            last_counted: 0,
             acknowledged: 0,
             confirmed_ack: 0,
             pending_ack: None,
             unacknowledged: VecDeque::new(),
             failed_jobs: BTreeSet::new(),
-            trial: None,
-            lost: Vec::new(),
+            isolated_task: None,
+            lost_runs: Vec::new(),
             last_done: None,
             suspended_until: now,
             suspensions: 0,
@@ -228,8 +228,8 @@
     /// Applies the store's entry under the worker's id. Once the worker has answered, its host,
     /// pool and address are fixed: a report with others is not its own, and its runs continue.
     pub(crate) fn list(&mut self, report: WorkerReport, now: Steady) {
-        let moved = !self.report.has_place_of(&report);
-        if moved && self.heard {
+        let moved = !self.report.has_same_place(&report);
+        if moved && self.has_answered {
             log::error!(
                 "worker {}: gets no work: its entry names host {} at {}, but it answered at {}",
                 self.report.id,
@@ -237,24 +237,24 @@
                 report.address,
                 self.report.address
             );
-            self.bar(now);
+            self.block(now);
             return;
         }
         if moved {
             // A poll that was sent in this millisecond may have gone to the previous address.
-            self.placed = now.after(1);
-            self.looking = None;
-            self.next_look = self.placed;
+            self.address_since = now.after(1);
+            self.poll_sent = None;
+            self.next_poll = self.address_since;
         }
         self.report = report;
         self.unlisted_since = None;
-        self.barred = false;
+        self.blocked = false;
     }
 
     /// Blocks new work until the worker's own report is listed. Its runs are treated as those of an
     /// unlisted worker.
-    pub(crate) fn bar(&mut self, now: Steady) {
-        self.barred = true;
+    pub(crate) fn block(&mut self, now: Steady) {
+        self.blocked = true;
         self.unlist(now);
     }
 
@@ -282,51 +282,51 @@
     }
 
     /// The fencing token of orders to it, if it differs from the owner's; else 0.
-    pub(crate) fn fence(&self) -> u64 {
+    pub(crate) fn fencing_token(&self) -> u64 {
         self.fencing_token
     }
 
     /// Raises the token of its orders to at least this one, which it may have seen already.
-    pub(crate) fn raise_fence(&mut self, token: u64) {
+    pub(crate) fn advance_fencing_token(&mut self, token: u64) {
         self.fencing_token = self.fencing_token.max(token);
     }
 
     /// Records the revision of the write that lists it in the roster. It becomes the token of
     /// orders to the worker if that needs one of its own.
-    pub(crate) fn give_fence(&mut self, revision: Revision) {
-        if self.rostered && self.guard == Guard::Wanted {
-            self.raise_fence(revision.0);
-            self.guard = Guard::Given;
-            self.next_look = Steady::default();
-            self.hurried = true;
+    pub(crate) fn assign_fencing_token(&mut self, revision: Revision) {
+        if self.rostered && self.restart_fence == RestartFence::Needed {
+            self.advance_fencing_token(revision.0);
+            self.restart_fence = RestartFence::Assigned;
+            self.next_poll = Steady::default();
+            self.urgent_poll = true;
         }
     }
 
     /// Records that a poll is about to be sent, which carries the assigned token.
-    pub(crate) fn prove_fence(&mut self, now: Steady) {
+    pub(crate) fn note_poll_sent(&mut self, now: Steady) {
         // A poll that was sent in the same millisecond may have carried the previous token.
-        if self.guard == Guard::Given && self.looking != Some(now) {
-            self.guard = Guard::Sent(now);
+        if self.restart_fence == RestartFence::Assigned && self.poll_sent != Some(now) {
+            self.restart_fence = RestartFence::Sent(now);
         }
     }
 
     /// Records that a poll sent at that time was answered. If its list of ends is complete, orders
     /// with earlier tokens are refused from now on.
-    pub(crate) fn note_fenced(&mut self, sent: Steady, is_complete: bool) {
-        if let Guard::Sent(first) = self.guard
+    pub(crate) fn confirm_fencing_token(&mut self, sent: Steady, is_complete: bool) {
+        if let RestartFence::Sent(first) = self.restart_fence
             && first <= sent
             && is_complete
         {
-            self.guard = Guard::Clear;
+            self.restart_fence = RestartFence::Clear;
         }
     }
 
     /// Whether a poll sent at that time carried the token that orders carry now.
-    pub(crate) fn bore_fence(&self, sent: Steady) -> bool {
-        match self.guard {
-            Guard::Clear => true,
-            Guard::Wanted | Guard::Given => false,
-            Guard::Sent(first) => first <= sent,
+    pub(crate) fn carried_fencing_token(&self, sent: Steady) -> bool {
+        match self.restart_fence {
+            RestartFence::Clear => true,
+            RestartFence::Needed | RestartFence::Assigned => false,
+            RestartFence::Sent(first) => first <= sent,
         }
     }
 
@@ -349,17 +349,17 @@
     }
 
     /// Whether it lists ends that may be acknowledged.
-    pub(crate) fn owes_acknowledgement(&self) -> bool {
+    pub(crate) fn has_acknowledgeable_ends(&self) -> bool {
         self.confirmed_ack < self.acknowledged
     }
 
     /// Records that a poll is sent that acknowledges ends up to a number.
-    pub(crate) fn acknowledge(&mut self, number: u64, now: Steady) {
+    pub(crate) fn note_ack_sent(&mut self, number: u64, now: Steady) {
         self.pending_ack = Some((now, number));
     }
 
     /// Records the result of a poll sent at that time; `listed` is the lowest end in its answer.
-    pub(crate) fn note_look_end(&mut self, sent: Steady, answered: bool, listed: Option<u64>) {
+    pub(crate) fn note_poll_result(&mut self, sent: Steady, answered: bool, listed: Option<u64>) {
         let number = self.pending_ack.take_if(|(at, _)| *at == sent);
         if let Some((_, number)) = number.filter(|_| answered) {
             self.confirmed_ack = self.confirmed_ack.max(number);
@@ -371,10 +371,10 @@
 
     /// Records the worker's clock from the answer to another order, which arrived now. That answer
     /// does not identify the incarnation: a clock that cannot be this one's is ignored.
-    pub(crate) fn read_clock_of_order(&mut self, clock_ms: u64, now: Steady) {
+    pub(crate) fn read_order_clock(&mut self, clock_ms: u64, now: Steady) {
         let fits = |reading: ClockReading| {
             let passed = now.since(reading.at);
-            clock_ms <= reading.clock_ms + passed * 100 / SLOWEST_PERCENT + CLOCK_SLACK_MS
+            clock_ms <= reading.clock_ms + passed * 100 / SLOWEST_CLOCK_PERCENT + CLOCK_SLACK_MS
         };
         if !self.may_start_again() || self.reading.is_none_or(fits) {
             self.read_clock(clock_ms, now);
@@ -383,29 +383,30 @@
 
     /// Extends the lease; returns its end by the worker's clock, or `None` while the clock is
     /// unknown.
-    pub(crate) fn give(&mut self, now: Steady) -> Option<u64> {
+    pub(crate) fn extend_lease(&mut self, now: Steady) -> Option<u64> {
         let reading = self.reading?;
-        let until = reading.clock_ms + now.since(reading.at) + HOLD_MS;
+        let until = reading.clock_ms + now.since(reading.at) + WORKER_LEASE_MS;
         self.lease_end_ms = self.lease_end_ms.max(until);
         Some(until)
     }
 
     /// Assumes that an earlier owner has extended the lease as far as this one would.
-    pub(crate) fn assume_held(&mut self) {
+    pub(crate) fn assume_full_lease(&mut self) {
         if let Some(reading) = self.reading {
-            self.lease_end_ms = self.lease_end_ms.max(reading.clock_ms + HOLD_MS + HOLD_MS / 50);
+            self.lease_end_ms =
+                self.lease_end_ms.max(reading.clock_ms + WORKER_LEASE_MS + WORKER_LEASE_MS / 50);
         }
     }
 
     /// Whether a listed end is still to be counted.
     pub(crate) fn is_uncounted(&self, number: u64) -> bool {
         let waits = |end: &UnacknowledgedEnd| end.number == number && end.version.is_none();
-        self.counted < number || self.unacknowledged.iter().any(waits)
+        self.last_counted < number || self.unacknowledged.iter().any(waits)
     }
 
     /// Records an end and the version of its job that counts it.
     pub(crate) fn note_end(&mut self, number: u64, job: JobId, version: Option<u64>) {
-        self.counted = self.counted.max(number);
+        self.last_counted = self.last_counted.max(number);
         match self.unacknowledged.iter_mut().find(|end| end.number == number) {
             Some(end) => end.version = version,
             None => self.unacknowledged.push_back(UnacknowledgedEnd { number, job, version }),
@@ -418,61 +419,63 @@
     }
 
     /// When the worker's lease has expired for certain; `None` if it has none.
-    pub(crate) fn lapses(&self) -> Option<Steady> {
+    pub(crate) fn lease_expiry(&self) -> Option<Steady> {
         let Some(reading) = self.reading else {
             // Runs that may have begun before it ever answered got their lease with an earlier
             // order.
-            let lease_start = (!self.copies.is_empty()).then_some(self.placed);
-            return lease_start.map(|at| at.after(HOLD_MS * 100 / SLOWEST_PERCENT + LATE_MS));
+            let lease_start = (!self.runs.is_empty()).then_some(self.address_since);
+            return lease_start.map(|at| {
+                at.after(WORKER_LEASE_MS * 100 / SLOWEST_CLOCK_PERCENT + EXPIRY_DELAY_MS)
+            });
         };
         let remaining = self.lease_end_ms.saturating_sub(reading.clock_ms);
-        Some(reading.at.after(remaining * 100 / SLOWEST_PERCENT + LATE_MS))
+        Some(reading.at.after(remaining * 100 / SLOWEST_CLOCK_PERCENT + EXPIRY_DELAY_MS))
     }
 
     /// Whether the worker's lease has certainly expired.
     pub(crate) fn has_lapsed(&self, now: Steady) -> bool {
-        self.lapses().is_none_or(|at| at <= now)
+        self.lease_expiry().is_none_or(|at| at <= now)
     }
 
     /// Whether it has been silent for so long that it is no longer waited for, even if the store
     /// lists it: the entry of a terminated worker may remain.
     pub(crate) fn is_long_silent(&self, now: Steady) -> bool {
-        let last_answer = self.answered.unwrap_or(self.placed);
-        self.misses != 0 && self.has_lapsed(now) && LONG_SILENCE_MS <= now.since(last_answer)
+        let last_answer = self.last_answer.unwrap_or(self.address_since);
+        self.missed_polls != 0 && self.has_lapsed(now) && LONG_SILENCE_MS <= now.since(last_answer)
     }
 
     /// Whether the worker may get new work.
     pub(crate) fn takes_work(&self, now: Steady) -> bool {
-        self.touched
+        self.has_reported
             && self.rostered
-            && self.guard == Guard::Clear
+            && self.restart_fence == RestartFence::Clear
             && self.pending_ack.is_none()
-            && !self.barred
+            && !self.blocked
             && !self.has_left_list(now)
             && self.report.leaves_ms.is_none()
             && self.suspended_until <= now
             && self.reading.is_some()
-            && self.is_heard(now)
+            && self.is_responsive(now)
     }
 
     /// Whether the worker has answered the last poll, or may still answer the poll in flight in
     /// time.
-    pub(crate) fn is_heard(&self, now: Steady) -> bool {
-        let overdue = self.look_wait + POLL_OVERDUE_MS;
-        self.misses == 0 && self.looking.is_none_or(|sent| now.since(sent) < overdue)
+    pub(crate) fn is_responsive(&self, now: Steady) -> bool {
+        let overdue = self.poll_timeout_ms + POLL_OVERDUE_MS;
+        self.missed_polls == 0 && self.poll_sent.is_none_or(|sent| now.since(sent) < overdue)
     }
 
     /// Records that a run is known to have begun by now.
     pub(crate) fn note_begun(&mut self, task: TaskId, now: Steady) {
         if let Some(reading) = self.reading {
-            let passed = now.since(reading.at) * 100 / SLOWEST_PERCENT;
+            let passed = now.since(reading.at) * 100 / SLOWEST_CLOCK_PERCENT;
             self.began_ms.entry(task).or_insert(reading.clock_ms + passed);
         }
     }
 
     /// For how long a run was observed without a crash of the worker, in milliseconds of its clock.
     /// Answers to all orders count as signs of life, since a poll may wait for a second.
-    pub(crate) fn lived(&self, task: TaskId) -> u64 {
+    pub(crate) fn observed_ms(&self, task: TaskId) -> u64 {
         match (self.began_ms.get(&task), self.reading) {
             (Some(began), Some(reading)) => reading.clock_ms.saturating_sub(*began),
             _ => 0,
@@ -481,20 +484,20 @@
 
     /// Whether all runs that are or may be here are stable: if the worker is lost soon after the
     /// next start, the new run caused it.
-    pub(crate) fn is_settled(&self) -> bool {
-        self.copies.keys().all(|task| SETTLED_MS <= self.lived(*task))
+    pub(crate) fn all_runs_stable(&self) -> bool {
+        self.runs.keys().all(|task| STABLE_MS <= self.observed_ms(*task))
     }
 
     /// Whether nothing runs or can begin here, and all ends are counted durably.
     pub(crate) fn is_empty(&self) -> bool {
-        self.told_all && self.copies.is_empty() && self.unacknowledged.is_empty()
+        self.reported_all && self.runs.is_empty() && self.unacknowledged.is_empty()
     }
 
     /// Whether it may list ends of earlier owners' runs that this owner has not seen. They do not
     /// lapse with the runs: only a worker that has presumably terminated lists none.
-    pub(crate) fn owes_ends(&self, now: Steady) -> bool {
-        let is_silent = self.misses != 0 && self.has_lapsed(now);
-        self.touched && !self.told_all && !is_silent
+    pub(crate) fn may_list_unseen_ends(&self, now: Steady) -> bool {
+        let is_silent = self.missed_polls != 0 && self.has_lapsed(now);
+        self.has_reported && !self.reported_all && !is_silent
     }
 
     /// Whether tasks have failed at the worker since a task was last done there.
@@ -524,23 +527,23 @@
     /// The worker's free processor time, in millicores; 0 if its resources have shrunk below what
     /// its runs use.
     pub(crate) fn cpu_left(&self) -> u32 {
-        self.report.room.cpu.0.saturating_sub(self.used.cpu.0)
+        self.report.capacity.cpu.0.saturating_sub(self.used.cpu.0)
     }
 
     /// Reserves the resources of a run.
-    pub(crate) fn occupy(&mut self, task: TaskId, run: u32, charge: &Room) {
+    pub(crate) fn occupy(&mut self, task: TaskId, run: u32, charge: &TaskResources) {
         self.began_ms.remove(&task);
-        if self.copies.insert(task, run).is_none() {
+        if self.runs.insert(task, run).is_none() {
             self.used.add(charge);
         }
     }
 
     /// Releases the resources of a run.
-    pub(crate) fn vacate(&mut self, task: TaskId, charge: &Room) {
-        if self.copies.remove(&task).is_some() {
-            self.used.take(charge);
+    pub(crate) fn release(&mut self, task: TaskId, charge: &TaskResources) {
+        if self.runs.remove(&task).is_some() {
+            self.used.subtract(charge);
         }
         self.began_ms.remove(&task);
-        self.trial.take_if(|trial| *trial == task);
+        self.isolated_task.take_if(|trial| *trial == task);
     }
 }
--- a/src/measure/fleet.rs
+++ b/src/measure/fleet.rs
@@ -8,11 +8,11 @@
 };
 
 use crate::{
-    jobs::fleet::{Demand, Fleet, Leave, Mark, Scene, Sizing},
+    jobs::fleet::{Demand, DrainMark, FleetOwner, FleetSnapshot, HostAction, Sizing},
     measure::Figures,
     model::{
         id::{HostId, PoolId, WorkerId},
-        job::{JobId, JobRecord, JobState, Progress, Room, Step, StepNote},
+        job::{JobId, JobRecord, JobState, Progress, Step, StepProgress, TaskResources},
         queue::{PoolRules, QueueConfig},
         unit::{Megabytes, Millicores, Revision, Steady, Time},
         worker::{HostPhase, ListedHost, Upkeep},
@@ -94,13 +94,13 @@
         first: Time::default(),
         every_ms: 0,
         priority: 0,
-        attempts: 3,
-        stretch: 200,
+        max_attempts: 3,
+        stretch_percent: 200,
         target_ms: 600,
         advice: None,
         accepted: Time::default(),
     };
-    let note = StepNote { done: (0..5).collect(), ..StepNote::default() };
+    let note = StepProgress { done: (0..5).collect(), ..StepProgress::default() };
     let steps = BTreeMap::from([("0.0".to_owned(), note)]);
     let progress = json(&Progress { state: JobState::Running, steps, ..Progress::default() });
     for number in 0..open {
@@ -130,12 +130,12 @@
     hosts: usize,
     marked: usize,
     with_work: usize,
-    mut each: impl FnMut(&mut Fleet, &Scene<'_>, Steady),
+    mut each: impl FnMut(&mut FleetOwner, &FleetSnapshot<'_>, Steady),
 ) {
     let ids: Vec<HostId> = (0..hosts).filter_map(|n| format!("h{n}").parse().ok()).collect();
     let pools: Vec<PoolId> =
         (0..=with_work).filter_map(|n| format!("pool{n}").parse().ok()).collect();
-    let rules = |off| PoolRules { off, guards: true };
+    let rules = |off| PoolRules { headroom: off, admission_check: true };
     let off = pools.last().cloned();
     let rules = pools.iter().map(|pool| (pool.clone(), rules(Some(pool) == off.as_ref())));
     let config = QueueConfig { version: 1, queues: vec![], pools: rules.collect() };
@@ -145,12 +145,13 @@
         wave: WAVE,
         hosts: ids.iter().step_by(2).cloned().collect(),
         period_ms: 26_000,
-        at_once: (hosts / 5) as u32,
+        max_concurrent: (hosts / 5) as u32,
     };
-    let mark = Mark { leave: Leave::Upkeep(WAVE), revision: KNOWN };
+    let mark = DrainMark { action: HostAction::Upkeep(WAVE), revision: KNOWN };
     let leaves = ids.iter().step_by(2).take(marked).cloned();
-    let leaves: BTreeMap<HostId, Mark> = leaves.map(|id| (id, mark.clone())).collect();
-    let asked = |cpu| Demand { cpu, ends: true, arriving: cpu, arrivals: 60, ..Demand::default() };
+    let leaves: BTreeMap<HostId, DrainMark> = leaves.map(|id| (id, mark.clone())).collect();
+    let asked =
+        |cpu| Demand { cpu, finite: true, arriving_cpu: cpu, arrivals: 60, ..Demand::default() };
     let demands: BTreeMap<PoolId, Demand> = pools
         .iter()
         .enumerate()
@@ -163,22 +164,22 @@
     let busy: Vec<HostId> = ids.iter().filter(|id| !idle.contains(*id)).cloned().collect();
     let empties = leaves.keys().filter_map(|id| Some((id.clone(), worker(id)?))).collect();
     let resting = BTreeSet::new();
-    let scene = Scene {
+    let scene = FleetSnapshot {
         config: &config,
         demands: &demands,
-        known: KNOWN,
-        leaves: &leaves,
-        empties: &empties,
+        view_revision: KNOWN,
+        marks: &leaves,
+        drained: &empties,
         upkeeps: &[upkeep],
         maintained: &maintained,
         reported: &reported,
         idle: &idle,
         light: &[],
         busy: &busy,
-        resting: &resting,
+        recently_called: &resting,
     };
-    let mut fleet = Fleet::new(1, Sizing::default(), Steady::default());
-    fleet.heard_list(Steady::from_millis(1), Some(listed));
+    let mut fleet = FleetOwner::new(1, Sizing::default(), Steady::default());
+    fleet.update_hosts(Steady::from_millis(1), Some(listed));
     for number in 1..=PLANS {
         each(&mut fleet, &scene, Steady::from_millis(number * PLAN_MS));
     }
@@ -195,6 +196,6 @@
         phase: HostPhase::Up,
         worker: worker(id),
         labels: vec![],
-        room: Room { cpu: Millicores(32_000), memory: Megabytes(128_000), gpus: 0 },
+        capacity: TaskResources { cpu: Millicores(32_000), memory: Megabytes(128_000), gpus: 0 },
     }
 }
--- a/src/measure/mirror.rs
+++ b/src/measure/mirror.rs
@@ -26,7 +26,7 @@
     },
     scheduler::{
         Node, accept, demand,
-        drive::{Drive, Input, Won, json as bytes},
+        drive::{ControlLoop, Input, Ownership, json as bytes},
         keys,
         lease::{Lease, Tenure},
         metrics::Metrics,
@@ -127,7 +127,7 @@
     open: usize,
     node: Arc<Node>,
     lease: Arc<Lease>,
-    drive: Drive,
+    drive: ControlLoop,
     mix: Mix,
     /// How long it took to take up a pool, in milliseconds.
     taken_up: Option<f64>,
@@ -145,7 +145,7 @@
         let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
         let lease = Arc::new(Lease::default());
         let (to, _) = mpsc::unbounded_channel();
-        let drive = Drive::new(node.clone(), lease.clone(), Runners::new(), to);
+        let drive = ControlLoop::new(node.clone(), lease.clone(), Runners::new(), to);
         let mix = Mix::new(open, JOBS / ANSWERS as f64);
         let mut trial = Trial { role, open, node, lease, drive, mix, taken_up: None };
         trial.renew();
@@ -175,10 +175,10 @@
         view.known = revision;
         drop(view);
         let tenure = Tenure::new(&self.lease, LEASE, self.node.now().steady);
-        let won = Some(Won::new(token, 0, tenure));
-        self.drive.take(Input::Reached { name: name.to_owned(), won });
+        let won = Some(Ownership::new(token, 0, tenure));
+        self.drive.handle(Input::Acquired { name: name.to_owned(), won });
         let began = Instant::now();
-        self.drive.step();
+        self.drive.tick();
         self.taken_up = Some(began.elapsed().as_secs_f64() * 1e3);
     }
 
@@ -243,7 +243,7 @@
         cost.apply += held;
         let began = Instant::now();
         if !deltas.is_empty() {
-            self.drive.take(Input::Deltas(deltas));
+            self.drive.handle(Input::Deltas(deltas));
         }
         cost.react += began.elapsed();
         held
--- a/src/measure/mirror/mix.rs
+++ b/src/measure/mirror/mix.rs
@@ -7,10 +7,12 @@
 use serde_json::json;
 
 use crate::{
-    jobs::{fleet::Leave, owner::HostUsage, roster::Away},
+    jobs::{fleet::HostAction, owner::HostUsage, roster::SilentWorkers},
     model::{
         id::{HostId, Incarnation, PoolId},
-        job::{JobId, JobRecord, JobState, Progress, Room, Step, StepNote, TaskNote},
+        job::{
+            JobId, JobRecord, JobState, Progress, Step, StepProgress, TaskProgress, TaskResources,
+        },
         unit::{Megabytes, Millicores, Revision, Time},
         worker::WorkerReport,
     },
@@ -217,7 +219,8 @@
         let to = pool((self.answers / TURN + 1) % POOLS);
         let marks = (0..MOVED).map(|place| {
             let number = (self.answers / TURN * MOVED + place) % HOSTS;
-            let change = self.write(keys::leave(&host(number)), bytes(&Leave::Move(to.clone())));
+            let change =
+                self.write(keys::leave(&host(number)), bytes(&HostAction::Move(to.clone())));
             self.moving.push_back((number, self.revision));
             change
         });
@@ -244,7 +247,7 @@
             workers.push(self.listed(number, true));
             rosters.push(self.rostered(number, true));
             let away = keys::away(&keys::pool(&pool(turn % POOLS)));
-            rosters.push(self.write(away, bytes(&Away::default())));
+            rosters.push(self.write(away, bytes(&SilentWorkers::default())));
             unmarked.push(self.remove(keys::leave(&id)));
             unmarked.push(self.remove(keys::empty(&id)));
         }
@@ -302,7 +305,7 @@
 }
 
 fn record(pool: PoolId) -> JobRecord {
-    let need = Room { cpu: Millicores(4_500), memory: Megabytes(16_000), gpus: 0 };
+    let need = TaskResources { cpu: Millicores(4_500), memory: Megabytes(16_000), gpus: 0 };
     let step = |after: Vec<u32>| Step {
         count: TASKS / 2,
         need,
@@ -320,8 +323,8 @@
         first: Time::default(),
         every_ms: 0,
         priority: 0,
-        attempts: 3,
-        stretch: 160,
+        max_attempts: 3,
+        stretch_percent: 160,
         target_ms: 600,
         advice: None,
         accepted: Time::now(),
@@ -335,8 +338,8 @@
         return Progress { state, ended: Time::now(), steps: BTreeMap::new() };
     }
     let done = TASKS / 2 * written as u32 / WRITES as u32;
-    let note = TaskNote { run: 1_000_001, ..TaskNote::default() };
-    let note = StepNote {
+    let note = TaskProgress { run: 1_000_001, ..TaskProgress::default() };
+    let note = StepProgress {
         done: (0..done).collect(),
         tasks: (done..TASKS / 2).map(|index| (index, note.clone())).collect(),
     };
@@ -351,7 +354,7 @@
         pool: pool(at.pool),
         address: format!("10.{}.{}.{}:8080", number / 250, number % 250, at.lives % 250),
         zone: "hall-a".parse().expect("a zone's name"),
-        room: Room { cpu: Millicores(32_000), memory: Megabytes(131_072), gpus: 0 },
+        capacity: TaskResources { cpu: Millicores(32_000), memory: Megabytes(131_072), gpus: 0 },
         labels: vec!["a".to_owned(), format!("r{}", number / 12)],
         leaves_ms: None,
     }
--- a/src/measure/owner.rs
+++ b/src/measure/owner.rs
@@ -15,9 +15,9 @@
     measure::Figures,
     model::{
         id::Incarnation,
-        job::{JobId, JobRecord, Room, Step, TaskId},
+        job::{JobId, JobRecord, Step, TaskId, TaskResources},
         unit::{Megabytes, Millicores, Now, Revision, Steady, Time},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, WorkerReport},
+        worker::{EndedRun, OrderResult, PollResponse, PresentRun, RunOutcome, WorkerReport},
     },
     scheduler::dispatch::wire::{self, Answer, Answers, Batch, Namer, Names},
 };
@@ -93,7 +93,7 @@
 #[derive(Default)]
 struct Host {
     runs: BTreeMap<TaskId, (u32, u64)>,
-    ends: VecDeque<Ended>,
+    ends: VecDeque<EndedRun>,
     next: u64,
     /// A look that waits for an end until a moment, and how it is told.
     look: Option<(Steady, u64)>,
@@ -117,7 +117,7 @@
     fn new(size: usize, load: f64) -> Pool {
         let mut owner = Owner::new(1, 0, Steady::default());
         let (mut hosts, mut out) = (HashMap::new(), Vec::new());
-        let room = Room { cpu: Millicores(32_000), memory: Megabytes(128_000), gpus: 0 };
+        let room = TaskResources { cpu: Millicores(32_000), memory: Megabytes(128_000), gpus: 0 };
         for number in 0..size {
             let report = report(number, room);
             hosts.insert(report.id.clone(), Host { next: 1, ..Host::default() });
@@ -178,22 +178,32 @@
                 };
                 let (number, saved) = (host.next, String::new());
                 host.next += 1;
-                host.ends.push_back(Ended { number, task, run, how: HowEnded::Done, saved });
+                host.ends.push_back(EndedRun {
+                    number,
+                    task,
+                    run,
+                    how: RunOutcome::Done,
+                    checkpoint: saved,
+                });
             }
             let answers = |(_, until): &(Steady, u64)| !host.ends.is_empty() || *until <= now;
             if let Some((sent, _)) = host.look.take_if(|look| answers(look)) {
-                let present = host.runs.iter().map(|(task, (run, _))| Present {
+                let present = host.runs.iter().map(|(task, (run, _))| PresentRun {
                     task: *task,
                     run: *run,
-                    saved: String::new(),
+                    checkpoint: String::new(),
                     percent: 50,
                     gauge: 4_500,
                 });
                 let ended = host.ends.iter().cloned().collect();
-                let look =
-                    Look { born: None, clock_ms: 500 + now, present: present.collect(), ended };
-                let end = OrderEnd::Done(look);
-                self.events.push(Event::Looked { worker: worker.clone(), sent, end });
+                let look = PollResponse {
+                    born: None,
+                    clock_ms: 500 + now,
+                    present: present.collect(),
+                    ended,
+                };
+                let end = OrderResult::Done(look);
+                self.events.push(Event::Polled { worker: worker.clone(), sent, end });
             }
         }
     }
@@ -208,13 +218,13 @@
             self.owner.handle(event, now, &mut out);
         }
         self.owner.set_confirmed(now.steady);
-        self.owner.work(now, &mut out);
-        let saves = self.owner.saves(usize::MAX);
-        self.owner.saved(&saves, Revision(2 + self.now));
+        self.owner.tick(now, &mut out);
+        let saves = self.owner.take_saves(usize::MAX);
+        self.owner.note_saved(&saves, Revision(2 + self.now));
         self.owner.take_finished(usize::MAX);
         self.played.deciding += began.elapsed();
         if let Some(note) = self.owner.roster_note(usize::MAX) {
-            self.owner.rostered(&note, Revision(2 + self.now));
+            self.owner.note_roster_written(&note, Revision(2 + self.now));
         }
         out
     }
@@ -238,7 +248,7 @@
         let (mut looks, mut others) = (Vec::new(), Vec::new());
         for event in events {
             match event {
-                Event::Looked { worker, sent, end } => {
+                Event::Polled { worker, sent, end } => {
                     wire::add_answer(&mut answers, looks.len() as u32, Answer::Look(end));
                     looks.push((worker, sent));
                 }
@@ -254,7 +264,7 @@
         self.played.messages += began.elapsed();
         for ((worker, sent), (_, answer)) in looks.into_iter().zip(read) {
             if let Answer::Look(end) = answer {
-                others.push(Event::Looked { worker, sent, end });
+                others.push(Event::Polled { worker, sent, end });
             }
         }
         others
@@ -269,16 +279,16 @@
                     host.runs.insert(task, (run, now + WORK_MS));
                 }
                 self.played.started += 1;
-                let end = OrderEnd::Done(clock);
+                let end = OrderResult::Done(clock);
                 self.events.push(Event::Started { worker: to.worker, task, run, end });
             }
-            Effect::Look { to, acknowledged, wait, .. } => {
+            Effect::Poll { to, acknowledged, wait, .. } => {
                 if let Some(host) = self.hosts.get_mut(&to.worker) {
                     host.ends.retain(|end| acknowledged < end.number);
                     host.look = Some((Steady::from_millis(now), now + wait.as_millis() as u64));
                 }
             }
-            Effect::Stop { .. } | Effect::Pace { .. } | Effect::Advise { .. } => {}
+            Effect::Stop { .. } | Effect::Throttle { .. } | Effect::Advise { .. } => {}
         }
     }
 }
@@ -287,7 +297,7 @@
     Now { steady: Steady::from_millis(now), wall: Time::from_millis(1_000_000 + now) }
 }
 
-fn report(number: usize, room: Room) -> WorkerReport {
+fn report(number: usize, room: TaskResources) -> WorkerReport {
     let id = |kind: &str| format!("{kind}-{number}");
     WorkerReport {
         id: id("w").parse().expect("a worker's name"),
@@ -295,14 +305,14 @@
         pool: "pool".parse().expect("a pool's name"),
         address: format!("10.0.{}.{}:80", number / 250, number % 250),
         zone: "zone".parse().expect("a zone's name"),
-        room,
+        capacity: room,
         labels: vec!["kind".to_owned(), format!("r{}", number / 12)],
         leaves_ms: None,
     }
 }
 
 fn job(number: u64, now: u64) -> StoredJob {
-    let need = Room { cpu: TASK_CPU, memory: Megabytes(16_000), gpus: 0 };
+    let need = TaskResources { cpu: TASK_CPU, memory: Megabytes(16_000), gpus: 0 };
     let step = Step { count: TASKS, need, estimate_ms: WORK_MS, ..Step::default() };
     let record = JobRecord {
         queue: "q".to_owned(),
@@ -313,8 +323,8 @@
         first: Time::default(),
         every_ms: 0,
         priority: 0,
-        attempts: 3,
-        stretch: 160,
+        max_attempts: 3,
+        stretch_percent: 160,
         target_ms: 600,
         advice: None,
         accepted: Time::from_millis(1_000_000 + now),
@@ -324,7 +334,7 @@
         record: Arc::new(record),
         revision: Revision(1 + number),
         progress: None,
-        saved_at: Revision(0),
+        progress_revision: Revision(0),
         cancelled: false,
     }
 }
--- a/src/measure/path.rs
+++ b/src/measure/path.rs
@@ -16,7 +16,7 @@
     error::Error,
     measure::{Figures, target::resident},
     model::{
-        config::{Config, Domain, Pool, Resources, Service, Team},
+        config::{Config, FailureDomain, Pool, Resources, Service, Team},
         request::Class,
         unit::{Megabytes, Millicores, PerSecond},
     },
@@ -121,7 +121,7 @@
         tasks: 4,
         need: Resources { cores: Millicores(1000), memory: Megabytes(1024), accelerators: 0 },
         max_down: 1,
-        survive: Domain::Rack,
+        survive: FailureDomain::Rack,
         slots: 1024,
         connections: 4096,
         once: false,
--- a/src/measure/route.rs
+++ b/src/measure/route.rs
@@ -241,7 +241,7 @@
         let known = &mut self.known[request.node][at];
         if bad && at == 2 {
             known.failures += 1;
-            known.rest_until = self.now + route::rest(known.failures);
+            known.rest_until = self.now + route::backoff(known.failures);
             known.off |= self.policy == Policy::OffForGood;
             return self
                 .push(self.now + Duration::from_millis(1), Event::Again { request: number });
@@ -275,11 +275,11 @@
             _ => {
                 let load = |known: &Known| Load {
                     own: known.own,
-                    said: known.said,
-                    said_at: known.said_at,
+                    reported: known.said,
+                    reported_at: known.said_at,
                     slots: SLOTS,
                     share: if known.off { 0 } else { SLOTS },
-                    rest_until: known.rest_until,
+                    backoff_until: known.rest_until,
                 };
                 let loads: Vec<Load> = known.iter().map(load).collect();
                 let rng = &mut self.rng;
--- a/src/measure/shape.rs
+++ b/src/measure/shape.rs
@@ -22,7 +22,7 @@
     let mut fleet = Fleet::default();
     fleet.config = preset.config.clone();
     fleet.through = 1;
-    fleet.heard = BEGIN;
+    fleet.last_received = BEGIN;
     for number in 0..preset.hosts {
         let report = report(preset, number);
         fleet.reports.insert(report.host.clone(), report);
@@ -69,7 +69,7 @@
 fn place(fleet: &mut Fleet, id: &ServiceId, rules: &Rules) {
     let repair = repair::repair(fleet, id, BEGIN, rules);
     let record = wave::change_placement(fleet, id, &op(), |placement| {
-        wave::repaired(placement, &repair, BEGIN);
+        wave::apply_repair(placement, &repair, BEGIN);
     });
     record.into_iter().for_each(|record| fleet.put(record, Revision(1)));
     make_ready(fleet, id);
--- a/src/measure/target.rs
+++ b/src/measure/target.rs
@@ -6,7 +6,7 @@
     decide::{
         repair,
         rules::Rules,
-        wave::{self, Outlook},
+        wave::{self, WaveContext},
     },
     measure::{
         Figures, sample,
@@ -94,7 +94,7 @@
         for task in fleet.tasks_on(&host) {
             std::hint::black_box(repair::repair(&fleet, &task.service, BEGIN, rules));
         }
-        let outlook = Outlook { fleet: &fleet, is_quiet: &never, now: BEGIN, rules };
+        let outlook = WaveContext { fleet: &fleet, is_quiet: &never, now: BEGIN, rules };
         let pool = &fleet.hosts[&host].pool;
         std::hint::black_box(wave::advance(&outlook, &running, pool));
         took.push(began.elapsed());
--- a/src/measure/waves.rs
+++ b/src/measure/waves.rs
@@ -8,7 +8,7 @@
 use crate::{
     decide::{
         baseline,
-        rehearse::{Event, Rehearsal, Report},
+        rehearse::{Event, Report, Simulation},
         rules::Rules,
     },
     error::Error,
@@ -187,7 +187,7 @@
     let mut outcome = Outcome { finished: true, ..Outcome::default() };
     outcome.capacity = bound::of(fleet, rules).seconds;
     for pool in plan.pools.keys() {
-        let mut rehearsal = Rehearsal::new(fleet, &plan, pool, rules, BEGIN);
+        let mut rehearsal = Simulation::new(fleet, &plan, pool, rules, BEGIN);
         for failure in failures.iter().filter(|f| fleet.hosts[&f.host].pool == *pool) {
             rehearsal.schedule(failure.after, Event::Fail(failure.host.clone()));
             let back = failure.after + REPAIRED_AFTER;
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -27,7 +27,7 @@
     }
 
     /// These resources minus `used`, saturating at zero.
-    pub(crate) fn less(self, used: Resources) -> Resources {
+    pub(crate) fn minus(self, used: Resources) -> Resources {
         Resources {
             cores: Millicores(self.cores.0.saturating_sub(used.cores.0)),
             memory: Megabytes(self.memory.0.saturating_sub(used.memory.0)),
@@ -48,7 +48,7 @@
 /// The failure domain whose outage a service's availability budget must be able to absorb.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum Domain {
+pub(crate) enum FailureDomain {
     /// Any one rack.
     Rack,
     /// Any one rack or any one availability zone.
@@ -71,7 +71,7 @@
     /// The availability budget: how many tasks may be unavailable at one time, for any reason.
     pub(crate) max_down: u32,
     /// The failure domain that may fail on top of the tasks already down within the budget.
-    pub(crate) survive: Domain,
+    pub(crate) survive: FailureDomain,
     /// Maximum concurrent requests of one task.
     pub(crate) slots: u32,
     /// Maximum connections that one task accepts from all nodes together.
@@ -173,13 +173,13 @@
     changed.map(|(key, value)| (key.clone(), Some(value.clone()))).collect()
 }
 
-impl std::str::FromStr for Domain {
+impl std::str::FromStr for FailureDomain {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Domain, String> {
+    fn from_str(text: &str) -> Result<FailureDomain, String> {
         match text {
-            "rack" => Ok(Domain::Rack),
-            "zone" => Ok(Domain::Zone),
+            "rack" => Ok(FailureDomain::Rack),
+            "zone" => Ok(FailureDomain::Zone),
             _ => Err(format!("`{text}` is not a failure domain: rack or zone are allowed")),
         }
     }
