--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -11,7 +11,7 @@
     host::{HostOutcome, HostRecord, HostReport, TaskReport},
     id::{HostId, NodeId, PlanId, PoolId, ServiceId},
     plan::{Plan, PlanState},
-    record::{Assigned, Key, NodeRecord, Placement, Record, Successor},
+    record::{Key, NodeRecord, Placement, Record, Successor, TaskAssignment},
     unit::{Revision, Time},
 };
 
@@ -37,7 +37,7 @@
     pub(crate) nodes: BTreeMap<NodeId, NodeRecord>,
     pub(crate) reports: BTreeMap<HostId, HostReport>,
     /// When the platform's list of hosts was last received.
-    pub(crate) heard: Time,
+    pub(crate) last_received: Time,
     revisions: HashMap<Key, Revision>,
     tasks_by_host: HashMap<HostId, Vec<TaskRef>>,
     successors_by_host: HashMap<HostId, Vec<TaskRef>>,
@@ -109,18 +109,18 @@
 
     /// Whether the platform's list of hosts was received within `limit`. Otherwise no host counts
     /// as live or dead.
-    pub(crate) fn is_heard(&self, now: Time, limit: Duration) -> bool {
-        now.since(self.heard) < limit
+    pub(crate) fn is_list_fresh(&self, now: Time, limit: Duration) -> bool {
+        now.since(self.last_received) < limit
     }
 
     /// Whether a list received within `limit` reports a host as live.
     pub(crate) fn is_live(&self, host: &HostId, now: Time, limit: Duration) -> bool {
-        self.is_heard(now, limit) && self.reports.get(host).is_some_and(|r| r.live)
+        self.is_list_fresh(now, limit) && self.reports.get(host).is_some_and(|r| r.live)
     }
 
     /// Whether a list received within `limit` reports a host as not live.
     pub(crate) fn is_dead(&self, host: &HostId, now: Time, limit: Duration) -> bool {
-        self.is_heard(now, limit) && self.reports.get(host).is_some_and(|r| !r.live)
+        self.is_list_fresh(now, limit) && self.reports.get(host).is_some_and(|r| !r.live)
     }
 
     /// Whether a running plan is not done with a host yet: a task placed there would move again.
@@ -131,12 +131,12 @@
     }
 
     /// The running plan that names a host.
-    pub(crate) fn planned(&self, host: &HostId) -> Option<&Plan> {
+    pub(crate) fn plan_of(&self, host: &HostId) -> Option<&Plan> {
         self.plans.get(self.plan_by_host.get(host)?)
     }
 
     /// Tasks whose successors are starting on a host.
-    pub(crate) fn coming_to(&self, host: &HostId) -> &[TaskRef] {
+    pub(crate) fn successors_on(&self, host: &HostId) -> &[TaskRef] {
         self.successors_by_host.get(host).map_or(&[], Vec::as_slice)
     }
 
@@ -146,8 +146,8 @@
     }
 
     /// A copy restricted to one pool, its hosts and its services, for a rehearsal.
-    pub(crate) fn only(&self, pool: &PoolId) -> Fleet {
-        let mut part = Fleet { heard: self.heard, ..Fleet::default() };
+    pub(crate) fn restricted_to(&self, pool: &PoolId) -> Fleet {
+        let mut part = Fleet { last_received: self.last_received, ..Fleet::default() };
         part.config.pools.extend(self.config.pools.get(pool).map(|p| (pool.clone(), p.clone())));
         for (id, service) in self.config.services.iter().filter(|(_, s)| s.pool == *pool) {
             part.config.services.insert(id.clone(), service.clone());
@@ -168,12 +168,12 @@
     }
 
     /// Whether any service has an active permit for a host.
-    pub(crate) fn is_permitted(&self, host: &HostId) -> bool {
+    pub(crate) fn has_permits(&self, host: &HostId) -> bool {
         self.permits_by_host.get(host).is_some_and(|services| !services.is_empty())
     }
 
     /// The host and generation that a task is assigned to.
-    pub(crate) fn assigned(&self, task: &TaskRef) -> Option<&Assigned> {
+    pub(crate) fn assigned(&self, task: &TaskRef) -> Option<&TaskAssignment> {
         self.placements.get(&task.service)?.tasks.get(task.index as usize)?.as_ref()
     }
 
@@ -188,7 +188,11 @@
     }
 
     /// The worker's report of a task on a given host and for a given generation.
-    pub(crate) fn reported_at(&self, task: &TaskRef, assigned: &Assigned) -> Option<&TaskReport> {
+    pub(crate) fn reported_at(
+        &self,
+        task: &TaskRef,
+        assigned: &TaskAssignment,
+    ) -> Option<&TaskReport> {
         let report = self.reports.get(&assigned.host)?;
         let same = |t: &&TaskReport| {
             t.index == task.index
@@ -200,7 +204,7 @@
 
     /// Total resources of the tasks assigned to a host and of the successors starting there.
     pub(crate) fn used(&self, host: &HostId) -> Resources {
-        let tasks = self.tasks_on(host).iter().chain(self.coming_to(host));
+        let tasks = self.tasks_on(host).iter().chain(self.successors_on(host));
         let needs = tasks.filter_map(|t| self.service(&t.service));
         needs.fold(Resources::default(), |sum, service| sum.plus(service.need))
     }
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -69,7 +69,7 @@
     }
 
     /// Records that a plan has ended with this host.
-    pub(crate) fn end(&mut self, plan: &PlanId, outcome: HostOutcome) {
+    pub(crate) fn record_outcome(&mut self, plan: &PlanId, outcome: HostOutcome) {
         self.plan = None;
         self.ended.push((plan.clone(), outcome));
         let surplus = self.ended.len().saturating_sub(MAX_OUTCOMES);
--- a/src/model/id.rs
+++ b/src/model/id.rs
@@ -127,7 +127,7 @@
 /// When a worker started, in milliseconds since the Unix epoch by the wall clock of its machine.
 /// That clock may jump back, so the value distinguishes incarnations but does not order them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
 /// One lifetime of a worker process. It shares no state with earlier incarnations: runs, ends and
 /// their numbers, fencing tokens, tickets and the clock are its own.
@@ -147,12 +147,12 @@
     /// The worker.
     pub worker: WorkerId,
     /// When it started; `None` if workers do not report it and each start has a new name.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
 }
 
 impl Incarnation {
     /// The incarnation of a worker that started at a given time.
-    pub fn new(worker: WorkerId, born: Option<Born>) -> Incarnation {
+    pub fn new(worker: WorkerId, born: Option<StartTime>) -> Incarnation {
         Incarnation { worker, born }
     }
 }
@@ -166,7 +166,7 @@
         };
         let error = |_| IdError { kind: "worker name with its start time", text: text.to_owned() };
         let born = born.parse().map_err(error)?;
-        Ok(Incarnation::new(worker.parse()?, Some(Born(born))))
+        Ok(Incarnation::new(worker.parse()?, Some(StartTime(born))))
     }
 }
 
@@ -187,7 +187,7 @@
 impl fmt::Display for Incarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
-            Some(Born(born)) => write!(f, "{}@{born}", self.worker),
+            Some(StartTime(born)) => write!(f, "{}@{born}", self.worker),
             None => write!(f, "{}", self.worker),
         }
     }
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -71,14 +71,14 @@
     /// The job.
     pub job: JobId,
     /// The occurrence of a repeating job, counted from 0; 0 for a job that runs once.
-    pub time: u32,
+    pub occurrence: u32,
     /// The number of the step within its job, counted from 0.
     pub step: u32,
 }
 
 impl fmt::Display for StepId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}.{}", self.job, self.time, self.step)
+        write!(f, "{}.{}.{}", self.job, self.occurrence, self.step)
     }
 }
 
@@ -132,13 +132,13 @@
         if parts.next().is_some() {
             return Err(error());
         }
-        Ok(TaskId { of: StepId { job, time, step }, index })
+        Ok(TaskId { of: StepId { job, occurrence: time, step }, index })
     }
 }
 
 /// Resources that a worker offers or a task requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Room {
+pub struct TaskResources {
     /// CPU time.
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
     pub cpu: Millicores,
@@ -150,26 +150,26 @@
     pub gpus: u32,
 }
 
-impl Room {
+impl TaskResources {
     /// Whether `more` fits into `self` when `used` of it is already in use.
-    pub(crate) fn fits(&self, used: &Room, more: &Room) -> bool {
+    pub(crate) fn fits(&self, used: &TaskResources, more: &TaskResources) -> bool {
         used.cpu.0 + more.cpu.0 <= self.cpu.0
             && used.memory.0 + more.memory.0 <= self.memory.0
             && used.gpus + more.gpus <= self.gpus
     }
 
     /// Whether no resource exceeds that of `other`.
-    pub(crate) fn is_within(&self, other: &Room) -> bool {
+    pub(crate) fn is_within(&self, other: &TaskResources) -> bool {
         self.cpu <= other.cpu && self.memory <= other.memory && self.gpus <= other.gpus
     }
 
-    pub(crate) fn add(&mut self, more: &Room) {
+    pub(crate) fn add(&mut self, more: &TaskResources) {
         self.cpu.0 += more.cpu.0;
         self.memory.0 += more.memory.0;
         self.gpus += more.gpus;
     }
 
-    pub(crate) fn take(&mut self, less: &Room) {
+    pub(crate) fn subtract(&mut self, less: &TaskResources) {
         self.cpu.0 = self.cpu.0.saturating_sub(less.cpu.0);
         self.memory.0 = self.memory.0.saturating_sub(less.memory.0);
         self.gpus = self.gpus.saturating_sub(less.gpus);
@@ -188,7 +188,7 @@
     pub count: u32,
     /// Resources that each task requires of its worker.
     #[serde(rename = "r")]
-    pub need: Room,
+    pub need: TaskResources,
     /// The caller's estimate of a task's duration, in milliseconds.
     #[serde(rename = "e", default, skip_serializing_if = "is_default")]
     pub estimate_ms: u64,
@@ -206,19 +206,19 @@
     pub label: String,
     /// The rack that holds the tasks' data; empty for none.
     #[serde(rename = "nr", default, skip_serializing_if = "is_default")]
-    pub near: String,
+    pub data_rack: String,
     /// Maximum tasks of one step and occurrence on one worker; 0 for no limit.
     #[serde(rename = "ap", default, skip_serializing_if = "is_default")]
-    pub apart: u32,
+    pub max_per_worker: u32,
     /// Several runs of a task may be active at the same time.
     #[serde(rename = "sp", default, skip_serializing_if = "is_default")]
     pub speculative: bool,
     /// The tasks save checkpoints.
     #[serde(rename = "ck", default, skip_serializing_if = "is_default")]
-    pub saves: bool,
+    pub checkpoints: bool,
     /// The tasks run until the job is cancelled.
     #[serde(rename = "la", default, skip_serializing_if = "is_default")]
-    pub lasting: bool,
+    pub long_running: bool,
     /// The image that the tasks run; tasks with the same image behave alike.
     #[serde(rename = "im", default, skip_serializing_if = "is_default")]
     pub image: String,
@@ -227,24 +227,24 @@
     pub target_ms: u64,
     /// The tasks run in the background on CPU time that others leave: theirs is not charged.
     #[serde(rename = "fi", default, skip_serializing_if = "is_default")]
-    pub fills: bool,
+    pub background: bool,
     /// A task of a long-running step is stopped only while fewer than this many are unavailable; 0
     /// for no limit.
     #[serde(rename = "mm", default, skip_serializing_if = "is_default")]
-    pub may_miss: u32,
+    pub max_unavailable: u32,
 }
 
 impl Step {
     /// The resources that a task is charged for on its worker.
-    pub(crate) fn charge(&self) -> Room {
-        let cpu = if self.fills { Millicores(0) } else { self.need.cpu };
-        Room { cpu, ..self.need }
+    pub(crate) fn charge(&self) -> TaskResources {
+        let cpu = if self.background { Millicores(0) } else { self.need.cpu };
+        TaskResources { cpu, ..self.need }
     }
 }
 
 /// Timing of the advice service, which names the workers that may run a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Advice {
+pub struct AdviceTiming {
     /// Duration of each call, in milliseconds.
     pub decide_ms: u64,
     /// Additional duration for each worker named in the call, in milliseconds.
@@ -282,16 +282,16 @@
     pub priority: u32,
     /// Number of failed runs of a task that fail its job.
     #[serde(rename = "m")]
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The completion time objective, in percent of the job's critical path.
     #[serde(rename = "st", default, skip_serializing_if = "is_default")]
-    pub stretch: u32,
+    pub stretch_percent: u32,
     /// Fixed allowance added to the objective, in milliseconds.
     #[serde(rename = "ta", default, skip_serializing_if = "is_default")]
     pub target_ms: u64,
     /// Set if the steps need tickets of the advice service.
     #[serde(rename = "ad", default, skip_serializing_if = "is_default")]
-    pub advice: Option<Advice>,
+    pub advice: Option<AdviceTiming>,
     /// When the job was accepted.
     #[serde(rename = "at")]
     pub accepted: Time,
@@ -299,7 +299,7 @@
 
 impl JobRecord {
     /// Number of occurrences, at least 1.
-    pub(crate) fn times(&self) -> u32 {
+    pub(crate) fn occurrences(&self) -> u32 {
         self.repeats.max(1)
     }
 
@@ -312,8 +312,8 @@
     }
 
     /// Whether any step runs until the job is cancelled.
-    pub(crate) fn is_lasting(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub(crate) fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 }
 
@@ -347,7 +347,7 @@
 
 /// Persisted progress of a task that is not done.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct TaskNote {
+pub struct TaskProgress {
     /// The highest run number known to have been issued.
     #[serde(rename = "r", default, skip_serializing_if = "is_default")]
     pub run: u32,
@@ -356,24 +356,24 @@
     pub failed: Vec<u32>,
     /// The newest checkpoint; empty for none.
     #[serde(rename = "s", default, skip_serializing_if = "is_default")]
-    pub saved: String,
+    pub checkpoint: String,
     /// Workers that crashed while running the task.
     #[serde(rename = "c", default, skip_serializing_if = "is_default")]
     pub crashed: BTreeSet<Incarnation>,
     /// Workers that may have crashed while running the task; not confirmed.
     #[serde(rename = "d", default, skip_serializing_if = "is_default")]
-    pub doubted: BTreeSet<Incarnation>,
+    pub unconfirmed_crashes: BTreeSet<Incarnation>,
 }
 
 /// Persisted progress of a step.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct StepNote {
+pub struct StepProgress {
     /// Indexes of the tasks that are done.
     #[serde(rename = "d", default, skip_serializing_if = "is_default")]
     pub done: Vec<u32>,
     /// Progress of other tasks, by index.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
-    pub tasks: BTreeMap<u32, TaskNote>,
+    pub tasks: BTreeMap<u32, TaskProgress>,
 }
 
 /// Persisted progress of a job that has started; written only by the owner of its pool.
@@ -387,5 +387,5 @@
     pub ended: Time,
     /// Steps with any progress, by `TIME.STEP`: the numbers of the occurrence and of the step.
     #[serde(rename = "t", default, skip_serializing_if = "is_default")]
-    pub steps: BTreeMap<String, StepNote>,
+    pub steps: BTreeMap<String, StepProgress>,
 }
--- a/src/model/order.rs
+++ b/src/model/order.rs
@@ -31,13 +31,13 @@
 }
 
 /// Maximum workers named in one call to the advice service.
-pub(crate) const MOST_NAMED: usize = 100;
+pub(crate) const MAX_NAMED_WORKERS: usize = 100;
 
 /// The result of asking the advice service about a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Advised {
+pub(crate) enum AdviceResult {
     /// The workers that may run the step, each with its ticket.
-    Good(Vec<(WorkerId, String)>),
+    Granted(Vec<(WorkerId, String)>),
     /// Too many calls are waiting.
     Busy,
     /// The service did not answer.
--- a/src/model/plan.rs
+++ b/src/model/plan.rs
@@ -71,7 +71,7 @@
 
 /// How much of a service's availability budget a plan uses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Tightness {
+pub(crate) struct BudgetUse {
     pub(crate) service: ServiceId,
     /// Maximum tasks that the plan itself makes unavailable at one time.
     pub(crate) peak_out: u32,
@@ -83,7 +83,7 @@
 
 /// The cost of one candidate for the number of hosts that are out at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Trade {
+pub(crate) struct TradeOff {
     pub(crate) max_out: u32,
     pub(crate) frugal: bool,
     pub(crate) buffer: Millicores,
@@ -106,7 +106,7 @@
     /// done with, so that few tasks move twice.
     pub(crate) frugal: bool,
     /// The candidates for `max_out` that were compared.
-    pub(crate) trades: Vec<Trade>,
+    pub(crate) trades: Vec<TradeOff>,
 }
 
 /// The estimated cost of a plan.
@@ -119,7 +119,7 @@
     /// Number of task moves.
     pub(crate) moves: u32,
     /// Budget use by service, the tightest first.
-    pub(crate) tightest: Vec<Tightness>,
+    pub(crate) tightest: Vec<BudgetUse>,
     /// Hosts that the plan cannot process, with the reason.
     pub(crate) impossible: BTreeMap<HostId, String>,
 }
@@ -146,7 +146,7 @@
 
 impl Plan {
     /// Whether the stored plan was put into its state by the same write as this one.
-    pub(crate) fn is_decided_as(&self, stored: &Plan) -> bool {
+    pub(crate) fn is_same_decision(&self, stored: &Plan) -> bool {
         self.id == stored.id && self.op == stored.op && self.state == stored.state
     }
 
--- a/src/model/queue.rs
+++ b/src/model/queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::model::{id::PoolId, job::Advice};
+use crate::model::{id::PoolId, job::AdviceTiming};
 
 /// A queue of jobs.
 #[derive(Debug, Clone, PartialEq)]
@@ -17,22 +17,22 @@
     /// Priority; 0 is the highest.
     pub(crate) priority: u32,
     /// Number of failed runs of a task that fail its job.
-    pub(crate) attempts: u32,
+    pub(crate) max_attempts: u32,
     /// The completion time objective, in percent of a job's critical path.
-    pub(crate) stretch: u32,
+    pub(crate) stretch_percent: u32,
     /// Fixed allowance added to the objective, in milliseconds.
     pub(crate) target_ms: u64,
     /// Set if steps need tickets of the advice service.
-    pub(crate) advice: Option<Advice>,
+    pub(crate) advice: Option<AdviceTiming>,
 }
 
 /// A pool of hosts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PoolRules {
     /// The hosts are powered off and cost nothing: the pool holds those that no other pool needs.
-    pub(crate) off: bool,
+    pub(crate) headroom: bool,
     /// The workers refuse tasks that do not fit.
-    pub(crate) guards: bool,
+    pub(crate) admission_check: bool,
 }
 
 /// One complete version of the configuration.
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -13,13 +13,13 @@
 };
 
 /// Key prefix of all watched records.
-pub(crate) const WATCHED: &str = "caperhollow/view/";
+pub(crate) const WATCHED_PREFIX: &str = "caperhollow/view/";
 /// Key prefix of the claims of requests that are not repeatable; not watched.
-pub(crate) const CLAIMS: &str = "caperhollow/once/";
+pub(crate) const CLAIMS_PREFIX: &str = "caperhollow/once/";
 
 /// The assignment of a task to a host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Assigned {
+pub(crate) struct TaskAssignment {
     pub(crate) host: HostId,
     /// Number of this start of the task; each move has a higher one.
     pub(crate) generation: u64,
@@ -29,7 +29,7 @@
 /// A second start of a task, which replaces the first one when it is ready.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Successor {
-    pub(crate) to: Assigned,
+    pub(crate) to: TaskAssignment,
     /// The plan that drains the task's host; `None` if the task moves to spread its service.
     pub(crate) plan: Option<PlanId>,
 }
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(crate) struct Placement {
     /// Assignments, by index of the task.
-    pub(crate) tasks: Vec<Option<Assigned>>,
+    pub(crate) tasks: Vec<Option<TaskAssignment>>,
     /// Starting successors, by index of the task.
     pub(crate) successors: BTreeMap<u32, Successor>,
     /// Active permits, by the host whose tasks they cover.
@@ -97,19 +97,19 @@
     /// The key as used in the store.
     pub(crate) fn path(&self) -> String {
         match self {
-            Key::Base => format!("{WATCHED}config-base"),
+            Key::Base => format!("{WATCHED_PREFIX}config-base"),
             // The fixed width makes the store's key order equal to numeric order.
-            Key::Change(number) => format!("{WATCHED}config/{number:020}"),
-            Key::Host(id) => format!("{WATCHED}host/{id}"),
-            Key::Placement(id) => format!("{WATCHED}placement/{id}"),
-            Key::Plan(id) => format!("{WATCHED}plan/{id}"),
-            Key::Node(id) => format!("{WATCHED}node/{id}"),
+            Key::Change(number) => format!("{WATCHED_PREFIX}config/{number:020}"),
+            Key::Host(id) => format!("{WATCHED_PREFIX}host/{id}"),
+            Key::Placement(id) => format!("{WATCHED_PREFIX}placement/{id}"),
+            Key::Plan(id) => format!("{WATCHED_PREFIX}plan/{id}"),
+            Key::Node(id) => format!("{WATCHED_PREFIX}node/{id}"),
         }
     }
 
     /// Parses a key of the store; `None` if its kind is unknown.
     pub(crate) fn parse(path: &str) -> Option<Key> {
-        let rest = path.strip_prefix(WATCHED)?;
+        let rest = path.strip_prefix(WATCHED_PREFIX)?;
         if rest == "config-base" {
             return Some(Key::Base);
         }
--- a/src/model/worker.rs
+++ b/src/model/worker.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::{
-    id::{Born, HostId, IdError, Incarnation, PoolId, WorkerId, ZoneId},
-    job::{Room, TaskId},
+    id::{HostId, IdError, Incarnation, PoolId, StartTime, WorkerId, ZoneId},
+    job::{TaskId, TaskResources},
 };
 
 /// A worker's registration, as it reports it.
@@ -16,7 +16,7 @@
     pub(crate) address: String,
     pub(crate) zone: ZoneId,
     #[serde(rename = "room")]
-    pub(crate) room: Room,
+    pub(crate) capacity: TaskResources,
     pub(crate) labels: Vec<String>,
     /// Set once the worker is about to leave: the minimum time until then, in milliseconds.
     pub(crate) leaves_ms: Option<u64>,
@@ -24,14 +24,14 @@
 
 impl WorkerReport {
     /// A placeholder for a worker of which only its id and pool are known: it has no address.
-    pub(crate) fn without_place(id: &Incarnation, pool: &str) -> Result<WorkerReport, IdError> {
+    pub(crate) fn placeholder(id: &Incarnation, pool: &str) -> Result<WorkerReport, IdError> {
         Ok(WorkerReport {
             id: id.clone(),
             host: id.worker.as_str().parse()?,
             pool: pool.parse()?,
             address: String::new(),
             zone: "unknown".parse()?,
-            room: Room::default(),
+            capacity: TaskResources::default(),
             labels: Vec::new(),
             leaves_ms: None,
         })
@@ -39,18 +39,18 @@
 
     /// Whether another report has the same host, pool and address: these never change within one
     /// incarnation.
-    pub(crate) fn has_place_of(&self, other: &WorkerReport) -> bool {
+    pub(crate) fn has_same_place(&self, other: &WorkerReport) -> bool {
         self.host == other.host && self.pool == other.pool && self.address == other.address
     }
 }
 
 /// A run that a worker lists as present, i.e. not ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Present {
+pub(crate) struct PresentRun {
     pub(crate) task: TaskId,
     pub(crate) run: u32,
     /// The newest checkpoint; empty for none.
-    pub(crate) saved: String,
+    pub(crate) checkpoint: String,
     pub(crate) percent: u32,
     /// Over the last half second: the tail latency of a serving task in milliseconds, or the
     /// millicores in use.
@@ -59,7 +59,7 @@
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HowEnded {
+pub(crate) enum RunOutcome {
     Done,
     /// Failed through its own fault or its worker's.
     Failed,
@@ -68,54 +68,54 @@
     /// The worker's lease expired.
     Lapsed,
     /// Another member of its gang ended.
-    Broken,
+    GangBroken,
     /// The gang was not complete in time.
-    Alone,
+    GangIncomplete,
 }
 
-impl HowEnded {
+impl RunOutcome {
     /// The name used in log lines.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
-            HowEnded::Done => "done",
-            HowEnded::Failed => "failed",
-            HowEnded::Stopped => "stopped",
-            HowEnded::Lapsed => "lapsed",
-            HowEnded::Broken => "broken",
-            HowEnded::Alone => "alone",
+            RunOutcome::Done => "done",
+            RunOutcome::Failed => "failed",
+            RunOutcome::Stopped => "stopped",
+            RunOutcome::Lapsed => "lapsed",
+            RunOutcome::GangBroken => "broken",
+            RunOutcome::GangIncomplete => "alone",
         }
     }
 }
 
 /// A run that a worker lists as ended, until the end is acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Ended {
+pub(crate) struct EndedRun {
     /// Number of this end, counted per worker from 1.
     pub(crate) number: u64,
     pub(crate) task: TaskId,
     pub(crate) run: u32,
-    pub(crate) how: HowEnded,
-    pub(crate) saved: String,
+    pub(crate) how: RunOutcome,
+    pub(crate) checkpoint: String,
 }
 
 /// A worker's response to a poll.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Look {
+pub(crate) struct PollResponse {
     /// When the responding incarnation started, if it reports that.
-    pub(crate) born: Option<Born>,
+    pub(crate) born: Option<StartTime>,
     /// The worker's own clock, in milliseconds.
     pub(crate) clock_ms: u64,
-    pub(crate) present: Vec<Present>,
-    pub(crate) ended: Vec<Ended>,
+    pub(crate) present: Vec<PresentRun>,
+    pub(crate) ended: Vec<EndedRun>,
 }
 
 /// Maximum ends in one poll response, by the platform's contract. Further ends are listed once
 /// these are acknowledged.
 pub(crate) const MAX_LISTED_ENDS: usize = 500;
 
-impl Look {
+impl PollResponse {
     /// Whether the response lists all ends. Otherwise a run that it does not list may have ended.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn lists_all_ends(&self) -> bool {
         self.ended.len() < MAX_LISTED_ENDS
     }
 }
@@ -143,7 +143,7 @@
 
 /// The result of an order to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum OrderEnd<T> {
+pub(crate) enum OrderResult<T> {
     Done(T),
     /// The order was not executed and never will be.
     Refused {
@@ -174,7 +174,7 @@
     pub(crate) phase: HostPhase,
     pub(crate) worker: Option<WorkerId>,
     pub(crate) labels: Vec<String>,
-    pub(crate) room: Room,
+    pub(crate) capacity: TaskResources,
 }
 
 /// An operator's request for a maintenance wave: each of these hosts is to be maintained in time.
@@ -184,5 +184,5 @@
     pub(crate) hosts: Vec<HostId>,
     pub(crate) period_ms: u64,
     /// Maximum hosts that may be out of service for this wave at the same time.
-    pub(crate) at_once: u32,
+    pub(crate) max_concurrent: u32,
 }
--- a/src/node/assign.rs
+++ b/src/node/assign.rs
@@ -184,7 +184,7 @@
     let may_run = record.state.serves() || record.state == HostState::Leaving;
     let mut tasks = Vec::new();
     let own = fleet.tasks_on(host).iter().map(|task| (task, fleet.assigned(task)));
-    let incoming = fleet.coming_to(host).iter();
+    let incoming = fleet.successors_on(host).iter();
     let incoming =
         incoming.map(|task| (task, fleet.successor(task).map(|successor| &successor.to)));
     for (task, assigned) in own.chain(incoming).filter(|_| may_run) {
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -11,7 +11,7 @@
     decide::{
         pools,
         repair::{self, Repair},
-        wave::{self, Outlook},
+        wave::{self, WaveContext},
     },
     model::{
         config::ConfigBase,
@@ -128,7 +128,7 @@
         let services = view.fleet.config.services.keys().filter(owned);
         let repairs = services.map(|id| {
             let repair = repair::repair(&view.fleet, id, now, &node.settings.rules);
-            let targets = wave::hosts_of(repair.targets(&view.fleet, id));
+            let targets = wave::host_keys(repair.targets(&view.fleet, id));
             let with_revision = |key: Key| (key.clone(), view.fleet.revision(&key));
             let targets = targets.into_iter().map(with_revision).collect();
             let expect = view.fleet.revision(&Key::Placement(id.clone()));
@@ -137,7 +137,7 @@
         repairs.collect()
     };
     for DueRepair { service: id, repair, expect, targets } in due {
-        for reason in &repair.refused {
+        for reason in &repair.unplaced {
             log::debug!("service {id}: {reason}");
         }
         if repair.is_empty() {
@@ -149,7 +149,7 @@
             let is_unchanged = view.fleet.revision(&Key::Placement(id.clone())) == expect;
             let op = OpId::fresh();
             let record = wave::change_placement(&view.fleet, &id, &op, |placement| {
-                wave::repaired(placement, &repair, now);
+                wave::apply_repair(placement, &repair, now);
             });
             record.filter(|_| is_unchanged)
         };
@@ -207,7 +207,7 @@
     };
     let quiet = |host: &HostId, epoch| is_quiet(node, &view, host, epoch);
     let rules = &node.settings.rules;
-    let context = Outlook { fleet: &view.fleet, is_quiet: &quiet, now, rules };
+    let context = WaveContext { fleet: &view.fleet, is_quiet: &quiet, now, rules };
     let waits = plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).1);
     waits.map(|(host, wait)| (host, wait.to_string())).collect()
 }
--- a/src/node/drive.rs
+++ b/src/node/drive.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    decide::wave::{self, Outlook, Step},
+    decide::wave::{self, Step, WaveContext},
     model::{
         id::{HostId, OpId},
         plan::{Plan, PlanState},
@@ -54,7 +54,7 @@
     let due = plans.map(|plan| {
         let steps = next_steps(node, &view, plan, now);
         let written = steps.iter().map(wave::key_of);
-        let read = steps.iter().flat_map(|step| wave::rests_on(&view.fleet, step));
+        let read = steps.iter().flat_map(|step| wave::dependencies(&view.fleet, step));
         let keys = written.chain(read);
         let expected = keys.map(|key| (key.clone(), view.fleet.revision(&key))).collect();
         DuePlan { plan: plan.clone(), steps, expected }
@@ -65,7 +65,7 @@
 fn next_steps(node: &Node, view: &View, plan: &Plan, now: Time) -> Vec<Step> {
     let quiet = |host: &HostId, epoch| control::is_quiet(node, view, host, epoch);
     let rules = &node.settings.rules;
-    let context = Outlook { fleet: &view.fleet, is_quiet: &quiet, now, rules };
+    let context = WaveContext { fleet: &view.fleet, is_quiet: &quiet, now, rules };
     let steps = plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).0);
     steps.take(MAX_STEPS).collect()
 }
@@ -95,7 +95,7 @@
         let (record, dependencies) = {
             let view = node.view();
             let is_unchanged = view.fleet.revision(&key) == expect;
-            let dependencies: Vec<(Key, Revision)> = wave::rests_on(&view.fleet, &step)
+            let dependencies: Vec<(Key, Revision)> = wave::dependencies(&view.fleet, &step)
                 .into_iter()
                 .map(|key| (key.clone(), expected.get(&key).copied().unwrap_or_default()))
                 .collect();
@@ -148,12 +148,12 @@
             format!("{} successors of service {service} start", moves.len())
         }
         Step::Permit { service, .. } => format!("permit of service {service} taken"),
-        Step::GiveBack { service, .. } => format!("permit of service {service} released"),
+        Step::Release { service, .. } => format!("permit of service {service} released"),
         Step::Leave { .. } => "leaves".to_owned(),
         Step::Move { service, moves, .. } => {
             format!("{} tasks of service {service} moved", moves.len())
         }
-        Step::Away { .. } => "reboots".to_owned(),
+        Step::Reboot { .. } => "reboots".to_owned(),
         Step::Join { pool, .. } => format!("joins pool {pool}"),
         Step::Quarantine { outcome, .. } => format!("quarantined: {outcome:?}"),
         Step::Return { outcome, .. } => format!("serves again: {outcome:?}"),
--- a/src/node/hosts.rs
+++ b/src/node/hosts.rs
@@ -38,7 +38,7 @@
         for report in list.hosts {
             view.fleet.reports.insert(report.host.clone(), report);
         }
-        view.fleet.heard = started_at;
+        view.fleet.last_received = started_at;
     }
     if changed {
         node.notify_change();
--- a/src/node/pace.rs
+++ b/src/node/pace.rs
@@ -8,7 +8,7 @@
 use crate::{
     decide::{
         route::RateLimit,
-        share::{Others, Share},
+        share::{PeerDemand, RateShare},
     },
     model::unit::{PerSecond, Time},
     platform::store::Priority,
@@ -18,7 +18,7 @@
 pub(crate) struct WriteLimiter {
     /// Writes per second allowed for all nodes together.
     rate: PerSecond,
-    share: Mutex<Share>,
+    share: Mutex<RateShare>,
     nodes: AtomicU32,
     peer_demand: AtomicU32,
 }
@@ -29,7 +29,7 @@
         let (nodes, peer_demand) = (AtomicU32::new(nodes), AtomicU32::new(0));
         WriteLimiter {
             rate,
-            share: Mutex::new(Share::new(RateLimit::empty(now), now)),
+            share: Mutex::new(RateShare::new(RateLimit::empty(now), now)),
             nodes,
             peer_demand,
         }
@@ -42,9 +42,9 @@
             Priority::Control => 0.5,
             Priority::Registration => 0.0,
         };
-        self.share().ask(Time::now());
+        self.share().record_request(Time::now());
         loop {
-            let others = Others {
+            let others = PeerDemand {
                 nodes: self.nodes.load(Ordering::Acquire),
                 demand: self.peer_demand.load(Ordering::Acquire),
             };
@@ -67,7 +67,7 @@
         self.share().demand(now)
     }
 
-    fn share(&self) -> std::sync::MutexGuard<'_, Share> {
+    fn share(&self) -> std::sync::MutexGuard<'_, RateShare> {
         self.share.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/node/sync.rs
+++ b/src/node/sync.rs
@@ -12,7 +12,7 @@
     decide::rendezvous,
     model::{
         id::NodeId,
-        record::WATCHED,
+        record::WATCHED_PREFIX,
         unit::{Revision, Time},
     },
     node::{Node, peers, view::View},
@@ -59,7 +59,7 @@
 
 /// Reads all watched records into the view.
 pub(crate) async fn load(node: &Node) -> Result<(), StoreError> {
-    let (entries, revision) = node.store.list(WATCHED).await?;
+    let (entries, revision) = node.store.list(WATCHED_PREFIX).await?;
     {
         let mut view = node.view();
         view.replace(entries, revision);
@@ -80,7 +80,7 @@
     let zone = &node.settings.zone;
     let same_zone = view.fleet.nodes.iter().filter(|(_, record)| record.zone == *zone);
     let members = same_zone.map(|(id, _)| id.as_str());
-    let chosen = rendezvous::first(members, zone.as_str(), WATCHERS);
+    let chosen = rendezvous::top_members(members, zone.as_str(), WATCHERS);
     // A node that is not registered yet watches to learn the members.
     chosen.is_empty() || chosen.contains(&node.id().as_str()) || !is_registered(&view, node.id())
 }
@@ -94,7 +94,7 @@
         load(node).await?;
     }
     let mut from = node.view().complete;
-    let mut events = node.store.watch(WATCHED, Revision(from.0 + 1)).await?;
+    let mut events = node.store.watch(WATCHED_PREFIX, Revision(from.0 + 1)).await?;
     while let Some(next) = events.next().await {
         let batch = match next {
             Ok(batch) => batch,
@@ -119,7 +119,7 @@
 
 async fn verify_once(node: &Node) -> Result<(), StoreError> {
     let started_at = Time::now();
-    let newest = node.store.newest(WATCHED).await?;
+    let newest = node.store.newest(WATCHED_PREFIX).await?;
     let own = node.view().newest();
     if own < newest {
         // The watch may be about to deliver the change: check again before reading everything.
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -351,7 +351,7 @@
         WriteResult::Conflict => {
             let view = node.view();
             let now = view.fleet.plans.get(&plan.id);
-            if now.is_some_and(|now| plan.is_decided_as(now)) {
+            if now.is_some_and(|now| plan.is_same_decision(now)) {
                 // The first write took effect, but its answer was lost, and it was sent again.
                 return Ok(plan);
             }
--- a/src/operator/show.rs
+++ b/src/operator/show.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::{
-    model::plan::{Plan, Trade},
+    model::plan::{Plan, TradeOff},
     operator::message::{PlanView, Rows},
 };
 
@@ -217,7 +217,7 @@
     lines.join("\n")
 }
 
-fn trades(trades: &[Trade]) -> String {
+fn trades(trades: &[TradeOff]) -> String {
     let rows = trades.iter().map(|t| {
         [
             t.max_out.to_string(),
--- a/src/operator/status.rs
+++ b/src/operator/status.rs
@@ -96,7 +96,7 @@
     let view = node.view();
     let fleet = &view.fleet;
     let rows = fleet.config.services.iter().map(|(id, service)| {
-        let status = budget::standing(fleet, id, service, now, &node.settings.rules);
+        let status = budget::status(fleet, id, service, now, &node.settings.rules);
         let placement = fleet.placements.get(id);
         ServiceRow {
             service: id.clone(),
@@ -108,7 +108,7 @@
             reserve: status.reserve(),
             permits: placement.map_or(0, |placement| placement.permits.len()),
             moves: placement.map_or(0, |placement| placement.moves),
-            holds: status.holds(),
+            holds: status.is_within_budget(),
         }
     });
     rows.collect()
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -9,7 +9,7 @@
     model::{
         id::{Incarnation, WorkerId},
         job::StepId,
-        order::Advised,
+        order::AdviceResult,
     },
     platform::{connections::Connections, store::chain},
 };
@@ -54,7 +54,7 @@
         step: StepId,
         workers: &[Incarnation],
         service_time: Duration,
-    ) -> Advised {
+    ) -> AdviceResult {
         let workers = workers.iter().map(|id| &id.worker).collect();
         let body = WireAdviceRequest { step: step.to_string(), workers };
         let url = format!("http://{}/-/advise", self.address);
@@ -64,22 +64,22 @@
             Ok(answer) => answer,
             Err(error) => {
                 log::warn!("advice: step {step}: {}", chain(&error));
-                return Advised::Failed;
+                return AdviceResult::Failed;
             }
         };
         match answer.status {
             StatusCode::OK => {}
-            StatusCode::TOO_MANY_REQUESTS => return Advised::Busy,
+            StatusCode::TOO_MANY_REQUESTS => return AdviceResult::Busy,
             status => {
                 log::warn!("advice: step {step}: status {status}");
-                return Advised::Failed;
+                return AdviceResult::Failed;
             }
         }
         match serde_json::from_slice::<WireAdvice>(&answer.body) {
-            Ok(advice) => Advised::Good(granted_tickets(advice)),
+            Ok(advice) => AdviceResult::Granted(granted_tickets(advice)),
             Err(error) => {
                 log::warn!("advice: step {step}: invalid answer: {error}");
-                Advised::Failed
+                AdviceResult::Failed
             }
         }
     }
--- a/src/platform/caller.rs
+++ b/src/platform/caller.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::{
-    job::{JobRecord, JobState, Room, Step},
+    job::{JobRecord, JobState, Step, TaskResources},
     queue::Queue,
     unit::{Megabytes, Millicores, Time},
 };
@@ -111,8 +111,8 @@
         first: Time::from_millis(wire.first_ms),
         every_ms: wire.interval_ms,
         priority: queue.priority,
-        attempts: queue.attempts,
-        stretch: queue.stretch,
+        max_attempts: queue.max_attempts,
+        stretch_percent: queue.stretch_percent,
         target_ms: queue.target_ms,
         advice: queue.advice,
         accepted: now,
@@ -122,21 +122,25 @@
 fn step(wire: WireStep) -> Step {
     Step {
         count: wire.count,
-        need: Room { cpu: Millicores(wire.cpu), memory: Megabytes(wire.mem_mb), gpus: wire.gpu },
+        need: TaskResources {
+            cpu: Millicores(wire.cpu),
+            memory: Megabytes(wire.mem_mb),
+            gpus: wire.gpu,
+        },
         estimate_ms: wire.estimated_ms,
         after: wire.since_revision,
         gang: wire.gang,
         same_rack: wire.same_rack,
         label: wire.requires,
-        near: wire.affinity,
-        apart: wire.anti_affinity,
+        data_rack: wire.affinity,
+        max_per_worker: wire.anti_affinity,
         speculative: wire.speculative,
-        saves: wire.checkpointing,
-        lasting: wire.long_running,
+        checkpoints: wire.checkpointing,
+        long_running: wire.long_running,
         image: wire.image,
         target_ms: wire.target_ms,
-        fills: wire.fills,
-        may_miss: wire.may_miss,
+        background: wire.fills,
+        max_unavailable: wire.may_miss,
     }
 }
 
--- a/src/platform/machines.rs
+++ b/src/platform/machines.rs
@@ -211,7 +211,7 @@
         phase,
         worker: wire.id.and_then(|id| id.parse().ok()),
         labels: wire.labels,
-        room: wire.capacity.into(),
+        capacity: wire.capacity.into(),
     })
 }
 
@@ -222,6 +222,6 @@
         phase: HostPhase::Down,
         worker: None,
         labels: Vec::new(),
-        room: WireCapacity::default().into(),
+        capacity: WireCapacity::default().into(),
     })
 }
--- a/src/platform/records.rs
+++ b/src/platform/records.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::model::{
-    id::{Born, HostId, IdError, Incarnation, PoolId, WorkerId, ZoneId},
-    job::{Advice, Room},
+    id::{HostId, IdError, Incarnation, PoolId, StartTime, WorkerId, ZoneId},
+    job::{AdviceTiming, TaskResources},
     queue::{PoolRules, Queue, QueueConfig},
     unit::{Megabytes, Millicores},
     worker::{Upkeep, WorkerReport},
@@ -96,7 +96,8 @@
     let wire: WireConfig = serde_json::from_slice(value)?;
     let mut config = QueueConfig { version: wire.version, ..QueueConfig::default() };
     for service in wire.services {
-        let rules = PoolRules { off: service.headroom, guards: service.admission_check };
+        let rules =
+            PoolRules { headroom: service.headroom, admission_check: service.admission_check };
         config.pools.insert(service.name.parse()?, rules);
     }
     for route in wire.routes {
@@ -112,10 +113,10 @@
         prefix: wire.path_prefix,
         pool: wire.service.parse()?,
         priority: wire.priority,
-        attempts: wire.max_attempts,
-        stretch: (wire.stretch * 100.0).round() as u32,
+        max_attempts: wire.max_attempts,
+        stretch_percent: (wire.stretch * 100.0).round() as u32,
         target_ms: wire.target_latency_ms,
-        advice: wire.advice.map(|advice| Advice {
+        advice: wire.advice.map(|advice| AdviceTiming {
             decide_ms: advice.decide_ms.ceil() as u64,
             each_ms: advice.each_ms.ceil() as u64,
             valid_ms: advice.valid_ms,
@@ -134,9 +135,9 @@
     gpu: u32,
 }
 
-impl From<WireCapacity> for Room {
-    fn from(wire: WireCapacity) -> Room {
-        Room { cpu: Millicores(wire.cpu), memory: Megabytes(wire.mem_mb), gpus: wire.gpu }
+impl From<WireCapacity> for TaskResources {
+    fn from(wire: WireCapacity) -> TaskResources {
+        TaskResources { cpu: Millicores(wire.cpu), memory: Megabytes(wire.mem_mb), gpus: wire.gpu }
     }
 }
 
@@ -178,12 +179,12 @@
         return Err(RecordError::Address(wire.address));
     }
     Ok(WorkerReport {
-        id: Incarnation::new(id, wire.born.map(Born)),
+        id: Incarnation::new(id, wire.born.map(StartTime)),
         host,
         pool,
         zone,
         address: wire.address,
-        room: wire.capacity.into(),
+        capacity: wire.capacity.into(),
         labels: wire.labels,
         leaves_ms,
     })
@@ -220,7 +221,7 @@
         wave: wire.wave,
         hosts: hosts.collect::<Result<_, IdError>>()?,
         period_ms: (wire.period_s * 1000.0) as u64,
-        at_once: wire.upper_limit,
+        max_concurrent: wire.upper_limit,
     })
 }
 
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -8,10 +8,10 @@
 
 use crate::{
     model::{
-        id::Born,
+        id::StartTime,
         job::TaskId,
         order::{Addressee, Start},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, Refusal},
+        worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
     platform::{
         connections::{ManyConnections, Whole},
@@ -124,7 +124,7 @@
     }
 
     /// Starts a run. Succeeds also if the run already exists.
-    pub(crate) async fn start(&self, to: &Addressee, start: &Start) -> OrderEnd<u64> {
+    pub(crate) async fn start(&self, to: &Addressee, start: &Start) -> OrderResult<u64> {
         let body = WireStart {
             task: start.task.to_string(),
             run: start.run,
@@ -138,7 +138,7 @@
     }
 
     /// Stops a run. If the run has not arrived yet, the worker will refuse it.
-    pub(crate) async fn stop(&self, to: &Addressee, task: TaskId, run: u32) -> OrderEnd<u64> {
+    pub(crate) async fn stop(&self, to: &Addressee, task: TaskId, run: u32) -> OrderResult<u64> {
         let body = WireStop { task: task.to_string(), run, fencing_token: to.token };
         clock_result(self.order(to, "run-stop", &body, self.timeout).await)
     }
@@ -150,7 +150,7 @@
         task: TaskId,
         run: u32,
         percent: u32,
-    ) -> OrderEnd<u64> {
+    ) -> OrderResult<u64> {
         let body = WireThrottle { task: task.to_string(), run, percent, fencing_token: to.token };
         clock_result(self.order(to, "pace", &body, self.timeout).await)
     }
@@ -163,7 +163,7 @@
         acknowledged: u64,
         until_ms: Option<u64>,
         wait: Duration,
-    ) -> OrderEnd<Look> {
+    ) -> OrderResult<PollResponse> {
         let body = WirePoll {
             until_ms,
             fencing_token: to.token,
@@ -171,10 +171,10 @@
             wait_ms: wait.as_millis() as u64,
         };
         match self.order(to, "hold", &body, wait + LOOK_SLACK).await {
-            OrderEnd::Done(answer) => poll_result(to, answer),
-            OrderEnd::Refused { why, clock_ms } => OrderEnd::Refused { why, clock_ms },
-            OrderEnd::Unknown => OrderEnd::Unknown,
-            OrderEnd::Unsent => OrderEnd::Unsent,
+            OrderResult::Done(answer) => poll_result(to, answer),
+            OrderResult::Refused { why, clock_ms } => OrderResult::Refused { why, clock_ms },
+            OrderResult::Unknown => OrderResult::Unknown,
+            OrderResult::Unsent => OrderResult::Unsent,
         }
     }
 
@@ -184,12 +184,12 @@
         call: &str,
         body: &impl Serialize,
         call_timeout: Duration,
-    ) -> OrderEnd<WireAnswer> {
+    ) -> OrderResult<WireAnswer> {
         let semaphore = self.call_limits.semaphore_for(&to.address);
         // Nothing was sent, so the owner is free to decide again.
         let Ok(Ok(_permit)) = timeout(self.timeout, semaphore.acquire()).await else {
             log::debug!("worker {}: {call}: not sent: too many calls in flight", to.worker);
-            return OrderEnd::Unsent;
+            return OrderResult::Unsent;
         };
         let url = format!("http://{}/-/{call}", to.address);
         let request = |client: &Client| {
@@ -200,7 +200,7 @@
             Ok(Whole { status, body, .. }) => read_answer(to, call, status, &body),
             Err(error) => {
                 log::debug!("worker {}: {call}: {}", to.worker, chain(&error));
-                OrderEnd::Unknown
+                OrderResult::Unknown
             }
         }
     }
@@ -211,14 +211,14 @@
     call: &str,
     status: StatusCode,
     body: &[u8],
-) -> OrderEnd<WireAnswer> {
+) -> OrderResult<WireAnswer> {
     let parsed: Result<WireAnswer, serde_json::Error> = serde_json::from_slice(body);
     if status == StatusCode::OK {
         return match parsed {
-            Ok(answer) => OrderEnd::Done(answer),
+            Ok(answer) => OrderResult::Done(answer),
             Err(error) => {
                 log::warn!("worker {}: {call}: invalid answer: {error}", to.worker);
-                OrderEnd::Unknown
+                OrderResult::Unknown
             }
         };
     }
@@ -227,10 +227,10 @@
     let clock_ms = parsed.as_ref().and_then(|answer| answer.clock_ms);
     let reason = parsed.map(|answer| answer.reason).unwrap_or_default();
     match refusal(status, &reason) {
-        Some(why) => OrderEnd::Refused { why, clock_ms },
+        Some(why) => OrderResult::Refused { why, clock_ms },
         None => {
             log::warn!("worker {}: {call}: status {status} {reason}", to.worker);
-            OrderEnd::Unknown
+            OrderResult::Unknown
         }
     }
 }
@@ -249,36 +249,41 @@
     })
 }
 
-fn clock_result(end: OrderEnd<WireAnswer>) -> OrderEnd<u64> {
+fn clock_result(end: OrderResult<WireAnswer>) -> OrderResult<u64> {
     match end {
-        OrderEnd::Done(WireAnswer { clock_ms: Some(clock_ms), .. }) => OrderEnd::Done(clock_ms),
+        OrderResult::Done(WireAnswer { clock_ms: Some(clock_ms), .. }) => {
+            OrderResult::Done(clock_ms)
+        }
         // Carried out, but the answer lacks the clock: the next poll returns it.
-        OrderEnd::Done(_) => OrderEnd::Done(0),
-        OrderEnd::Refused { why, clock_ms } => OrderEnd::Refused { why, clock_ms },
-        OrderEnd::Unknown => OrderEnd::Unknown,
-        OrderEnd::Unsent => OrderEnd::Unsent,
+        OrderResult::Done(_) => OrderResult::Done(0),
+        OrderResult::Refused { why, clock_ms } => OrderResult::Refused { why, clock_ms },
+        OrderResult::Unknown => OrderResult::Unknown,
+        OrderResult::Unsent => OrderResult::Unsent,
     }
 }
 
-fn poll_result(to: &Addressee, answer: WireAnswer) -> OrderEnd<Look> {
+fn poll_result(to: &Addressee, answer: WireAnswer) -> OrderResult<PollResponse> {
     let Some(clock_ms) = answer.clock_ms else {
         log::warn!("worker {}: hold: the answer has no clock", to.worker);
-        return OrderEnd::Unknown;
+        return OrderResult::Unknown;
     };
-    let present = answer.running.into_iter().map(present).collect::<Option<Vec<Present>>>();
-    let ended = answer.finished.into_iter().map(ended).collect::<Option<Vec<Ended>>>();
+    let present = answer.running.into_iter().map(present).collect::<Option<Vec<PresentRun>>>();
+    let ended = answer.finished.into_iter().map(ended).collect::<Option<Vec<EndedRun>>>();
     match (present, ended) {
-        (Some(present), Some(ended)) => {
-            OrderEnd::Done(Look { born: answer.born.map(Born), clock_ms, present, ended })
-        }
+        (Some(present), Some(ended)) => OrderResult::Done(PollResponse {
+            born: answer.born.map(StartTime),
+            clock_ms,
+            present,
+            ended,
+        }),
         _ => {
             log::warn!("worker {}: hold: the answer has an invalid run", to.worker);
-            OrderEnd::Unknown
+            OrderResult::Unknown
         }
     }
 }
 
-fn present(wire: WirePresentRun) -> Option<Present> {
+fn present(wire: WirePresentRun) -> Option<PresentRun> {
     let (task, run, saved, percent, gauge) = match wire {
         WirePresentRun::Gauged(task, run, saved, percent, gauge) => {
             (task, run, saved, percent, gauge)
@@ -286,19 +291,19 @@
         WirePresentRun::Plain(task, run, saved, percent) => (task, run, saved, percent, 0.0),
     };
     let (percent, gauge) = (percent as u32, gauge as u64);
-    Some(Present { task: task.parse().ok()?, run, saved, percent, gauge })
+    Some(PresentRun { task: task.parse().ok()?, run, checkpoint: saved, percent, gauge })
 }
 
-fn ended(wire: WireEndedRun) -> Option<Ended> {
+fn ended(wire: WireEndedRun) -> Option<EndedRun> {
     let WireEndedRun(number, task, run, how, saved) = wire;
     let how = match how.as_str() {
-        "done" => HowEnded::Done,
-        "failed" => HowEnded::Failed,
-        "stopped" => HowEnded::Stopped,
-        "lapsed" => HowEnded::Lapsed,
-        "broken" => HowEnded::Broken,
-        "alone" => HowEnded::Alone,
+        "done" => RunOutcome::Done,
+        "failed" => RunOutcome::Failed,
+        "stopped" => RunOutcome::Stopped,
+        "lapsed" => RunOutcome::Lapsed,
+        "broken" => RunOutcome::GangBroken,
+        "alone" => RunOutcome::GangIncomplete,
         _ => return None,
     };
-    Some(Ended { number, task: task.parse().ok()?, run, how, saved })
+    Some(EndedRun { number, task: task.parse().ok()?, run, how, checkpoint: saved })
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -12,7 +12,7 @@
 use futures_util::{future::BoxFuture, stream::BoxStream};
 use serde::{Deserialize, Serialize};
 
-use crate::model::{record::CLAIMS, unit::Revision};
+use crate::model::{record::CLAIMS_PREFIX, unit::Revision};
 
 /// A lease of the store.
 pub(crate) type LeaseId = i64;
@@ -79,7 +79,7 @@
     /// The priority of the call, or `None` if it does not count as a write.
     fn priority(&self) -> Option<Priority> {
         match self {
-            Call::Swap { key, .. } if key.starts_with(CLAIMS) => Some(Priority::Claims),
+            Call::Swap { key, .. } if key.starts_with(CLAIMS_PREFIX) => Some(Priority::Claims),
             Call::Swap { lease: None, .. } => Some(Priority::Control),
             Call::Swap { .. } | Call::Grant { .. } | Call::Revoke { .. } => {
                 Some(Priority::Registration)
--- a/src/platform/tests/silence.rs
+++ b/src/platform/tests/silence.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::{
-    model::{order::Addressee, unit::Revision, worker::OrderEnd},
+    model::{order::Addressee, unit::Revision, worker::OrderResult},
     platform::{kv::Kv, machines::Machines, runner::Runners},
 };
 
@@ -130,12 +130,12 @@
     let task = "00e0f5a2b4c6d801.0.0.0".parse().unwrap();
     let calls = (0..OPEN_CONNECTIONS).map(|_| runners.stop(&to, task, 1));
     for end in futures_util::future::join_all(calls).await {
-        assert_eq!(end, OrderEnd::Done(5));
+        assert_eq!(end, OrderResult::Done(5));
     }
     server.stop_responding();
     let timed_out = server.run_until_timeout(runners.stop(&to, task, 1)).await;
-    assert_eq!(timed_out, OrderEnd::Unknown, "the call on the old connection times out");
-    assert_eq!(runners.stop(&to, task, 1).await, OrderEnd::Done(5));
+    assert_eq!(timed_out, OrderResult::Unknown, "the call on the old connection times out");
+    assert_eq!(runners.stop(&to, task, 1).await, OrderResult::Done(5));
 }
 
 #[tokio::test]
--- a/src/platform/tests/sockets.rs
+++ b/src/platform/tests/sockets.rs
@@ -10,7 +10,7 @@
     model::{
         order::{Addressee, Start},
         unit::Revision,
-        worker::OrderEnd,
+        worker::OrderResult,
     },
     platform::{
         kv::{Committed, Kv, Txn},
@@ -53,11 +53,11 @@
     for _ in 0..REPETITIONS {
         let server = ScriptedServer::new(|_| Action::AnswerAndClose(CLOCK)).await;
         let runners = Runners::new();
-        assert_eq!(runners.start(&to(&server.address), &start(1)).await, OrderEnd::Done(5));
+        assert_eq!(runners.start(&to(&server.address), &start(1)).await, OrderResult::Done(5));
         let end = runners.start(&to(&server.address), &start(2)).await;
         match server.count_containing(&run(2)) {
-            0 => assert_eq!(end, OrderEnd::Unknown),
-            1 => assert!(matches!(end, OrderEnd::Done(5) | OrderEnd::Unknown), "{end:?}"),
+            0 => assert_eq!(end, OrderResult::Unknown),
+            1 => assert!(matches!(end, OrderResult::Done(5) | OrderResult::Unknown), "{end:?}"),
             count => panic!("sent {count} times"),
         }
     }
@@ -78,10 +78,10 @@
             let runners = Runners::new();
             for number in 0..before {
                 let first = start(10 + number as u32);
-                assert_eq!(runners.start(&to(&server.address), &first).await, OrderEnd::Done(5));
+                assert_eq!(runners.start(&to(&server.address), &first).await, OrderResult::Done(5));
             }
             let end = runners.start(&to(&server.address), &start(2)).await;
-            assert_eq!(end, OrderEnd::Unknown, "{action:?} after {before}");
+            assert_eq!(end, OrderResult::Unknown, "{action:?} after {before}");
             assert_eq!(server.count_containing(&run(2)), 1, "{action:?} after {before}");
         }
     }
@@ -94,7 +94,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let end = Runners::new().start(&to(&address), &start(2)).await;
-    assert_eq!(end, OrderEnd::Unknown);
+    assert_eq!(end, OrderResult::Unknown);
     let server = ScriptedServer::on(listener, |_| Action::Answer(CLOCK));
     while server.count_containing(&run(2)) == 0 {
         tokio::task::yield_now().await;
@@ -109,7 +109,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
-    assert_eq!(Runners::new().start(&to(&address), &start(2)).await, OrderEnd::Unknown);
+    assert_eq!(Runners::new().start(&to(&address), &start(2)).await, OrderResult::Unknown);
 }
 
 fn connect(address: &str) -> Kv {
@@ -187,7 +187,7 @@
         tokio::spawn(async move { runners.start(&to, &start(number)).await })
     });
     for started in starts.collect::<Vec<_>>() {
-        assert_eq!(started.await.unwrap(), OrderEnd::Done(5));
+        assert_eq!(started.await.unwrap(), OrderResult::Done(5));
     }
     assert!(server.opened() <= 6, "{} connections for {BURST} starts", server.opened());
     assert_eq!(server.count_containing(r#""run":"#), BURST as usize);
--- a/src/preset.rs
+++ b/src/preset.rs
@@ -5,7 +5,7 @@
 use crate::{
     decide::rules::Weights,
     model::{
-        config::{Config, Domain, Pool, Resources, Service, Team},
+        config::{Config, FailureDomain, Pool, Resources, Service, Team},
         request::Class,
         unit::{Megabytes, Millicores, PerSecond},
     },
@@ -113,7 +113,7 @@
             tasks: 10,
             need: TASK,
             max_down: 3,
-            survive: Domain::Rack,
+            survive: FailureDomain::Rack,
             slots: 8,
             connections: 64,
             once: *once,
@@ -152,7 +152,7 @@
                 tasks: (count * 7 / 10).max(2),
                 need: TASK,
                 max_down: (count * 7 / 10 * 3 / 10).max(1),
-                survive: Domain::Rack,
+                survive: FailureDomain::Rack,
                 slots: 8,
                 connections: 64,
                 once: index != 0,
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -120,14 +120,14 @@
     /// Evaluates each step of a job.
     fn new(at: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> JobDemand {
         let record = &*at.value;
-        let due = (0..record.times())
+        let due = (0..record.occurrences())
             .take_while(|occurrence| record.due(*occurrence) <= wall)
             .count() as u32;
         let mut demand = JobDemand {
             record: at.revision,
             progress: job.progress.as_ref().map(|at| at.revision),
             from: due.checked_sub(1).map_or(Time::default(), |last| record.due(last)),
-            until: match due < record.times() {
+            until: match due < record.occurrences() {
                 true => record.due(due),
                 false => Time::from_millis(u64::MAX),
             },
@@ -168,10 +168,10 @@
                 if !ready {
                     continue;
                 }
-                self.finite |= !step.lasting && left != 0;
+                self.finite |= !step.long_running && left != 0;
                 self.cpu += u64::from(left) * u64::from(step.charge().cpu.0);
-                if step.apart != 0 && step.lasting {
-                    self.spread = self.spread.max(left.div_ceil(step.apart) as usize);
+                if step.max_per_worker != 0 && step.long_running {
+                    self.spread = self.spread.max(left.div_ceil(step.max_per_worker) as usize);
                 }
             }
         }
@@ -188,13 +188,13 @@
 
     fn add_to(&self, demand: &mut Demand, wall: Time) {
         match self.late_after.is_some_and(|after| after < wall) {
-            true => demand.late += self.cpu,
+            true => demand.late_cpu += self.cpu,
             false => demand.cpu += self.cpu,
         }
         demand.spread = demand.spread.max(self.spread);
-        demand.ends |= self.finite;
+        demand.finite |= self.finite;
         if wall.since(self.accepted) < ARRIVAL_WINDOW {
-            demand.arriving += self.arriving;
+            demand.arriving_cpu += self.arriving;
             demand.arrivals += 1;
         }
     }
@@ -202,7 +202,7 @@
 
 /// Processor time needed to do the work of a recent job within [`ARRIVAL_WINDOW`], in millicores.
 fn arriving(record: &JobRecord) -> u64 {
-    let finite = record.steps.iter().filter(|step| !step.lasting);
+    let finite = record.steps.iter().filter(|step| !step.long_running);
     let work = finite.map(|step| {
         let cpu = u64::from(step.count) * u64::from(step.charge().cpu.0);
         cpu * step.estimate_ms / ARRIVAL_WINDOW.as_millis() as u64
@@ -213,11 +213,11 @@
 /// The time after which a job with so much work left cannot end in time, by what its caller
 /// declared.
 fn late_after(record: &JobRecord, left_ms: u64) -> Option<Time> {
-    if record.is_lasting() || record.times() != 1 {
+    if record.is_long_running() || record.occurrences() != 1 {
         return None;
     }
     let chain: u64 = record.steps.iter().map(|step| step.estimate_ms).sum();
-    let objective = chain * u64::from(record.stretch) / 100 + record.target_ms;
+    let objective = chain * u64::from(record.stretch_percent) / 100 + record.target_ms;
     let certain = left_ms * CERTAIN_PERCENT / 100;
     Some(match objective.checked_sub(certain) {
         Some(spare) => record.due(0) + Duration::from_millis(spare),
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -3,7 +3,7 @@
 use super::wire::Answer;
 use crate::{
     jobs::event::{Effect, Event},
-    model::{unit::Steady, worker::OrderEnd},
+    model::{unit::Steady, worker::OrderResult},
     platform::runner::Runners,
 };
 
@@ -13,13 +13,13 @@
     match effect {
         Effect::Start { to, start } => Answer::End(runners.start(to, start).await),
         Effect::Stop { to, task, run } => Answer::End(runners.stop(to, *task, *run).await),
-        Effect::Pace { to, task, run, percent } => {
+        Effect::Throttle { to, task, run, percent } => {
             Answer::End(runners.pace(to, *task, *run, *percent).await)
         }
-        Effect::Look { to, acknowledged, until_ms, wait } => {
+        Effect::Poll { to, acknowledged, until_ms, wait } => {
             Answer::Look(runners.look(to, *acknowledged, *until_ms, *wait).await)
         }
-        Effect::Advise { .. } => Answer::End(OrderEnd::Unsent),
+        Effect::Advise { .. } => Answer::End(OrderResult::Unsent),
     }
 }
 
@@ -27,7 +27,7 @@
 pub(crate) fn event(effect: Effect, sent: Steady, answer: Answer) -> Option<Event> {
     let result = |answer| match answer {
         Answer::End(end) => end,
-        Answer::Look(_) => OrderEnd::Unknown,
+        Answer::Look(_) => OrderResult::Unknown,
     };
     Some(match effect {
         Effect::Start { to, start } => Event::Started {
@@ -39,19 +39,19 @@
         Effect::Stop { to, task, run } => {
             Event::Stopped { worker: to.worker, task, run, end: result(answer) }
         }
-        Effect::Pace { to, task, percent, .. } => {
-            Event::Paced { worker: to.worker, task, percent, end: result(answer) }
+        Effect::Throttle { to, task, percent, .. } => {
+            Event::Throttled { worker: to.worker, task, percent, end: result(answer) }
         }
-        Effect::Look { to, .. } => {
+        Effect::Poll { to, .. } => {
             let end = match answer {
                 Answer::Look(end) => end,
-                Answer::End(OrderEnd::Refused { why, clock_ms }) => {
-                    OrderEnd::Refused { why, clock_ms }
+                Answer::End(OrderResult::Refused { why, clock_ms }) => {
+                    OrderResult::Refused { why, clock_ms }
                 }
-                Answer::End(OrderEnd::Unsent) => OrderEnd::Unsent,
-                Answer::End(OrderEnd::Done(_) | OrderEnd::Unknown) => OrderEnd::Unknown,
+                Answer::End(OrderResult::Unsent) => OrderResult::Unsent,
+                Answer::End(OrderResult::Done(_) | OrderResult::Unknown) => OrderResult::Unknown,
             };
-            Event::Looked { worker: to.worker, sent, end }
+            Event::Polled { worker: to.worker, sent, end }
         }
         Effect::Advise { .. } => return None,
     })
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -26,7 +26,7 @@
 };
 use crate::{
     jobs::event::{Effect, Event},
-    model::{unit::Steady, worker::OrderEnd},
+    model::{unit::Steady, worker::OrderResult},
     platform::runner::{LOOK_SLACK, ORDER_LIMIT},
 };
 
@@ -64,7 +64,7 @@
 
 impl Outgoing {
     fn finish(self, answer: Answer) {
-        let unanswered = answer == Answer::End(OrderEnd::Unknown);
+        let unanswered = answer == Answer::End(OrderResult::Unknown);
         let Outgoing { effect, sent, tell, .. } = self;
         if let Some(event) = event(effect, sent, answer) {
             tell(event, unanswered);
@@ -74,13 +74,13 @@
     /// Ends it without an answer of the delegate, which may have carried it out. For a poll it
     /// matters only that no answer came, so it counts as unsent.
     fn give_up(self) {
-        let is_poll = matches!(self.effect, Effect::Look { .. });
-        self.finish(Answer::End(if is_poll { OrderEnd::Unsent } else { OrderEnd::Unknown }));
+        let is_poll = matches!(self.effect, Effect::Poll { .. });
+        self.finish(Answer::End(if is_poll { OrderResult::Unsent } else { OrderResult::Unknown }));
     }
 
     fn time_limit(&self) -> Duration {
         let call = match &self.effect {
-            Effect::Look { wait, .. } => *wait + LOOK_SLACK,
+            Effect::Poll { wait, .. } => *wait + LOOK_SLACK,
             _ => ORDER_LIMIT,
         };
         call + DELEGATE_SLACK
@@ -109,7 +109,7 @@
     pub(crate) fn send(&mut self, address: SocketAddr, orders: Vec<Outgoing>) {
         let link = self.links.entry(address).or_insert_with(|| open(address));
         if let Err(unsent) = link.orders.send(orders) {
-            unsent.0.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
+            unsent.0.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
         }
     }
 
@@ -144,7 +144,7 @@
                 }
             }
             Err(error) => {
-                first.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
+                first.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
                 error
             }
         };
@@ -157,7 +157,7 @@
                 () = &mut backoff => break,
                 more = orders.recv() => {
                     let Some(more) = more else { return };
-                    more.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
+                    more.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
                 }
             }
         }
@@ -242,7 +242,7 @@
     fn encode(&mut self, batch: Vec<Outgoing>) -> eyre::Result<Vec<u8>> {
         let now = Instant::now();
         let (batch, expired): (Vec<_>, Vec<_>) = batch.into_iter().partition(|one| (one.may_go)());
-        expired.into_iter().for_each(|order| order.finish(Answer::End(OrderEnd::Unsent)));
+        expired.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
         if self.pending.is_empty() {
             self.last_received = now;
         }
--- a/src/scheduler/dispatch/wire.rs
+++ b/src/scheduler/dispatch/wire.rs
@@ -9,10 +9,10 @@
 use crate::{
     jobs::event::Effect,
     model::{
-        id::{Born, Incarnation},
+        id::{Incarnation, StartTime},
         job::{JobId, StepId, TaskId},
         order::{Addressee, Start},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, Refusal},
+        worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
 };
 
@@ -67,7 +67,7 @@
     /// For polls whose answer has it, the start time of the incarnation that answered: order,
     /// start.
     #[serde(rename = "b", default)]
-    pub(crate) born: Vec<(u32, Born)>,
+    pub(crate) born: Vec<(u32, StartTime)>,
 }
 
 /// Order, result (see [`refusal_code`]), the worker's clock if the answer had it.
@@ -98,9 +98,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Answer {
     /// Of a start, a stop or a throttle.
-    End(OrderEnd<u64>),
+    End(OrderResult<u64>),
     /// Of a poll.
-    Look(OrderEnd<Look>),
+    Look(OrderResult<PollResponse>),
 }
 
 /// Assigns numbers to workers, on the sending side.
@@ -163,11 +163,11 @@
                 let worker = numbering.number(to, &mut batch);
                 batch.stops.push(StopRow(number, worker, (*task).into(), *run));
             }
-            Effect::Pace { to, task, run, percent } => {
+            Effect::Throttle { to, task, run, percent } => {
                 let worker = numbering.number(to, &mut batch);
                 batch.throttles.push(ThrottleRow(number, worker, (*task).into(), *run, *percent));
             }
-            Effect::Look { to, acknowledged, until_ms, wait } => {
+            Effect::Poll { to, acknowledged, until_ms, wait } => {
                 let worker = numbering.number(to, &mut batch);
                 let wait = wait.as_millis() as u64;
                 batch.looks.push(PollRow(number, worker, *acknowledged, *until_ms, wait));
@@ -208,12 +208,13 @@
         orders.extend(stop.map(|effect| Order { number, effect }));
     }
     for ThrottleRow(number, worker, task, run, percent) in batch.throttles {
-        let throttle = known(worker).map(|to| Effect::Pace { to, task: task.into(), run, percent });
+        let throttle =
+            known(worker).map(|to| Effect::Throttle { to, task: task.into(), run, percent });
         orders.extend(throttle.map(|effect| Order { number, effect }));
     }
     for PollRow(number, worker, acknowledged, until_ms, wait) in batch.looks {
         let wait = Duration::from_millis(wait);
-        let poll = known(worker).map(|to| Effect::Look { to, acknowledged, until_ms, wait });
+        let poll = known(worker).map(|to| Effect::Poll { to, acknowledged, until_ms, wait });
         orders.extend(poll.map(|effect| Order { number, effect }));
     }
     orders
@@ -222,32 +223,32 @@
 /// Adds the result of an order to the next message.
 pub(crate) fn add_answer(answers: &mut Answers, number: u32, answer: Answer) {
     match answer {
-        Answer::Look(OrderEnd::Done(poll)) => {
+        Answer::Look(OrderResult::Done(poll)) => {
             let present = poll.present.into_iter().map(|present| {
-                let Present { task, run, saved, percent, gauge } = present;
+                let PresentRun { task, run, checkpoint: saved, percent, gauge } = present;
                 PresentRow(task.into(), run, saved, percent, gauge)
             });
             let ended = poll.ended.into_iter().map(|ended| {
-                let Ended { number, task, run, how, saved } = ended;
+                let EndedRun { number, task, run, how, checkpoint: saved } = ended;
                 EndedRow(number, task.into(), run, outcome_code(how), saved)
             });
             let (present, ended) = (present.collect(), ended.collect());
             answers.born.extend(poll.born.map(|born| (number, born)));
             answers.found.push(PollResultRow(number, poll.clock_ms, present, ended));
         }
-        Answer::Look(OrderEnd::Refused { why, clock_ms }) => {
+        Answer::Look(OrderResult::Refused { why, clock_ms }) => {
             answers.ends.push(OrderResultRow(number, refusal_code(why), clock_ms));
         }
-        Answer::Look(OrderEnd::Unknown) | Answer::End(OrderEnd::Unknown) => {
+        Answer::Look(OrderResult::Unknown) | Answer::End(OrderResult::Unknown) => {
             answers.ends.push(OrderResultRow(number, UNKNOWN, None));
         }
-        Answer::Look(OrderEnd::Unsent) | Answer::End(OrderEnd::Unsent) => {
+        Answer::Look(OrderResult::Unsent) | Answer::End(OrderResult::Unsent) => {
             answers.ends.push(OrderResultRow(number, UNSENT, None));
         }
-        Answer::End(OrderEnd::Done(clock_ms)) => {
+        Answer::End(OrderResult::Done(clock_ms)) => {
             answers.ends.push(OrderResultRow(number, DONE, Some(clock_ms)));
         }
-        Answer::End(OrderEnd::Refused { why, clock_ms }) => {
+        Answer::End(OrderResult::Refused { why, clock_ms }) => {
             answers.ends.push(OrderResultRow(number, refusal_code(why), clock_ms));
         }
     }
@@ -257,36 +258,41 @@
 pub(crate) fn read_answers(answers: Answers) -> Vec<(u32, Answer)> {
     let ends = answers.ends.into_iter().map(|OrderResultRow(number, code, clock_ms)| {
         let end = match code {
-            DONE => OrderEnd::Done(clock_ms.unwrap_or(0)),
-            UNSENT => OrderEnd::Unsent,
+            DONE => OrderResult::Done(clock_ms.unwrap_or(0)),
+            UNSENT => OrderResult::Unsent,
             _ => match refusal(code) {
-                Some(why) => OrderEnd::Refused { why, clock_ms },
-                None => OrderEnd::Unknown,
+                Some(why) => OrderResult::Refused { why, clock_ms },
+                None => OrderResult::Unknown,
             },
         };
         (number, Answer::End(end))
     });
-    let start_times: HashMap<u32, Born> = answers.born.into_iter().collect();
+    let start_times: HashMap<u32, StartTime> = answers.born.into_iter().collect();
     let found =
         answers.found.into_iter().map(move |PollResultRow(number, clock_ms, present, ended)| {
             let born = start_times.get(&number).copied();
             let present =
-                present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| Present {
-                    task: task.into(),
-                    run,
-                    saved,
-                    percent,
-                    gauge,
+                present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| {
+                    PresentRun { task: task.into(), run, checkpoint: saved, percent, gauge }
                 });
             let ended = ended.into_iter().map(|EndedRow(number, task, run, how, saved)| {
-                Some(Ended { number, task: task.into(), run, how: outcome_of(how)?, saved })
+                Some(EndedRun {
+                    number,
+                    task: task.into(),
+                    run,
+                    how: outcome_of(how)?,
+                    checkpoint: saved,
+                })
             });
             // A run whose end is missing would count as lost.
-            let end = match ended.collect::<Option<Vec<Ended>>>() {
-                Some(ended) => {
-                    OrderEnd::Done(Look { born, clock_ms, present: present.collect(), ended })
-                }
-                None => OrderEnd::Unknown,
+            let end = match ended.collect::<Option<Vec<EndedRun>>>() {
+                Some(ended) => OrderResult::Done(PollResponse {
+                    born,
+                    clock_ms,
+                    present: present.collect(),
+                    ended,
+                }),
+                None => OrderResult::Unknown,
             };
             (number, Answer::Look(end))
         });
@@ -295,14 +301,14 @@
 
 impl From<TaskId> for TaskRow {
     fn from(task: TaskId) -> TaskRow {
-        let StepId { job, time, step } = task.of;
+        let StepId { job, occurrence: time, step } = task.of;
         TaskRow(job.number(), time, step, task.index)
     }
 }
 
 impl From<TaskRow> for TaskId {
     fn from(TaskRow(job, time, step, index): TaskRow) -> TaskId {
-        TaskId { of: StepId { job: JobId::from_number(job), time, step }, index }
+        TaskId { of: StepId { job: JobId::from_number(job), occurrence: time, step }, index }
     }
 }
 
@@ -323,13 +329,13 @@
 ];
 
 /// Outcomes of runs: the code of each is its index here.
-const OUTCOMES: [HowEnded; 6] = [
-    HowEnded::Done,
-    HowEnded::Failed,
-    HowEnded::Stopped,
-    HowEnded::Lapsed,
-    HowEnded::Broken,
-    HowEnded::Alone,
+const OUTCOMES: [RunOutcome; 6] = [
+    RunOutcome::Done,
+    RunOutcome::Failed,
+    RunOutcome::Stopped,
+    RunOutcome::Lapsed,
+    RunOutcome::GangBroken,
+    RunOutcome::GangIncomplete,
 ];
 
 fn refusal_code(reason: Refusal) -> u8 {
@@ -341,11 +347,11 @@
     REFUSALS.get(usize::from(code.checked_sub(UNSENT + 1)?)).copied()
 }
 
-fn outcome_code(outcome: HowEnded) -> u8 {
+fn outcome_code(outcome: RunOutcome) -> u8 {
     OUTCOMES.iter().position(|known| *known == outcome).map_or(u8::MAX, |index| index as u8)
 }
 
-fn outcome_of(code: u8) -> Option<HowEnded> {
+fn outcome_of(code: u8) -> Option<RunOutcome> {
     let outcome = OUTCOMES.get(usize::from(code)).copied();
     if outcome.is_none() {
         log::error!("orders: unknown code {code} for the outcome of a run");
--- a/src/scheduler/drive.rs
+++ b/src/scheduler/drive.rs
@@ -29,9 +29,9 @@
 use crate::{
     jobs::{
         event::Event,
-        fleet::Fleet,
-        helpers::Helpers,
-        owner::{Emptied, HostUsage, Owner},
+        fleet::FleetOwner,
+        helpers::Delegates,
+        owner::{DrainedHost, HostUsage, Owner},
     },
     model::{
         id::{HostId, Incarnation, PoolId},
@@ -51,7 +51,7 @@
 };
 
 use behind::StaleView;
-pub(crate) use input::{Input, OverwriteResult, ProgressResult, Won};
+pub(crate) use input::{Input, OverwriteResult, Ownership, ProgressResult};
 use word::ReportState;
 
 /// Interval between iterations when there is no input.
@@ -82,7 +82,7 @@
     owner: Owner,
     tenure: Tenure,
     /// Nodes that make the calls to its workers.
-    delegates: Helpers,
+    delegates: Delegates,
     /// Counts of its orders to workers.
     order_counts: Arc<tally::OrderCounts>,
     /// Ends the owner's own watch when dropped.
@@ -92,7 +92,7 @@
     /// Earliest time of the next progress write.
     next_progress: Steady,
     /// Hosts published as drained.
-    published_drained: BTreeMap<HostId, (Emptied, Steady)>,
+    published_drained: BTreeMap<HostId, (DrainedHost, Steady)>,
     /// Whether a roster write is in flight.
     roster_pending: bool,
     /// Earliest time of the next roster write.
@@ -115,7 +115,7 @@
 
 /// The fleet's work (all pools together), if this node owns it.
 pub(super) struct OwnedFleet {
-    pub(super) fleet: Fleet,
+    pub(super) fleet: FleetOwner,
     pub(super) tenure: Tenure,
     /// Wave records as last written by this owner.
     pub(super) waves: BTreeMap<u64, At<WaveRecord>>,
@@ -131,7 +131,7 @@
 }
 
 /// State of the control loop.
-pub(crate) struct Drive {
+pub(crate) struct ControlLoop {
     pub(super) node: Arc<Node>,
     pub(super) lease: Arc<Lease>,
     instance_id: u64,
@@ -154,28 +154,28 @@
     next_summary: Steady,
     pub(super) machines: Machines,
     /// Ownerships that were won but are not in the view yet, by name.
-    won: BTreeMap<String, Won>,
+    won: BTreeMap<String, Ownership>,
     vacant: BTreeMap<String, Vacancy>,
     /// Earliest time at which a pool may be released for balance.
     next_rebalance: Steady,
     stale_view: StaleView,
-    pub(super) to: mpsc::UnboundedSender<Input>,
+    pub(super) inputs: mpsc::UnboundedSender<Input>,
     shutting_down: bool,
 }
 
-impl Drive {
+impl ControlLoop {
     /// Creates the control loop of a node.
     pub(crate) fn new(
         node: Arc<Node>,
         lease: Arc<Lease>,
         runners: Runners,
         sender: mpsc::UnboundedSender<Input>,
-    ) -> Drive {
+    ) -> ControlLoop {
         let hosts = node.settings.platform.hosts.to_string();
         let machines = Machines::new(&hosts, node.settings.node.clone());
         let adviser = node.settings.platform.advice;
         let adviser = adviser.map(|address| Adviser::new(&address.to_string()));
-        Drive {
+        ControlLoop {
             node,
             lease,
             instance_id: rand::random(),
@@ -198,7 +198,7 @@
             vacant: BTreeMap::new(),
             next_rebalance: Steady::default(),
             stale_view: StaleView::default(),
-            to: sender,
+            inputs: sender,
             shutting_down: false,
         }
     }
@@ -212,7 +212,7 @@
             tokio::select! {
                 input = receiver.recv() => {
                     let Some(input) = input else { return };
-                    self.take(input);
+                    self.handle(input);
                 }
                 _ = tick.tick() => {}
             }
@@ -221,10 +221,10 @@
                 sleep(remaining).await;
             }
             while let Ok(more) = receiver.try_recv() {
-                self.take(more);
+                self.handle(more);
             }
             let began = Instant::now();
-            self.step();
+            self.tick();
             self.flush_outbox();
             last_tick = Instant::now();
             pause = pause_after(last_tick - began);
@@ -232,7 +232,7 @@
     }
 
     /// Handles an input.
-    pub(crate) fn take(&mut self, input: Input) {
+    pub(crate) fn handle(&mut self, input: Input) {
         let now = self.node.now();
         self.drop_expired(now.steady);
         match input {
@@ -251,7 +251,7 @@
                     self.execute(&name, token, out);
                 }
             }
-            Input::Reached { name, won } => self.note_acquire_result(name, won, now),
+            Input::Acquired { name, won } => self.note_acquire_result(name, won, now),
             Input::ProgressWritten { name, token, writes, result } => {
                 self.note_progress_written(&name, token, &writes, result, now)
             }
@@ -261,7 +261,7 @@
             Input::ReportWritten { name, token, counts, sent, result } => {
                 self.note_report_written(&name, token, (counts, sent), &result, now);
             }
-            Input::Followed { name, token, asked, at } => {
+            Input::WatchAnswered { name, token, asked, at } => {
                 if let Some(owned) = self.owned_under(&name, token) {
                     owned.waiting_report.note_jobs(asked, at);
                 }
@@ -271,19 +271,19 @@
             }
             Input::HostList { token, sent, hosts } => {
                 if let Some(fleet) = self.fleet_under(token) {
-                    fleet.heard_list(sent, hosts);
+                    fleet.update_hosts(sent, hosts);
                 }
             }
             Input::HostCalled { token, host, leave, end } => {
                 if let Some(fleet) = self.fleet_under(token) {
-                    fleet.called(&host, leave, end, now.steady);
+                    fleet.note_call_result(&host, leave, end, now.steady);
                 }
             }
             Input::FleetWritten { token, ends, wave } => {
                 self.fleet_written(token, &ends, wave, now);
             }
             Input::DelegateFailed(worker) => self.note_delegate_failure(worker, now.steady),
-            Input::Leave => self.release_all(),
+            Input::Shutdown => self.release_all(),
         }
     }
 
@@ -303,7 +303,7 @@
     }
 
     /// Runs one iteration.
-    pub(crate) fn step(&mut self) {
+    pub(crate) fn tick(&mut self) {
         let now = self.node.now();
         self.drop_expired(now.steady);
         let view = self.node.view();
@@ -329,7 +329,7 @@
             let token = owned.owner.token;
             let mut out = Vec::new();
             owned.owner.set_confirmed(owned.tenure.confirmed());
-            owned.owner.work(now, &mut out);
+            owned.owner.tick(now, &mut out);
             if owned.owner.is_deposed() {
                 log::warn!("owner {name}: a worker reports a later owner than token {token}");
                 self.owned.remove(&name);
@@ -337,7 +337,7 @@
             }
             let counts = owned.owner.take_counts();
             self.node.metrics.counted(&counts);
-            owned.order_counts.note_resent(counts.again);
+            owned.order_counts.note_resent(counts.resent_orders);
             self.execute(&name, token, out);
             self.persist_progress(&name, now);
             self.persist_roster(&name, now);
@@ -361,8 +361,9 @@
         self.next_summary = now.steady.after(SUMMARY_MS);
         for (name, owned) in &self.owned {
             let summary = owned.owner.summary();
-            let (used, capacity) = (summary.used / 1000, summary.room / 1000);
-            let (held_back, orders) = (owned.owner.held(now), owned.order_counts.take_summary());
+            let (used, capacity) = (summary.used / 1000, summary.capacity / 1000);
+            let (held_back, orders) =
+                (owned.owner.held_back(now), owned.order_counts.take_summary());
             log::info!(
                 "owner {name}: {} jobs, {} tasks waiting, {used} of {capacity} cores used, \
                  {} of {} workers respond; {} workers available, {} not polled yet, \
@@ -370,10 +371,10 @@
                  {} refused, {} unanswered",
                 summary.jobs,
                 summary.waiting,
-                summary.touched,
+                summary.responding,
                 summary.workers,
-                held_back.takers,
-                held_back.unasked,
+                held_back.available,
+                held_back.unpolled,
                 held_back.tasks,
                 orders.pending,
                 orders.own,
@@ -395,7 +396,7 @@
             .collect();
         drop(view);
         for name in visible {
-            let Some(Won { token, earlier_owners, tenure }) = self.won.remove(&name) else {
+            let Some(Ownership { token, earlier_owners, tenure }) = self.won.remove(&name) else {
                 continue;
             };
             if !self.node.view().owns(&name, token) || self.shutting_down {
@@ -403,12 +404,12 @@
             }
             if name == keys::FLEET {
                 self.log_takeover(&name, token, earlier_owners, now);
-                let fleet = Fleet::new(token, self.node.settings.sizing, now.steady);
+                let fleet = FleetOwner::new(token, self.node.settings.sizing, now.steady);
                 let (waves, demands) = (BTreeMap::new(), Demands::default());
                 self.fleet = Some(OwnedFleet { fleet, tenure, waves, demands });
             } else if let Some(pool) = name.strip_prefix("pool-").and_then(|pool| pool.parse().ok())
             {
-                self.take_over_pool(&name, pool, Won { token, earlier_owners, tenure }, now);
+                self.take_over_pool(&name, pool, Ownership { token, earlier_owners, tenure }, now);
             }
         }
     }
@@ -421,8 +422,8 @@
         );
     }
 
-    fn take_over_pool(&mut self, name: &str, pool: PoolId, won: Won, now: Now) {
-        let Won { token, earlier_owners, tenure } = won;
+    fn take_over_pool(&mut self, name: &str, pool: PoolId, won: Ownership, now: Now) {
+        let Ownership { token, earlier_owners, tenure } = won;
         let mut owner = Owner::new(token, earlier_owners, now.steady);
         let view = self.node.view();
         let mut out = Vec::new();
@@ -442,20 +443,20 @@
         owner.inherit(roster, &silent, now, &mut out);
         let in_other_pools = view.workers.values().filter(|at| at.value.pool != pool);
         for at in in_other_pools {
-            owner.handle(Event::Elsewhere(at.value.clone()), now, &mut out);
+            owner.handle(Event::OtherPool(at.value.clone()), now, &mut out);
         }
         for (_, report) in workers {
             owner.handle(Event::Worker(report), now, &mut out);
         }
         for id in view.barred.keys() {
-            owner.handle(Event::Barred(id.clone()), now, &mut out);
+            owner.handle(Event::InvalidEntry(id.clone()), now, &mut out);
         }
         for (id, known) in &view.jobs {
             if let Some(stored) = known.stored(*id).filter(|stored| stored.record.pool == pool) {
                 owner.handle(Event::Job(stored), now, &mut out);
             }
         }
-        owner.set_emptying(news::drain_marks(&view, &pool));
+        owner.set_draining(news::drain_marks(&view, &pool));
         // The owner has received all jobs up to its token, and the write that won the token was
         // sent at the time returned by `confirmed`.
         let report_revision = view.queued.get(name).map(|at| at.revision).unwrap_or_default();
@@ -463,12 +464,12 @@
         drop(view);
         self.log_takeover(name, token, earlier_owners, now);
         let stop_watch = CancellationToken::new();
-        mirror::follow(&self.node, name, token, stop_watch.clone(), &self.to);
+        mirror::follow(&self.node, name, token, stop_watch.clone(), &self.inputs);
         let owned = OwnedPool {
             pool,
             owner,
             tenure,
-            delegates: Helpers::default(),
+            delegates: Delegates::default(),
             order_counts: Arc::default(),
             _watch_guard: stop_watch.drop_guard(),
             pending_writes: 0,
--- a/src/scheduler/drive/behind.rs
+++ b/src/scheduler/drive/behind.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Drive, SUMMARY_MS};
+use super::{ControlLoop, SUMMARY_MS};
 use crate::{
     model::unit::{Now, Steady},
     platform::records::OPERATOR_PREFIX,
@@ -38,7 +38,7 @@
     next_release: Steady,
 }
 
-impl Drive {
+impl ControlLoop {
     /// Whether the records are older than a node may use for counts and plans.
     pub(super) fn has_stale_view(&self, now: Now) -> bool {
         !self.node.view().ages.is_within(ROOT, RECORDS_MS, now.steady)
--- a/src/scheduler/drive/input.rs
+++ b/src/scheduler/drive/input.rs
@@ -4,9 +4,9 @@
 
 use crate::{
     jobs::{
-        event::{Event, Save},
-        fleet::{CallEnd, FleetEffect, Leave, WriteEnd},
-        roster::RosterNote,
+        event::{Event, ProgressWrite},
+        fleet::{CallResult, FleetEffect, HostAction, WriteResult},
+        roster::RosterWrite,
     },
     model::{
         id::{HostId, Incarnation},
@@ -31,22 +31,22 @@
         event: Box<Event>,
     },
     /// Result of an attempt to acquire ownership.
-    Reached {
+    Acquired {
         name: String,
-        won: Option<Won>,
+        won: Option<Ownership>,
     },
     /// Result of a write of progress.
     ProgressWritten {
         name: String,
         token: u64,
-        writes: Vec<Save>,
+        writes: Vec<ProgressWrite>,
         result: ProgressResult,
     },
     /// Result of a write of the roster.
     RosterWritten {
         name: String,
         token: u64,
-        write: RosterNote,
+        write: RosterWrite,
         result: OverwriteResult,
     },
     /// Result of a write of a report on waiting jobs.
@@ -58,7 +58,7 @@
         result: OverwriteResult,
     },
     /// An owner's own watch has returned everything that existed when it was sent.
-    Followed {
+    WatchAnswered {
         name: String,
         token: u64,
         asked: Steady,
@@ -82,33 +82,33 @@
     HostCalled {
         token: u64,
         host: HostId,
-        leave: Leave,
-        end: CallEnd,
+        leave: HostAction,
+        end: CallResult,
     },
     /// Results of writes of the fleet's owner, and the wave record after them.
     FleetWritten {
         token: u64,
-        ends: Vec<(FleetEffect, WriteEnd)>,
+        ends: Vec<(FleetEffect, WriteResult)>,
         wave: Option<(u64, At<WaveRecord>)>,
     },
     /// A worker did not answer its delegate.
     DelegateFailed(Incarnation),
     /// The node is shutting down and has to release everything that it owns.
-    Leave,
+    Shutdown,
 }
 
 /// An ownership that was won.
-pub(crate) struct Won {
+pub(crate) struct Ownership {
     pub(super) token: u64,
     /// Number of earlier owners.
     pub(super) earlier_owners: u32,
     pub(super) tenure: Tenure,
 }
 
-impl Won {
+impl Ownership {
     /// Creates an ownership whose token is the revision of the write that won it.
-    pub(crate) fn new(token: u64, earlier_owners: u32, tenure: Tenure) -> Won {
-        Won { token, earlier_owners, tenure }
+    pub(crate) fn new(token: u64, earlier_owners: u32, tenure: Tenure) -> Ownership {
+        Ownership { token, earlier_owners, tenure }
     }
 }
 
--- a/src/scheduler/drive/keep.rs
+++ b/src/scheduler/drive/keep.rs
@@ -1,8 +1,8 @@
 //! State that an owner persists for later owners: progress and the roster.
 
-use super::{Drive, Input, OverwriteResult, OwnedPool, ProgressResult, json};
+use super::{ControlLoop, Input, OverwriteResult, OwnedPool, ProgressResult, json};
 use crate::{
-    jobs::{event::Save, roster::RosterNote},
+    jobs::{event::ProgressWrite, roster::RosterWrite},
     model::{
         job::JobId,
         unit::{Now, Revision},
@@ -41,7 +41,7 @@
 /// Worker records per transaction, in addition to two conditions and the record of silent workers.
 const ROSTER_BATCH: usize = TXN_ENTRIES - 3;
 
-impl Drive {
+impl ControlLoop {
     /// The pool, if this node still owns it under the given token.
     pub(super) fn owned_under(&mut self, name: &str, token: u64) -> Option<&mut OwnedPool> {
         self.owned.get_mut(name).filter(|owned| owned.owner.token == token)
@@ -57,14 +57,15 @@
         let token = owned.owner.token;
         // Beyond the first write, only full batches are sent: changes close together share a write.
         while owned.pending_writes == 0
-            || owned.pending_writes < MAX_PENDING_WRITES && PROGRESS_BATCH <= owned.owner.unsaved()
+            || owned.pending_writes < MAX_PENDING_WRITES
+                && PROGRESS_BATCH <= owned.owner.unsaved_count()
         {
-            let writes = owned.owner.saves(PROGRESS_BATCH);
+            let writes = owned.owner.take_saves(PROGRESS_BATCH);
             if writes.is_empty() {
                 return;
             }
             owned.pending_writes += 1;
-            let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
+            let (node, inputs, name) = (self.node.clone(), self.inputs.clone(), name.to_owned());
             let tenure = owned.tenure.clone();
             tokio::spawn(async move {
                 let result = commit_progress(&node, &tenure, &name, token, &writes).await;
@@ -77,7 +78,7 @@
         &mut self,
         name: &str,
         token: u64,
-        writes: &[Save],
+        writes: &[ProgressWrite],
         result: ProgressResult,
         now: Now,
     ) {
@@ -88,7 +89,7 @@
         owned.next_progress = now.steady.after(PROGRESS_PAUSE_MS);
         match result {
             ProgressResult::Done(revision) => {
-                for ended in owned.owner.saved(writes, revision) {
+                for ended in owned.owner.note_saved(writes, revision) {
                     self.node.metrics.job_ended(&ended.queue, ended.state, ended.took);
                 }
             }
@@ -96,14 +97,14 @@
                 for (position, revision) in positions {
                     owned.owner.rebase(writes[position].job, revision);
                 }
-                owned.owner.not_saved(writes);
+                owned.owner.note_save_failed(writes);
             }
             ProgressResult::Deposed => {
                 log::warn!("owner {name}: token {token} is over");
                 self.owned.remove(name);
             }
             ProgressResult::Failed => {
-                owned.owner.not_saved(writes);
+                owned.owner.note_save_failed(writes);
                 owned.next_progress = now.steady.after(WRITE_RETRY_MS);
             }
         }
@@ -125,7 +126,7 @@
         };
         owned.roster_pending = true;
         let (token, silent_revision) = (owned.owner.token, owned.silent_revision);
-        let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
+        let (node, inputs, name) = (self.node.clone(), self.inputs.clone(), name.to_owned());
         let tenure = owned.tenure.clone();
         tokio::spawn(async move {
             let result = commit_roster(&node, &tenure, &name, token, silent_revision, &write).await;
@@ -137,7 +138,7 @@
         &mut self,
         name: &str,
         token: u64,
-        write: &RosterNote,
+        write: &RosterWrite,
         result: OverwriteResult,
         now: Now,
     ) {
@@ -145,12 +146,12 @@
             return;
         };
         owned.roster_pending = false;
-        let full = write.changes() == ROSTER_BATCH;
+        let full = write.record_count() == ROSTER_BATCH;
         owned.next_roster = now.steady.after(if full { 0 } else { ROSTER_PAUSE_MS });
         match result {
             OverwriteResult::Kept(revision) => {
                 owned.silent_revision = revision;
-                owned.owner.rostered(write, revision);
+                owned.owner.note_roster_written(write, revision);
             }
             OverwriteResult::Rebase(revision) => owned.silent_revision = revision,
             OverwriteResult::Failed => owned.next_roster = now.steady.after(WRITE_RETRY_MS),
@@ -174,7 +175,7 @@
         let token = owned.owner.token;
         let remove = |txn: Txn, id: &JobId| txn.remove(keys::job(&owned.pool, *id));
         let txn = jobs.iter().fold(Txn::default(), remove);
-        let (node, inputs, name) = (self.node.clone(), self.to.clone(), name.to_owned());
+        let (node, inputs, name) = (self.node.clone(), self.inputs.clone(), name.to_owned());
         tokio::spawn(async move {
             let result = node.kv.commit(&txn).await;
             if let Err(error) = &result {
@@ -205,7 +206,7 @@
         };
         owned.next_removal = now.steady.after(pause);
         if !done {
-            owned.owner.not_removed(jobs);
+            owned.owner.note_removal_failed(jobs);
         }
     }
 }
@@ -218,13 +219,13 @@
     name: &str,
     token: u64,
     silent_revision: Revision,
-    write: &RosterNote,
+    write: &RosterWrite,
 ) -> OverwriteResult {
     let silent_key = keys::away(name);
     let mut txn = Txn::default()
         .expect(keys::owner(name), Revision(token))
         .expect(silent_key.clone(), silent_revision)
-        .put(silent_key.clone(), json(&write.away));
+        .put(silent_key.clone(), json(&write.silent_workers));
     for report in &write.added {
         txn = txn.put(keys::roster(name, &report.id), json(report));
     }
@@ -244,13 +245,13 @@
     tenure: &Tenure,
     name: &str,
     token: u64,
-    writes: &[Save],
+    writes: &[ProgressWrite],
 ) -> ProgressResult {
     let owner_key = keys::owner(name);
     let mut txn = Txn::default().expect(owner_key.clone(), Revision(token));
     for write in writes {
         let key = keys::progress(write.job);
-        txn = txn.expect(key.clone(), write.expects).put(key, write.value.clone());
+        txn = txn.expect(key.clone(), write.expected_revision).put(key, write.value.clone());
     }
     let items = match commit(node, tenure, &txn).await {
         Ok(Committed::Done(revision)) => return ProgressResult::Done(revision),
@@ -269,7 +270,7 @@
     let changed = writes.iter().enumerate().filter_map(|(position, write)| {
         let key = keys::progress(write.job);
         let item = items.iter().find(|item| item.key == key)?;
-        (item.revision != write.expects).then_some((position, item.revision))
+        (item.revision != write.expected_revision).then_some((position, item.revision))
     });
     ProgressResult::Rebase(changed.collect())
 }
--- a/src/scheduler/drive/news.rs
+++ b/src/scheduler/drive/news.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{Drive, OwnedFleet};
+use super::{ControlLoop, OwnedFleet};
 use crate::{
-    jobs::{event::Event, fleet::Leave},
+    jobs::{event::Event, fleet::HostAction},
     model::{
         id::{HostId, PoolId},
         unit::{Now, Revision},
@@ -21,7 +21,7 @@
     pub(super) static MARKS_CHECKED: std::cell::Cell<usize> = const { std::cell::Cell::new(0) };
 }
 
-impl Drive {
+impl ControlLoop {
     /// Delivers a change of the view to the owners that it concerns.
     pub(super) fn handle_delta(&mut self, delta: Delta, now: Now) {
         match delta {
@@ -52,7 +52,7 @@
                 let others: Vec<String> =
                     self.owned.keys().filter(|name| **name != own).cloned().collect();
                 for name in others {
-                    self.deliver(&name, Event::Elsewhere(report.clone()), now);
+                    self.deliver(&name, Event::OtherPool(report.clone()), now);
                 }
                 let owns = self.owned.contains_key(&own);
                 if owns && self.node.view().is_of_another(&own, &report.id) {
@@ -60,7 +60,7 @@
                         "worker {}: not used: it belongs to another pool than {own}",
                         report.id
                     );
-                    return self.deliver(&own, Event::Barred(report.id.worker), now);
+                    return self.deliver(&own, Event::InvalidEntry(report.id.worker), now);
                 }
                 self.deliver(&own, Event::Worker(report), now);
             }
@@ -73,7 +73,7 @@
             Delta::Barred(id) => {
                 let names: Vec<String> = self.owned.keys().cloned().collect();
                 for name in names {
-                    self.deliver(&name, Event::Barred(id.clone()), now);
+                    self.deliver(&name, Event::InvalidEntry(id.clone()), now);
                 }
             }
             Delta::Owner(name) => self.check_owner(&name),
@@ -119,7 +119,7 @@
             let mark = stored_mark
                 .filter(|at| requires_drain(&at.value, &owned.pool))
                 .map(|at| at.revision);
-            owned.owner.set_mark(host, mark);
+            owned.owner.set_drain_mark(host, mark);
             if mark.is_none() {
                 owned.published_drained.remove(host);
             }
@@ -129,10 +129,10 @@
 
 /// Whether the pool's owner has to drain a host with this mark. A host marked to move into this
 /// pool has already arrived.
-fn requires_drain(mark: &Leave, pool: &PoolId) -> bool {
+fn requires_drain(mark: &HostAction, pool: &PoolId) -> bool {
     #[cfg(test)]
     MARKS_CHECKED.set(MARKS_CHECKED.get() + 1);
-    !matches!(mark, Leave::Move(to) if to == pool)
+    !matches!(mark, HostAction::Move(to) if to == pool)
 }
 
 /// The hosts that the pool's owner has to drain, by the revisions of their marks.
--- a/src/scheduler/drive/orders.rs
+++ b/src/scheduler/drive/orders.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Instant};
 
 use super::{
-    Drive, Input,
+    ControlLoop, Input,
     tally::{CallingNode, PendingOrder},
 };
 use crate::{
@@ -11,7 +11,7 @@
         event::{Effect, Event},
         helpers,
     },
-    model::{id::Incarnation, order::Advised, unit::Steady, worker::OrderEnd},
+    model::{id::Incarnation, order::AdviceResult, unit::Steady, worker::OrderResult},
     scheduler::{
         dispatch::{
             call::{self, call},
@@ -30,7 +30,7 @@
 /// milliseconds: the path from the delegate may be broken while the direct one works.
 const DIRECT_CALL_MS: u64 = 2_000;
 
-impl Drive {
+impl ControlLoop {
     /// Executes the effects of an owner, on this node or through a delegate.
     pub(super) fn execute(&mut self, name: &str, token: u64, effects: Vec<Effect>) {
         for effect in effects {
@@ -44,7 +44,7 @@
                         let sent = node.now().steady;
                         let end = match &adviser {
                             Some(adviser) => adviser.ask(step, &workers, needs).await,
-                            None => Advised::Failed,
+                            None => AdviceResult::Failed,
                         };
                         drop(slot);
                         send_event(Event::Advised { step, asked: workers, sent, end });
@@ -60,7 +60,7 @@
 
     /// Returns a function that delivers an event to the owner.
     fn event_sender(&self, name: &str, token: u64) -> impl FnOnce(Event) + Send + 'static {
-        let (inputs, name) = (self.to.clone(), name.to_owned());
+        let (inputs, name) = (self.inputs.clone(), name.to_owned());
         move |event| {
             // The receiver only ends with the process.
             let _ = inputs.send(Input::OwnerEvent { name, token, event: Box::new(event) });
@@ -98,7 +98,7 @@
         tokio::spawn(async move {
             let answer = match may_go() {
                 true => call(&runners, &effect).await,
-                false => Answer::End(OrderEnd::Unsent),
+                false => Answer::End(OrderResult::Unsent),
             };
             metrics.ordered(order_kind(&effect), outcome(&answer), began.elapsed());
             if let Some(pending) = pending {
@@ -113,7 +113,7 @@
     /// Has another node make the call, batched with all others for that node in this iteration.
     fn delegate(&mut self, address: SocketAddr, name: &str, token: u64, effect: Effect) {
         let send_event = self.event_sender(name, token);
-        let inputs = self.to.clone();
+        let inputs = self.inputs.clone();
         let worker = target_worker(&effect).cloned();
         let (metrics, kind) = (self.node.metrics.clone(), order_kind(&effect));
         let (pending, began) = (self.count_order(name, CallingNode::Other), Instant::now());
@@ -167,7 +167,7 @@
         let cpu = self.node.settings.cpu;
         let worker_count = self.owned.values().map(|owned| owned.owner.worker_count()).sum();
         for (name, owned) in &mut self.owned {
-            if helpers::is_small(worker_count, cpu) {
+            if helpers::can_call_directly(worker_count, cpu) {
                 owned.delegates.clear();
                 continue;
             }
@@ -199,8 +199,8 @@
     match effect {
         Effect::Start { to, .. }
         | Effect::Stop { to, .. }
-        | Effect::Look { to, .. }
-        | Effect::Pace { to, .. } => Some(&to.worker),
+        | Effect::Poll { to, .. }
+        | Effect::Throttle { to, .. } => Some(&to.worker),
         Effect::Advise { .. } => None,
     }
 }
@@ -209,8 +209,8 @@
     match effect {
         Effect::Start { .. } => "start",
         Effect::Stop { .. } => "stop",
-        Effect::Look { .. } => "look",
-        Effect::Pace { .. } => "pace",
+        Effect::Poll { .. } => "look",
+        Effect::Throttle { .. } => "pace",
         Effect::Advise { .. } => "advise",
     }
 }
@@ -225,19 +225,19 @@
 /// The outcome of an order, from the event for its owner.
 fn event_outcome(event: &Event) -> &'static str {
     match event {
-        Event::Started { end, .. } | Event::Stopped { end, .. } | Event::Paced { end, .. } => {
+        Event::Started { end, .. } | Event::Stopped { end, .. } | Event::Throttled { end, .. } => {
             outcome_label(end)
         }
-        Event::Looked { end, .. } => outcome_label(end),
+        Event::Polled { end, .. } => outcome_label(end),
         _ => "done",
     }
 }
 
-fn outcome_label<T>(end: &OrderEnd<T>) -> &'static str {
+fn outcome_label<T>(end: &OrderResult<T>) -> &'static str {
     match end {
-        OrderEnd::Done(_) => "done",
-        OrderEnd::Refused { .. } => "refused",
-        OrderEnd::Unknown => "unanswered",
-        OrderEnd::Unsent => "unsent",
+        OrderResult::Done(_) => "done",
+        OrderResult::Refused { .. } => "refused",
+        OrderResult::Unknown => "unanswered",
+        OrderResult::Unsent => "unsent",
     }
 }
--- a/src/scheduler/drive/reach.rs
+++ b/src/scheduler/drive/reach.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Drive, Input, OwnedPool, Vacancy, Won, behind::STALE_ACQUIRE_DELAY_MS, json};
+use super::{
+    ControlLoop, Input, OwnedPool, Ownership, Vacancy, behind::STALE_ACQUIRE_DELAY_MS, json,
+};
 use crate::{
     jobs::balance::{self, Capacity},
     model::unit::{Millicores, Now, Revision},
@@ -31,9 +33,9 @@
 /// of the nodes must be complete first, and each change of owners costs a pause.
 const REBALANCE_MS: u64 = 2_500;
 
-impl Drive {
+impl ControlLoop {
     /// Records the result of an attempt to acquire ownership.
-    pub(super) fn note_acquire_result(&mut self, name: String, won: Option<Won>, now: Now) {
+    pub(super) fn note_acquire_result(&mut self, name: String, won: Option<Ownership>, now: Now) {
         if let Some(vacancy) = self.vacant.get_mut(&name) {
             vacancy.acquiring = false;
             vacancy.not_before = now.steady.after(ACQUIRE_RETRY_MS);
@@ -129,7 +131,7 @@
         let owned =
             self.owned.keys().map(|name| (name.as_str(), ownership_cost(&view, name))).collect();
         let own_name = self.node.settings.node.as_str();
-        let name = balance::to_give(&nodes, own_name, &owned).map(str::to_owned);
+        let name = balance::to_release(&nodes, own_name, &owned).map(str::to_owned);
         drop(view);
         let Some(name) = name else {
             return;
@@ -195,12 +197,12 @@
             .expect(term_key.clone(), term.map(|term| term.revision).unwrap_or_default())
             .put_leased(&owner_key, json(&record), lease)
             .put(term_key, json(&TermRecord { count: count + 1 }));
-        let (node, inputs) = (self.node.clone(), self.to.clone());
+        let (node, inputs) = (self.node.clone(), self.inputs.clone());
         let tenure = Tenure::new(&self.lease, lease, now.steady);
         tokio::spawn(async move {
             let won = match node.kv.commit(&txn).await {
                 Ok(Committed::Done(revision)) => {
-                    Some(Won { token: revision.0, earlier_owners: count, tenure })
+                    Some(Ownership { token: revision.0, earlier_owners: count, tenure })
                 }
                 Ok(Committed::Conflict(_) | Committed::LeaseOver) => None,
                 Err(error) => {
@@ -208,7 +210,7 @@
                     None
                 }
             };
-            let _ = inputs.send(Input::Reached { name, won });
+            let _ = inputs.send(Input::Acquired { name, won });
         });
     }
 
@@ -237,7 +239,7 @@
         // Pending orders are not sent any more, but the handover record still includes them.
         owned.tenure.deny();
         let token = owned.owner.token;
-        let silent = owned.owner.parting(now);
+        let silent = owned.owner.handover_record(now);
         let may_run = match silent.as_ref().and_then(|record| record.handover.as_ref()) {
             Some(handover) => format!("{} tasks may run", handover.len()),
             None => "unknown which tasks may run".to_owned(),
--- a/src/scheduler/drive/tell.rs
+++ b/src/scheduler/drive/tell.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{Drive, Input, OverwriteResult, json, keep::commit, word::Counts};
+use super::{ControlLoop, Input, OverwriteResult, json, keep::commit, word::Counts};
 use crate::{
-    jobs::{event::Event, owner::Emptied},
+    jobs::{event::Event, owner::DrainedHost},
     model::unit::{Now, Revision, Steady},
     platform::kv::Txn,
     scheduler::{keys, lease::Tenure, view::EmptyRecord},
@@ -26,17 +26,17 @@
 /// milliseconds.
 const DRAINED_REPEAT_MS: u64 = 700;
 
-impl Drive {
+impl ControlLoop {
     /// Publishes the drained hosts for the fleet's owner.
     pub(super) fn publish_drained_hosts(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
         let token = owned.owner.token;
-        for drained in owned.owner.emptied() {
+        for drained in owned.owner.drained_hosts() {
             let host = drained.host.clone();
             let published = owned.published_drained.get(&host);
-            let is_recent = |(previous, at): &(Emptied, Steady)| {
+            let is_recent = |(previous, at): &(DrainedHost, Steady)| {
                 *previous == drained && now.steady.since(*at) < DRAINED_REPEAT_MS
             };
             let is_visible = self.node.view().empties.get(&host).is_some_and(|at| {
@@ -106,7 +106,7 @@
             .expect(key.clone(), owned.waiting_report.revision)
             .put(key.clone(), json(&owned.waiting_report.to_record(counts.clone())));
         let (node, tenure, sent) = (self.node.clone(), owned.tenure.clone(), now.steady);
-        let (inputs, name) = (self.to.clone(), name.to_owned());
+        let (inputs, name) = (self.inputs.clone(), name.to_owned());
         tokio::spawn(async move {
             let result = OverwriteResult::of(commit(&node, &tenure, &txn).await, &key);
             let _ = inputs.send(Input::ReportWritten { name, token, counts, sent, result });
@@ -145,7 +145,7 @@
             };
             drop(view);
             if is_over {
-                self.deliver(name, Event::Over(id), now);
+                self.deliver(name, Event::JobOver(id), now);
             }
         }
     }
--- a/src/scheduler/drive/tests.rs
+++ b/src/scheduler/drive/tests.rs
@@ -12,13 +12,13 @@
 use serde_json::json;
 use tokio::{runtime, sync::mpsc};
 
-use super::{Drive, Input, Won, json as bytes};
+use super::{ControlLoop, Input, Ownership, json as bytes};
 use crate::{
     jobs::{event::Event, owner::LEASE_MS},
     model::{
         job::{JobId, JobState, Progress, StepId, TaskId},
         unit::{Millicores, Now, Revision, Steady},
-        worker::{Ended, HowEnded, Look, OrderEnd, WorkerReport},
+        worker::{EndedRun, OrderResult, PollResponse, RunOutcome, WorkerReport},
     },
     platform::{
         kv::{Change, Kv},
@@ -62,7 +62,7 @@
 struct World {
     node: Arc<Node>,
     lease: Arc<Lease>,
-    control_loop: Drive,
+    control_loop: ControlLoop,
     next_lease: LeaseId,
     /// Writes in flight, with the lease that each of them carries.
     pending_writes: Vec<(String, LeaseId)>,
@@ -85,7 +85,7 @@
         let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
         let lease = Arc::new(Lease::default());
         let (inputs, _) = mpsc::unbounded_channel();
-        let control_loop = Drive::new(node.clone(), lease.clone(), Runners::new(), inputs);
+        let control_loop = ControlLoop::new(node.clone(), lease.clone(), Runners::new(), inputs);
         World {
             node,
             lease,
@@ -106,8 +106,8 @@
         self.won_leases.insert(token, id);
         self.last_won = Some((name.clone(), token));
         let tenure = Tenure::new(&self.lease, id, self.node.now().steady);
-        let won = Some(Won { token, earlier_owners: 0, tenure });
-        self.control_loop.take(Input::Reached { name, won });
+        let won = Some(Ownership { token, earlier_owners: 0, tenure });
+        self.control_loop.handle(Input::Acquired { name, won });
         self.check();
     }
 
@@ -173,11 +173,11 @@
             Op::ConfirmAcquired => self.confirm_acquired(),
             Op::ShowOwner => self.show_owner(),
             Op::HandleInput => {
-                self.control_loop.take(Input::Deltas(Vec::new()));
+                self.control_loop.handle(Input::Deltas(Vec::new()));
                 self.check();
             }
             Op::Tick => {
-                self.control_loop.step();
+                self.control_loop.tick();
                 self.check();
             }
         }
@@ -249,22 +249,23 @@
     world.apply_write(keys::progress(ended), bytes(&over));
     let now = world.node.now();
     let ends = [absent, unreadable, ended].map(|job| {
-        let task = TaskId { of: StepId { job, time: 0, step: 0 }, index: 0 };
-        Ended {
+        let task = TaskId { of: StepId { job, occurrence: 0, step: 0 }, index: 0 };
+        EndedRun {
             number: task.of.job.number(),
             task,
             run: 1,
-            how: HowEnded::Done,
-            saved: String::new(),
+            how: RunOutcome::Done,
+            checkpoint: String::new(),
         }
     });
     let owned = world.control_loop.owned.get_mut("pool-work").unwrap();
     let mut out = Vec::new();
-    let worker = WorkerReport::without_place(&"w1".parse().unwrap(), "work").unwrap();
+    let worker = WorkerReport::placeholder(&"w1".parse().unwrap(), "work").unwrap();
     owned.owner.handle(Event::Worker(worker), now, &mut out);
-    let response = Look { born: None, clock_ms: 1, present: Vec::new(), ended: ends.to_vec() };
-    let end = OrderEnd::Done(response);
-    let polled = Event::Looked { worker: "w1".parse().unwrap(), sent: now.steady, end };
+    let response =
+        PollResponse { born: None, clock_ms: 1, present: Vec::new(), ended: ends.to_vec() };
+    let end = OrderResult::Done(response);
+    let polled = Event::Polled { worker: "w1".parse().unwrap(), sent: now.steady, end };
     owned.owner.handle(polled, now, &mut out);
     let unknown = |world: &World| {
         let jobs = world.control_loop.owned["pool-work"].owner.unknown_jobs();
@@ -296,14 +297,21 @@
         world.apply(op);
     }
     let (now, job) = (world.node.now(), JobId::from_number(1));
-    let task = TaskId { of: StepId { job, time: 0, step: 0 }, index: 0 };
-    let ended = vec![Ended { number: 1, task, run: 1, how: HowEnded::Done, saved: String::new() }];
+    let task = TaskId { of: StepId { job, occurrence: 0, step: 0 }, index: 0 };
+    let ended = vec![EndedRun {
+        number: 1,
+        task,
+        run: 1,
+        how: RunOutcome::Done,
+        checkpoint: String::new(),
+    }];
     let owned = world.control_loop.owned.get_mut("pool-work").unwrap();
     let mut out = Vec::new();
-    let worker = WorkerReport::without_place(&"w1".parse().unwrap(), "work").unwrap();
+    let worker = WorkerReport::placeholder(&"w1".parse().unwrap(), "work").unwrap();
     owned.owner.handle(Event::Worker(worker), now, &mut out);
-    let end = OrderEnd::Done(Look { born: None, clock_ms: 1, present: Vec::new(), ended });
-    let polled = Event::Looked { worker: "w1".parse().unwrap(), sent: now.steady, end };
+    let end =
+        OrderResult::Done(PollResponse { born: None, clock_ms: 1, present: Vec::new(), ended });
+    let polled = Event::Polled { worker: "w1".parse().unwrap(), sent: now.steady, end };
     owned.owner.handle(polled, now, &mut out);
     let later = Now { steady: now.steady.after(10_000), ..now };
     world.control_loop.resolve_unknown_jobs("pool-work", later);
--- a/src/scheduler/drive/tests/behind.rs
+++ b/src/scheduler/drive/tests/behind.rs
@@ -174,7 +174,9 @@
     let _entered = runtime.enter();
     let mut harness = Harness::start();
     let mut config = QueueConfig::default();
-    config.pools.insert("work".parse().unwrap(), PoolRules { off: false, guards: true });
+    config
+        .pools
+        .insert("work".parse().unwrap(), PoolRules { headroom: false, admission_check: true });
     harness.configure(config);
     for prefix in [OPERATOR_PREFIX, keys::ALL, keys::ROOT, WORKER_PREFIX] {
         harness.world.node.view().note_answer(prefix, harness.now.steady);
@@ -250,14 +252,14 @@
         let (now, control_loop) = (harness.now, &mut harness.world.control_loop);
         let (name, token) = (POOL.to_owned(), control_loop.owned[POOL].owner.token);
         let (asked, at) = (now.steady, Revision(token));
-        control_loop.take(Input::Followed { name: name.clone(), token, asked, at });
+        control_loop.handle(Input::WatchAnswered { name: name.clone(), token, asked, at });
         control_loop.publish_report(POOL, now);
         if control_loop.owned[POOL].waiting_report.pending == 0 {
             continue;
         }
         let (counts, sent) = (control_loop.owned[POOL].owner.queued(), now.steady);
         let result = OverwriteResult::Kept(Revision(1));
-        control_loop.take(Input::ReportWritten { name, token, counts, sent, result });
+        control_loop.handle(Input::ReportWritten { name, token, counts, sent, result });
         longest = longest.max(sent.since(last_published));
         last_published = sent;
     }
--- a/src/scheduler/drive/tests/load.rs
+++ b/src/scheduler/drive/tests/load.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    jobs::fleet::Leave,
+    jobs::fleet::HostAction,
     model::unit::Revision,
     platform::kv::Change,
     scheduler::{
@@ -31,7 +31,7 @@
         world.apply(op);
     }
     assert_eq!(world.control_loop.owned.len(), 1);
-    let mark = json(&Leave::Move("other".parse().unwrap()));
+    let mark = json(&HostAction::Move("other".parse().unwrap()));
     let changes = (0..MARKED).map(|number| Change {
         key: keys::leave(&format!("m-{number}").parse().unwrap()),
         revision: Revision(1_000 + number as u64),
@@ -42,7 +42,7 @@
     drop(view);
     assert_eq!(deltas.len(), MARKED);
     MARKS_CHECKED.set(0);
-    world.control_loop.take(Input::Deltas(deltas));
+    world.control_loop.handle(Input::Deltas(deltas));
     let checked = MARKS_CHECKED.get();
     assert!((MARKED..=2 * MARKED).contains(&checked), "{checked} marks checked");
 }
--- a/src/scheduler/drive/tests/words.rs
+++ b/src/scheduler/drive/tests/words.rs
@@ -67,7 +67,7 @@
     /// Finishes the write of the report that was sent at this time.
     fn finish_write(&mut self, sent: Steady, result: OverwriteResult) {
         let (token, counts) = (self.owned().owner.token, self.owned().owner.queued());
-        self.control_loop.take(Input::ReportWritten {
+        self.control_loop.handle(Input::ReportWritten {
             name: POOL.to_owned(),
             token,
             counts,
@@ -86,7 +86,7 @@
     /// The owner's watch returns all jobs that existed when it was sent.
     fn answer_watch(&mut self, asked: Steady) {
         let token = self.owned().owner.token;
-        self.control_loop.take(Input::Followed {
+        self.control_loop.handle(Input::WatchAnswered {
             name: POOL.to_owned(),
             token,
             asked,
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -6,7 +6,10 @@
 };
 
 use crate::{
-    jobs::fleet::{CallEnd, Demand, Fleet, FleetEffect, Leave, Mark, Scene, WriteEnd},
+    jobs::fleet::{
+        CallResult, Demand, DrainMark, FleetEffect, FleetOwner, FleetSnapshot, HostAction,
+        WriteResult,
+    },
     model::{
         id::{HostId, PoolId, WorkerId},
         queue::QueueConfig,
@@ -20,7 +23,7 @@
     },
     scheduler::{
         demand::Demands,
-        drive::{Drive, Input, OwnedFleet, SUMMARY_MS, json},
+        drive::{ControlLoop, Input, OwnedFleet, SUMMARY_MS, json},
         keys,
         view::{At, CalledRecord, View, WaveRecord},
     },
@@ -52,7 +55,7 @@
     config: std::sync::Arc<QueueConfig>,
     demands: BTreeMap<PoolId, Demand>,
     view_revision: Revision,
-    marks: BTreeMap<HostId, Mark>,
+    marks: BTreeMap<HostId, DrainMark>,
     drained: BTreeMap<HostId, WorkerId>,
     upkeeps: Vec<Upkeep>,
     maintained: BTreeMap<u64, BTreeSet<HostId>>,
@@ -63,7 +66,7 @@
     recently_called: BTreeSet<HostId>,
 }
 
-impl Drive {
+impl ControlLoop {
     /// Plans for the fleet, if this node owns that work and a plan is due.
     pub(super) fn fleet_step(&mut self, now: Now) {
         if now.steady < self.next_fleet {
@@ -91,19 +94,19 @@
         };
         input.recently_called =
             recently_called(&self.node.view(), fleet.token, now.wall.before(handover));
-        let snapshot = Scene {
+        let snapshot = FleetSnapshot {
             config: &input.config,
             demands: &input.demands,
-            known: input.view_revision,
-            leaves: &input.marks,
-            empties: &input.drained,
+            view_revision: input.view_revision,
+            marks: &input.marks,
+            drained: &input.drained,
             upkeeps: &input.upkeeps,
             maintained: &input.maintained,
             reported: &input.reported,
             idle: &input.idle,
             light: &input.light,
             busy: &input.busy,
-            resting: &input.recently_called,
+            recently_called: &input.recently_called,
         };
         let token = fleet.token;
         let effects = fleet.plan(&snapshot, now.steady);
@@ -130,7 +133,7 @@
     pub(super) fn fleet_written(
         &mut self,
         token: u64,
-        ends: &[(FleetEffect, WriteEnd)],
+        ends: &[(FleetEffect, WriteResult)],
         wave: Option<(u64, At<WaveRecord>)>,
         now: Now,
     ) {
@@ -142,12 +145,12 @@
             owned.waves.insert(number, record);
         }
         for (effect, result) in ends {
-            owned.fleet.written(effect, result, now.steady);
+            owned.fleet.note_write_result(effect, result, now.steady);
         }
     }
 
     /// The owner of the fleet's work, if it still has this token.
-    pub(super) fn fleet_under(&mut self, token: u64) -> Option<&mut Fleet> {
+    pub(super) fn fleet_under(&mut self, token: u64) -> Option<&mut FleetOwner> {
         self.fleet.as_mut().map(|owned| &mut owned.fleet).filter(|fleet| fleet.token == token)
     }
 
@@ -183,8 +186,10 @@
             FleetEffect::Maintained(..) | FleetEffect::Report(..) => {
                 self.write_wave(effect, token);
             }
-            FleetEffect::Maintain(host, wave) => self.call_host(token, host, Leave::Upkeep(wave)),
-            FleetEffect::Move(host, pool) => self.call_host(token, host, Leave::Move(pool)),
+            FleetEffect::Maintain(host, wave) => {
+                self.call_host(token, host, HostAction::Upkeep(wave))
+            }
+            FleetEffect::Move(host, pool) => self.call_host(token, host, HostAction::Move(pool)),
         }
     }
 
@@ -237,15 +242,16 @@
     }
 
     fn list_hosts(&self, token: u64, now: Now) {
-        let (machines, inputs) = (self.machines.clone(), self.to.clone());
+        let (machines, inputs) = (self.machines.clone(), self.inputs.clone());
         tokio::spawn(async move {
             let hosts = machines.list().await;
             let _ = inputs.send(Input::HostList { token, sent: now.steady, hosts });
         });
     }
 
-    fn call_host(&self, token: u64, host: HostId, leave: Leave) {
-        let (machines, inputs, node) = (self.machines.clone(), self.to.clone(), self.node.clone());
+    fn call_host(&self, token: u64, host: HostId, leave: HostAction) {
+        let (machines, inputs, node) =
+            (self.machines.clone(), self.inputs.clone(), self.node.clone());
         let tenure = self.fleet.as_ref().map(|owned| owned.tenure.clone());
         tokio::spawn(async move {
             // The record is written first, under the condition that there is no later owner, so
@@ -264,20 +270,24 @@
                     "host {host}: {leave:?}: not called: record written {written}, late {late}, \
                      lease held {holds}"
                 );
-                let _ =
-                    inputs.send(Input::HostCalled { token, host, leave, end: CallEnd::NotBegun });
+                let _ = inputs.send(Input::HostCalled {
+                    token,
+                    host,
+                    leave,
+                    end: CallResult::NotBegun,
+                });
                 return;
             }
             let answer = match &leave {
-                Leave::Upkeep(wave) => machines.maintain(&host, *wave, token).await,
-                Leave::Move(pool) => machines.move_to(&host, pool, token).await,
+                HostAction::Upkeep(wave) => machines.maintain(&host, *wave, token).await,
+                HostAction::Move(pool) => machines.move_to(&host, pool, token).await,
             };
             log::info!("host {host}: {leave:?}: {answer:?}");
             let end = match answer {
-                HostCall::Done => CallEnd::Begun,
-                HostCall::Unknown | HostCall::Busy => CallEnd::Unknown,
-                HostCall::Limited => CallEnd::Limited,
-                HostCall::Refused | HostCall::Invalid => CallEnd::NotBegun,
+                HostCall::Done => CallResult::Begun,
+                HostCall::Unknown | HostCall::Busy => CallResult::Unknown,
+                HostCall::Limited => CallResult::RateLimited,
+                HostCall::Refused | HostCall::Invalid => CallResult::NotBegun,
             };
             let _ = inputs.send(Input::HostCalled { token, host, leave, end });
         });
@@ -292,40 +302,40 @@
         effects: Vec<FleetEffect>,
         wave: Option<(u64, WaveRecord)>,
     ) {
-        let (node, inputs) = (self.node.clone(), self.to.clone());
+        let (node, inputs) = (self.node.clone(), self.inputs.clone());
         tokio::spawn(async move {
             let (end, items) = match node.kv.commit(&txn).await {
-                Ok(Committed::Done(revision)) => (WriteEnd::Done(revision), Vec::new()),
-                Ok(Committed::Conflict(items)) => (WriteEnd::Refused(None), items),
-                Ok(Committed::LeaseOver) => (WriteEnd::Lost, Vec::new()),
+                Ok(Committed::Done(revision)) => (WriteResult::Done(revision), Vec::new()),
+                Ok(Committed::Conflict(items)) => (WriteResult::Refused(None), items),
+                Ok(Committed::LeaseOver) => (WriteResult::Unknown, Vec::new()),
                 Err(error) => {
                     log::warn!("fleet: write of {} failed: {error}", describe(&effects));
-                    (WriteEnd::Lost, Vec::new())
+                    (WriteResult::Unknown, Vec::new())
                 }
             };
-            if matches!(end, WriteEnd::Refused(_)) {
+            if matches!(end, WriteResult::Refused(_)) {
                 log::info!(
                     "fleet: write of {} refused: a condition does not hold",
                     describe(&effects)
                 );
             }
             let written = wave.and_then(|(number, record)| match &end {
-                WriteEnd::Done(revision) => {
+                WriteResult::Done(revision) => {
                     Some((number, At { value: record, revision: *revision }))
                 }
-                WriteEnd::Refused(_) => {
+                WriteResult::Refused(_) => {
                     stored_record(&items, &keys::wave(number)).map(|record| (number, record))
                 }
-                WriteEnd::Lost => None,
+                WriteResult::Unknown => None,
             });
             let result_of = |effect: &FleetEffect| match (effect, &end) {
                 (
                     FleetEffect::Mark(host, _) | FleetEffect::Unmark(host, _),
-                    WriteEnd::Refused(_),
+                    WriteResult::Refused(_),
                 ) => {
                     let mark = stored_record(&items, &keys::leave(host));
-                    let mark = mark.map(|at| Mark { leave: at.value, revision: at.revision });
-                    WriteEnd::Refused(mark)
+                    let mark = mark.map(|at| DrainMark { action: at.value, revision: at.revision });
+                    WriteResult::Refused(mark)
                 }
                 _ => end.clone(),
             };
@@ -369,7 +379,7 @@
 fn plan_input(view: &View, demands: &mut Demands, wall: Time) -> Option<PlanInput> {
     let config = view.config.clone()?;
     let demands = demands.of_pools(view, &config, wall);
-    let mark = |at: &At<Leave>| Mark { leave: at.value.clone(), revision: at.revision };
+    let mark = |at: &At<HostAction>| DrainMark { action: at.value.clone(), revision: at.revision };
     Some(PlanInput {
         config,
         demands,
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    jobs::owner::{LEASE_MS, OVERTIME_MS},
+    jobs::owner::{GRACE_PERIOD_MS, LEASE_MS},
     model::unit::Steady,
     platform::{
         kv::{Committed, Txn},
@@ -89,7 +89,7 @@
             // A write sent in the same millisecond may have been sent before the renewal.
             state.gaps.push(Gap { until, renewed: now.after(1) });
         }
-        let passed = |gap: &mut Gap| gap.until.after(OVERTIME_MS) <= now;
+        let passed = |gap: &mut Gap| gap.until.after(GRACE_PERIOD_MS) <= now;
         let passed: Vec<Gap> = state.gaps.extract_if(.., passed).collect();
         for gap in passed {
             state.barrier = state.barrier.max(gap.renewed);
@@ -182,8 +182,9 @@
     pub(crate) fn allows_orders(&self, now: Steady) -> bool {
         let (state, confirmed) = (self.lease.state(), self.confirmed());
         let is_last =
-            |(id, until): (LeaseId, Steady)| id == self.id && now < until.after(OVERTIME_MS);
-        let is_bridged = |gap: &Gap| gap.renewed <= confirmed || now < gap.until.after(OVERTIME_MS);
+            |(id, until): (LeaseId, Steady)| id == self.id && now < until.after(GRACE_PERIOD_MS);
+        let is_bridged =
+            |gap: &Gap| gap.renewed <= confirmed || now < gap.until.after(GRACE_PERIOD_MS);
         !self.ended.load(Ordering::Acquire)
             && state.last.is_some_and(is_last)
             && state.barrier <= confirmed
--- a/src/scheduler/metrics.rs
+++ b/src/scheduler/metrics.rs
@@ -275,9 +275,9 @@
         }
         self.task_crashes.inc_by(counts.crashes);
         self.abandoned_tasks.inc_by(counts.given_up);
-        self.worker_restarts.inc_by(counts.started_again);
-        self.resent_orders.inc_by(counts.again);
-        for (why, count) in &counts.strays {
+        self.worker_restarts.inc_by(counts.worker_restarts);
+        self.resent_orders.inc_by(counts.resent_orders);
+        for (why, count) in &counts.unexpected_runs {
             self.unexpected_runs.get_or_create(&ReasonLabels { why }).inc_by(*count);
         }
     }
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -190,7 +190,7 @@
                     if !may_be_cut {
                         let (name, token) = (self.name.clone(), self.token);
                         let asked = call.sent;
-                        let _ = inputs.send(Input::Followed { name, token, asked, at: since });
+                        let _ = inputs.send(Input::WatchAnswered { name, token, asked, at: since });
                         sleep(OWNER_WATCH_PAUSE).await;
                     }
                 }
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -19,7 +19,7 @@
     scheduler::{
         Node, accept,
         api::{Api, Readiness},
-        drive::{Drive, Input},
+        drive::{ControlLoop, Input},
         lateness,
         lease::{self, Lease},
         metrics::{Metrics, Page},
@@ -72,7 +72,8 @@
     tokio::spawn(accept::write(node.clone(), waiting));
     mirror::start(&node, &inputs);
     let runners = Runners::new();
-    let control_loop = Drive::new(node.clone(), lease.clone(), runners.clone(), inputs.clone());
+    let control_loop =
+        ControlLoop::new(node.clone(), lease.clone(), runners.clone(), inputs.clone());
     tokio::spawn(control_loop.run(received));
     let stop = http::Stop::default();
     let api =
@@ -91,7 +92,7 @@
     log::info!("node {}: shutting down", node.settings.node);
     node.leaving.cancel();
     // Cannot fail: the receiver lives as long as the process.
-    let _ = inputs.send(Input::Leave);
+    let _ = inputs.send(Input::Shutdown);
     sleep(grace.saturating_sub(FINAL_GRACE)).await;
     stop.gently.cancel();
     // Requests in progress may use the rest of the grace time.
--- a/src/scheduler/tests/cold.rs
+++ b/src/scheduler/tests/cold.rs
@@ -4,7 +4,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    jobs::owner::{LEASE_MS, OVERTIME_MS},
+    jobs::owner::{GRACE_PERIOD_MS, LEASE_MS},
     model::unit::{Revision, Steady},
     platform::kv::Change,
     scheduler::{
@@ -45,7 +45,7 @@
         allowed.push((sent + 10, tenure.allows_orders(at(sent + 10))));
     }
     assert!(tenure.is_doubtful(), "no write has succeeded since the first gap");
-    let overdue = |(now, allows): &&(u64, bool)| *allows && LEASE_MS + OVERTIME_MS <= *now;
+    let overdue = |(now, allows): &&(u64, bool)| *allows && LEASE_MS + GRACE_PERIOD_MS <= *now;
     assert_eq!(allowed.iter().find(overdue), None, "another node acquired it 2 s after the start");
 }
 
@@ -82,7 +82,7 @@
     // Removed and acquired by another node here; answered 100 ms after the lease's end.
     lease.renewed(7, renewal, TTL, at(LEASE_MS + 100));
     let mut now = LEASE_MS + 100;
-    while now < 2 * (LEASE_MS + OVERTIME_MS) {
+    while now < 2 * (LEASE_MS + GRACE_PERIOD_MS) {
         now += 500;
         lease.renewed(7, at(now), TTL, at(now));
     }
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -8,7 +8,7 @@
     jobs::fleet::Demand,
     model::{
         id::PoolId,
-        job::{JobId, JobRecord, JobState, Progress, Room, Step, StepNote},
+        job::{JobId, JobRecord, JobState, Progress, Step, StepProgress, TaskResources},
         queue::{PoolRules, QueueConfig},
         unit::{Megabytes, Millicores, Revision, Time},
     },
@@ -31,10 +31,10 @@
 
 /// Two steps of ten tasks on four cores each, estimated at one second: in time within 3.8 s.
 fn record() -> JobRecord {
-    let need = Room { cpu: Millicores(4_000), memory: Megabytes(1), gpus: 0 };
+    let need = TaskResources { cpu: Millicores(4_000), memory: Megabytes(1), gpus: 0 };
     let step = Step { count: 10, need, estimate_ms: 1_000, ..Step::default() };
     let steps = vec![step.clone(), Step { after: vec![0], ..step }];
-    JobRecord { stretch: 160, ..sample::record(steps) }
+    JobRecord { stretch_percent: 160, ..sample::record(steps) }
 }
 
 /// The demand of a pool with one job, `after` milliseconds after the job was accepted.
@@ -48,37 +48,37 @@
     if let Some(progress) = progress {
         write(keys::progress(id), json(&progress));
     }
-    let pools = BTreeMap::from([(pool(), PoolRules { off: false, guards: true })]);
+    let pools = BTreeMap::from([(pool(), PoolRules { headroom: false, admission_check: true })]);
     let config = QueueConfig { version: 1, queues: vec![], pools };
     demand::of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + after))[&pool()]
 }
 
 fn first_step_done() -> Progress {
-    let step_progress = StepNote { done: (0..10).collect(), ..StepNote::default() };
+    let step_progress = StepProgress { done: (0..10).collect(), ..StepProgress::default() };
     Progress { steps: BTreeMap::from([("0.0".to_owned(), step_progress)]), ..Progress::default() }
 }
 
 #[test]
 fn the_demand_of_a_job_is_that_of_its_ready_step() {
     let demand = demand_after(&record(), None, 100);
-    assert_eq!((demand.cpu, demand.late, demand.ends), (40_000, 0, true));
+    assert_eq!((demand.cpu, demand.late_cpu, demand.finite), (40_000, 0, true));
 }
 
 /// Eighty core-seconds of work arrived within half a second: 160 cores keep up with that.
 #[test]
 fn recent_arrivals_give_the_cpu_that_keeps_up_with_them() {
     let demand = demand_after(&record(), None, 100);
-    assert_eq!((demand.arriving, demand.arrivals), (160_000, 1));
+    assert_eq!((demand.arriving_cpu, demand.arrivals), (160_000, 1));
     let later = demand_after(&record(), None, 600);
-    assert_eq!((later.arriving, later.arrivals), (0, 0));
+    assert_eq!((later.arriving_cpu, later.arrivals), (0, 0));
 }
 
 #[test]
 fn a_job_that_cannot_end_in_time_is_late_work() {
-    let not_begun = |after| demand_after(&record(), None, after).late;
+    let not_begun = |after| demand_after(&record(), None, after).late_cpu;
     // At least 1.2 s of the two estimated seconds are assumed to be left.
     assert_eq!((not_begun(2_500), not_begun(2_700)), (0, 40_000));
-    let half_done = |after| demand_after(&record(), Some(first_step_done()), after).late;
+    let half_done = |after| demand_after(&record(), Some(first_step_done()), after).late_cpu;
     assert_eq!((half_done(2_700), half_done(3_300)), (0, 40_000));
 }
 
@@ -86,9 +86,9 @@
 fn long_running_work_is_never_late() {
     let mut record = record();
     record.steps.truncate(1);
-    record.steps[0].lasting = true;
+    record.steps[0].long_running = true;
     let demand = demand_after(&record, None, 100_000);
-    assert_eq!((demand.cpu, demand.late, demand.ends), (40_000, 0, false));
+    assert_eq!((demand.cpu, demand.late_cpu, demand.finite), (40_000, 0, false));
 }
 
 /// A view with so many jobs of two steps.
@@ -103,7 +103,7 @@
 }
 
 fn config() -> QueueConfig {
-    let pools = BTreeMap::from([(pool(), PoolRules { off: false, guards: true })]);
+    let pools = BTreeMap::from([(pool(), PoolRules { headroom: false, admission_check: true })]);
     QueueConfig { version: 1, queues: vec![], pools }
 }
 
@@ -174,7 +174,7 @@
         step.count = u32::from(tasks % 12) + 1;
     }
     if let Some(last) = record.steps.last_mut() {
-        (last.lasting, last.apart) = (long_running, u32::from(long_running));
+        (last.long_running, last.max_per_worker) = (long_running, u32::from(long_running));
     }
     record.repeats = u32::from(repeats % 4);
     record.first = Time::from_millis(ACCEPTED_MS + 1_000);
@@ -187,14 +187,14 @@
     fuzz(200, 40, |events: &[JobEvent]| {
         let (mut view, config) = (View::default(), config());
         let (mut demands, mut wall) = (Demands::default(), ACCEPTED_MS);
-        let mut steps: BTreeMap<u8, BTreeMap<String, StepNote>> = BTreeMap::new();
+        let mut steps: BTreeMap<u8, BTreeMap<String, StepProgress>> = BTreeMap::new();
         for (number, event) in events.iter().enumerate() {
             let revision = Revision(10 + number as u64);
             let id = |job: &u8| JobId::from_number(u64::from(job % 4));
             let mut write = |key, value: Option<Vec<u8>>| {
                 view.apply(Change { key, revision, value: value.map(Into::into) });
             };
-            let progress = |state, steps: &BTreeMap<String, StepNote>| {
+            let progress = |state, steps: &BTreeMap<String, StepProgress>| {
                 Some(json(&Progress { state, steps: steps.clone(), ..Progress::default() }))
             };
             match event {
@@ -208,7 +208,7 @@
                 JobEvent::Done { job, step, occurrence, tasks } => {
                     let steps = steps.entry(job % 4).or_default();
                     let done = (0..u32::from(tasks % 12)).collect();
-                    let step_progress = StepNote { done, ..StepNote::default() };
+                    let step_progress = StepProgress { done, ..StepProgress::default() };
                     steps.insert(format!("{}.{}", occurrence % 4, step % 3), step_progress);
                     let value = progress(JobState::Running, steps);
                     write(keys::progress(id(job)), value);
@@ -251,7 +251,9 @@
             step_progress.map_or(0, |step_progress| step_progress.done.len() as u32)
         };
         let (mut cpu, mut left_ms) = (0, 0);
-        for occurrence in (0..record.times()).filter(|occurrence| record.due(*occurrence) <= wall) {
+        for occurrence in
+            (0..record.occurrences()).filter(|occurrence| record.due(*occurrence) <= wall)
+        {
             for (number, step) in record.steps.iter().enumerate() {
                 let left = step.count.saturating_sub(done(occurrence, number as u32));
                 left_ms += if left != 0 { step.estimate_ms } else { 0 };
@@ -262,29 +264,29 @@
                 if step.after.iter().any(waits) {
                     continue;
                 }
-                demand.ends |= !step.lasting && left != 0;
+                demand.finite |= !step.long_running && left != 0;
                 cpu += u64::from(left) * u64::from(step.charge().cpu.0);
-                if step.apart != 0 && step.lasting {
-                    demand.spread = demand.spread.max(left.div_ceil(step.apart) as usize);
+                if step.max_per_worker != 0 && step.long_running {
+                    demand.spread = demand.spread.max(left.div_ceil(step.max_per_worker) as usize);
                 }
             }
         }
         let chain: u64 = record.steps.iter().map(|step| step.estimate_ms).sum();
-        let objective = chain * u64::from(record.stretch) / 100 + record.target_ms;
+        let objective = chain * u64::from(record.stretch_percent) / 100 + record.target_ms;
         let age = wall.since(record.due(0)).as_millis() as u64;
         // At least 60 % of the estimated work is assumed to be left.
         let is_late = objective < age + left_ms * 60 / 100;
-        if is_late && !record.is_lasting() && record.times() == 1 {
-            demand.late += cpu;
+        if is_late && !record.is_long_running() && record.occurrences() == 1 {
+            demand.late_cpu += cpu;
         } else {
             demand.cpu += cpu;
         }
         // Arrivals of the last half second.
         if wall.since(record.accepted).as_millis() < 500 {
             demand.arrivals += 1;
-            for step in record.steps.iter().filter(|step| !step.lasting) {
+            for step in record.steps.iter().filter(|step| !step.long_running) {
                 let cpu = u64::from(step.count) * u64::from(step.charge().cpu.0);
-                demand.arriving += cpu * step.estimate_ms / 500;
+                demand.arriving_cpu += cpu * step.estimate_ms / 500;
             }
         }
     }
--- a/src/scheduler/tests/foreign.rs
+++ b/src/scheduler/tests/foreign.rs
@@ -173,7 +173,7 @@
         let (key, revision) = ("servers/w1".to_owned(), Revision(revision));
         let deltas = view.apply(Change { key, revision, value: Some(value.into()) });
         let capacities = deltas.into_iter().filter_map(|delta| match delta {
-            Delta::Worker(report) => Some(report.room.cpu.0),
+            Delta::Worker(report) => Some(report.capacity.cpu.0),
             _ => None,
         });
         capacities.collect::<Vec<u32>>()
--- a/src/scheduler/tests/incarnations.rs
+++ b/src/scheduler/tests/incarnations.rs
@@ -5,9 +5,9 @@
 use serde_json::{Value, json};
 
 use crate::{
-    jobs::roster::Away,
+    jobs::roster::SilentWorkers,
     model::{
-        id::{Born, Incarnation},
+        id::{Incarnation, StartTime},
         job::Progress,
         unit::Revision,
         worker::WorkerReport,
@@ -47,7 +47,7 @@
     let first = reported(put(&mut view, 10, &entry(Some(1_000))));
     assert!(put(&mut view, 11, &entry(Some(1_000))).is_none());
     let next = reported(put(&mut view, 12, &entry(Some(2_000))));
-    assert_eq!((first.id.born, next.id.born), (Some(Born(1_000)), Some(Born(2_000))));
+    assert_eq!((first.id.born, next.id.born), (Some(StartTime(1_000)), Some(StartTime(2_000))));
     assert_eq!(first.id.worker, next.id.worker);
 }
 
@@ -89,7 +89,7 @@
     let id: Incarnation = "w1".parse().unwrap();
     assert_eq!(report.id, id);
     let silent_workers = json!({ "s": { "w1": ["0000000000000001.0.0.0"] } });
-    let silent_workers: Away = serde_json::from_value(silent_workers).unwrap();
+    let silent_workers: SilentWorkers = serde_json::from_value(silent_workers).unwrap();
     assert!(silent_workers.silent.contains_key(&id));
     let progress =
         json!({ "s": "r", "t": { "0.0": { "t": { "0": { "c": ["w1"], "d": ["w2"] } } } } });
--- a/src/scheduler/tests/lease.rs
+++ b/src/scheduler/tests/lease.rs
@@ -8,7 +8,7 @@
 use bolero::TypeGenerator;
 
 use crate::{
-    jobs::owner::{LEASE_MS, OVERTIME_MS},
+    jobs::owner::{GRACE_PERIOD_MS, LEASE_MS},
     model::unit::Steady,
     platform::store::LeaseId,
     scheduler::lease::{Lease, Tenure},
@@ -244,7 +244,7 @@
             self.sent.1 += 1;
             let late = self.now - ended_at;
             assert!(
-                late <= LEASE_MS + OVERTIME_MS,
+                late <= LEASE_MS + GRACE_PERIOD_MS,
                 "order under token {token} {late} ms after another node could have acquired it"
             );
         }
--- a/src/scheduler/tests/links.rs
+++ b/src/scheduler/tests/links.rs
@@ -16,7 +16,7 @@
         job::{JobId, StepId, TaskId},
         order::Addressee,
         unit::Steady,
-        worker::OrderEnd,
+        worker::OrderResult,
     },
     platform::runner::Runners,
     scheduler::{
@@ -70,7 +70,7 @@
         lease.renewed(1, now, Duration::from_millis(LEASE_MS), now);
         let tenure = Tenure::new(lease, 1, now);
         let to = Addressee { worker: "w1".parse().unwrap(), address: worker.to_string(), token };
-        let of = StepId { job: JobId::from_number(token), time: 0, step: 0 };
+        let of = StepId { job: JobId::from_number(token), occurrence: 0, step: 0 };
         let effect = Effect::Stop { to, task: TaskId { of, index: 0 }, run: 1 };
         let results = results.clone();
         let order = Outgoing {
@@ -91,9 +91,9 @@
         other => panic!("{other:?}"),
     };
     let (first, first_result) = reported.recv().await.unwrap();
-    assert_eq!((first, result(first_result)), (1, OrderEnd::Unsent));
+    assert_eq!((first, result(first_result)), (1, OrderResult::Unsent));
     let (second, second_result) = reported.recv().await.unwrap();
-    assert_eq!((second, result(second_result)), (2, OrderEnd::Done(1)));
+    assert_eq!((second, result(second_result)), (2, OrderResult::Done(1)));
     assert_eq!(
         received.try_recv(),
         Ok(2),
--- a/src/scheduler/tests/moments.rs
+++ b/src/scheduler/tests/moments.rs
@@ -122,8 +122,8 @@
         prefix: String::new(),
         pool: "a".parse().unwrap(),
         priority: 0,
-        attempts: 1,
-        stretch: 100,
+        max_attempts: 1,
+        stretch_percent: 100,
         target_ms: 0,
         advice: None,
     }
--- a/src/scheduler/tests/orders.rs
+++ b/src/scheduler/tests/orders.rs
@@ -7,10 +7,10 @@
 use crate::{
     jobs::event::Effect,
     model::{
-        id::Born,
+        id::StartTime,
         job::{JobId, StepId, TaskId},
         order::{Addressee, Start},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, Refusal},
+        worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
     scheduler::dispatch::wire::{
         self, Answer, Answers, Batch, Namer, Names, add_answer, read_answers,
@@ -39,7 +39,7 @@
 
 fn task(sample: &Sample) -> TaskId {
     let job = JobId::from_number(u64::MAX - u64::from(sample.task));
-    let of = StepId { job, time: u32::from(sample.kind), step: u32::from(sample.worker) };
+    let of = StepId { job, occurrence: u32::from(sample.kind), step: u32::from(sample.worker) };
     TaskId { of, index: u32::from(sample.number) }
 }
 
@@ -66,8 +66,8 @@
             },
         },
         1 => Effect::Stop { to, task, run },
-        2 => Effect::Pace { to, task, run, percent: u32::from(sample.worker) % 101 },
-        _ => Effect::Look {
+        2 => Effect::Throttle { to, task, run, percent: u32::from(sample.worker) % 101 },
+        _ => Effect::Poll {
             to,
             acknowledged: u64::from(sample.number),
             until_ms: (sample.token.is_multiple_of(2)).then_some(u64::from(sample.number)),
@@ -81,26 +81,27 @@
     let refusals = [Refusal::Fenced, Refusal::Old, Refusal::Late, Refusal::Room, Refusal::Ticket];
     let why = refusals[sample.task as usize % refusals.len()];
     match sample.kind % 5 {
-        0 => Answer::End(OrderEnd::Done(clock)),
-        1 => Answer::End(OrderEnd::Unknown),
-        2 => Answer::End(OrderEnd::Unsent),
-        3 => Answer::End(OrderEnd::Refused {
+        0 => Answer::End(OrderResult::Done(clock)),
+        1 => Answer::End(OrderResult::Unknown),
+        2 => Answer::End(OrderResult::Unsent),
+        3 => Answer::End(OrderResult::Refused {
             why,
             clock_ms: (clock.is_multiple_of(2)).then_some(clock),
         }),
-        _ => Answer::Look(OrderEnd::Done(poll_response(sample, clock))),
+        _ => Answer::Look(OrderResult::Done(poll_response(sample, clock))),
     }
 }
 
-fn poll_response(sample: &Sample, clock_ms: u64) -> Look {
+fn poll_response(sample: &Sample, clock_ms: u64) -> PollResponse {
     let (task, run) = (task(sample), u32::from(sample.number));
     let data = "checkpoint".to_owned();
-    let present = Present { task, run, saved: data.clone(), percent: 7, gauge: clock_ms };
-    let outcomes = [HowEnded::Done, HowEnded::Failed, HowEnded::Stopped, HowEnded::Alone];
+    let present = PresentRun { task, run, checkpoint: data.clone(), percent: 7, gauge: clock_ms };
+    let outcomes =
+        [RunOutcome::Done, RunOutcome::Failed, RunOutcome::Stopped, RunOutcome::GangIncomplete];
     let how = outcomes[sample.token as usize % outcomes.len()];
-    let ended = Ended { number: clock_ms, task, run, how, saved: data };
-    Look {
-        born: sample.number.is_multiple_of(2).then_some(Born(clock_ms)),
+    let ended = EndedRun { number: clock_ms, task, run, how, checkpoint: data };
+    PollResponse {
+        born: sample.number.is_multiple_of(2).then_some(StartTime(clock_ms)),
         clock_ms,
         present: vec![present; sample.task as usize % 3],
         ended: vec![ended; sample.token as usize % 3],
@@ -162,7 +163,7 @@
 fn a_poll_response_with_an_unsupported_outcome_counts_as_unknown() {
     let sample = Sample { kind: 4, worker: 1, token: 1, task: 1, number: 1 };
     let mut answers = Answers::default();
-    add_answer(&mut answers, 7, Answer::Look(OrderEnd::Done(poll_response(&sample, 5))));
+    add_answer(&mut answers, 7, Answer::Look(OrderResult::Done(poll_response(&sample, 5))));
     let mut bytes = Vec::new();
     ciborium::into_writer(&answers, &mut bytes).unwrap();
     let mut value: ciborium::Value = ciborium::from_reader(&bytes[..]).unwrap();
@@ -172,5 +173,5 @@
     let mut bytes = Vec::new();
     ciborium::into_writer(&value, &mut bytes).unwrap();
     let received = read_answers(ciborium::from_reader(&bytes[..]).unwrap());
-    assert_eq!(received, vec![(7, Answer::Look(OrderEnd::Unknown))]);
+    assert_eq!(received, vec![(7, Answer::Look(OrderResult::Unknown))]);
 }
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -22,7 +22,7 @@
     http,
     model::{
         id::PoolId,
-        job::{JobId, Room, Step},
+        job::{JobId, Step, TaskResources},
         unit::{Megabytes, Millicores, Revision, Time},
     },
     platform::{
@@ -32,7 +32,7 @@
     },
     scheduler::{
         Node, accept,
-        drive::{Drive, json},
+        drive::{ControlLoop, json},
         keys,
         lease::{self, Lease},
         metrics::Metrics,
@@ -95,7 +95,7 @@
     }
 
     async fn submit(&self) {
-        let need = Room { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
+        let need = TaskResources { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 1, need, estimate_ms: 600_000, ..Step::default() };
         let mut record = sample::record(vec![step]);
         (record.pool, record.payload, record.accepted) = (pool(), TASK_MS.into(), Time::now());
@@ -157,7 +157,7 @@
     tokio::spawn(lease::keep(node.clone(), lease.clone()));
     tokio::spawn(accept::write(node.clone(), waiting));
     mirror::start(&node, &to);
-    tokio::spawn(Drive::new(node.clone(), lease, Runners::new(), to).run(from));
+    tokio::spawn(ControlLoop::new(node.clone(), lease, Runners::new(), to).run(from));
     node
 }
 
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -16,14 +16,14 @@
 use crate::{
     jobs::{
         event::{Effect, Event},
-        owner::{LEASE_MS, OVERTIME_MS, Owner},
+        owner::{GRACE_PERIOD_MS, LEASE_MS, Owner},
     },
     model::{
         id::{Incarnation, PoolId},
-        job::{JobId, JobState, Progress, Room, Step, TaskId},
+        job::{JobId, JobState, Progress, Step, TaskId, TaskResources},
         order::{Addressee, Start},
         unit::{Megabytes, Millicores, Now, Revision, Steady, Time},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, Refusal},
+        worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
     platform::kv::Change,
     scheduler::{
@@ -48,7 +48,7 @@
 
 /// How long an owner may be paused before it gives up its ownership, in milliseconds: its lease and
 /// the grace period.
-const MAX_PAUSE_MS: u64 = LEASE_MS + OVERTIME_MS;
+const MAX_PAUSE_MS: u64 = LEASE_MS + GRACE_PERIOD_MS;
 
 /// Orders are executed and records written at once.
 const PROMPT: Execution = Execution { delayed: 0, unsaved: false };
@@ -150,19 +150,25 @@
     runs: BTreeMap<TaskId, u32>,
     /// The highest run that was stopped or has ended here.
     ended_runs: BTreeMap<TaskId, u32>,
-    ends: Vec<Ended>,
+    ends: Vec<EndedRun>,
     next_end: u64,
 }
 
 impl Runner {
-    fn end(&mut self, task: TaskId, run: u32, how: HowEnded) {
+    fn end(&mut self, task: TaskId, run: u32, how: RunOutcome) {
         self.next_end += 1;
         let highest = self.ended_runs.entry(task).or_default();
         *highest = run.max(*highest);
-        self.ends.push(Ended { number: self.next_end, task, run, how, saved: String::new() });
+        self.ends.push(EndedRun {
+            number: self.next_end,
+            task,
+            run,
+            how,
+            checkpoint: String::new(),
+        });
     }
 
-    fn end_all(&mut self, how: HowEnded) {
+    fn end_all(&mut self, how: RunOutcome) {
         for (task, run) in std::mem::take(&mut self.runs) {
             self.end(task, run, how);
         }
@@ -325,7 +331,7 @@
         self.now += ms;
         let clock_ms = self.clock_ms();
         for runner in self.runners.iter_mut().filter(|runner| runner.until_ms < clock_ms) {
-            runner.end_all(HowEnded::Lapsed);
+            runner.end_all(RunOutcome::Lapsed);
         }
     }
 
@@ -335,7 +341,7 @@
             return;
         }
         let id: JobId = format!("{number:016x}").parse().unwrap();
-        let need = Room { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
+        let need = TaskResources { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 2, need, estimate_ms: 100, ..Step::default() };
         self.jobs.insert(id);
         self.write(keys::job(&pool(), id), Some(bytes(&sample::record(vec![step]))));
@@ -358,7 +364,7 @@
         let Some(owner) = &self.nodes[number].owner else {
             return;
         };
-        if let Some(record) = owner.parting(now) {
+        if let Some(record) = owner.handover_record(now) {
             self.handovers += 1;
             self.silent_workers_at = self.write(keys::away(&pool_name()), Some(bytes(&record)));
         }
@@ -370,7 +376,7 @@
     fn release_late(&mut self, number: usize) {
         let now = self.at();
         if let Some(owner) = &self.nodes[number].owner {
-            let value = owner.parting(now).map(|record| bytes(&record));
+            let value = owner.handover_record(now).map(|record| bytes(&record));
             self.delayed_release = Some((owner.token, value));
             self.nodes[number].release();
         }
@@ -510,7 +516,7 @@
             if self.holder.is_some_and(|(token, _)| token == owner.token) {
                 owner.set_confirmed(now.steady);
             }
-            owner.work(now, &mut out);
+            owner.tick(now, &mut out);
         }
         self.execute(number, out, execution.delayed % 4 == 3);
         if self.nodes[number].owner.as_ref().is_some_and(Owner::is_deposed) {
@@ -566,13 +572,16 @@
         match effect {
             Effect::Start { to, start } if to.worker == id => {
                 let (task, run) = (start.task, start.run);
-                Some(Event::Started { worker: id, task, run, end: OrderEnd::Unknown })
-            }
-            Effect::Stop { to, task, run } if to.worker == id => {
-                Some(Event::Stopped { worker: id, task: *task, run: *run, end: OrderEnd::Unknown })
+                Some(Event::Started { worker: id, task, run, end: OrderResult::Unknown })
             }
-            Effect::Look { to, .. } if to.worker == id => {
-                Some(Event::Looked { worker: id, sent, end: OrderEnd::Unknown })
+            Effect::Stop { to, task, run } if to.worker == id => Some(Event::Stopped {
+                worker: id,
+                task: *task,
+                run: *run,
+                end: OrderResult::Unknown,
+            }),
+            Effect::Poll { to, .. } if to.worker == id => {
+                Some(Event::Polled { worker: id, sent, end: OrderResult::Unknown })
             }
             _ => None,
         }
@@ -587,11 +596,11 @@
                 let (worker, task, run) = (to.worker.clone(), start.task, start.run);
                 if delayed {
                     self.delayed_starts.push((to, start));
-                    return Some(Event::Started { worker, task, run, end: OrderEnd::Unknown });
+                    return Some(Event::Started { worker, task, run, end: OrderResult::Unknown });
                 }
                 let end = match self.start(&to, &start) {
-                    Ok(()) => OrderEnd::Done(self.clock_ms()),
-                    Err(why) => OrderEnd::Refused { why, clock_ms: None },
+                    Ok(()) => OrderResult::Done(self.clock_ms()),
+                    Err(why) => OrderResult::Refused { why, clock_ms: None },
                 };
                 Some(Event::Started { worker, task, run, end })
             }
@@ -601,20 +610,20 @@
                     Ok(runner) => {
                         if runner.runs.get(&task) == Some(&run) {
                             runner.runs.remove(&task);
-                            runner.end(task, run, HowEnded::Stopped);
+                            runner.end(task, run, RunOutcome::Stopped);
                         }
                         let highest = runner.ended_runs.entry(task).or_default();
                         *highest = run.max(*highest);
-                        OrderEnd::Done(clock_ms)
+                        OrderResult::Done(clock_ms)
                     }
-                    Err(why) => OrderEnd::Refused { why, clock_ms: None },
+                    Err(why) => OrderResult::Refused { why, clock_ms: None },
                 };
                 Some(Event::Stopped { worker: to.worker, task, run, end })
             }
-            Effect::Look { to, acknowledged, until_ms, .. } => {
+            Effect::Poll { to, acknowledged, until_ms, .. } => {
                 Some(self.poll(&to, acknowledged, until_ms))
             }
-            Effect::Pace { .. } | Effect::Advise { .. } => None,
+            Effect::Throttle { .. } | Effect::Advise { .. } => None,
         }
     }
 
@@ -646,31 +655,35 @@
         let runner = match self.receiver(to) {
             Ok(runner) => runner,
             Err(why) => {
-                let end = OrderEnd::Refused { why, clock_ms: None };
-                return Event::Looked { worker, sent, end };
+                let end = OrderResult::Refused { why, clock_ms: None };
+                return Event::Polled { worker, sent, end };
             }
         };
         runner.until_ms = runner.until_ms.max(until_ms.unwrap_or_default());
-        let (confirmed, left): (Vec<Ended>, Vec<Ended>) =
+        let (confirmed, left): (Vec<EndedRun>, Vec<EndedRun>) =
             std::mem::take(&mut runner.ends).into_iter().partition(|e| e.number <= acknowledged);
         runner.ends = left;
-        let present = runner.runs.iter().map(|(task, run)| Present {
+        let present = runner.runs.iter().map(|(task, run)| PresentRun {
             task: *task,
             run: *run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 50,
             gauge: 0,
         });
-        let response =
-            Look { born: None, clock_ms, present: present.collect(), ended: runner.ends.clone() };
-        for end in confirmed.iter().filter(|end| end.how == HowEnded::Done) {
+        let response = PollResponse {
+            born: None,
+            clock_ms,
+            present: present.collect(),
+            ended: runner.ends.clone(),
+        };
+        for end in confirmed.iter().filter(|end| end.how == RunOutcome::Done) {
             assert!(
                 self.is_end_durable(end.task),
                 "{}: its end is acknowledged and not durable",
                 end.task
             );
         }
-        Event::Looked { worker, sent, end: OrderEnd::Done(response) }
+        Event::Polled { worker, sent, end: OrderResult::Done(response) }
     }
 
     /// Whether the store holds that a task is done, or that it need not be done.
@@ -695,7 +708,7 @@
         let Some(owner) = self.nodes[number].owner.as_mut() else {
             return;
         };
-        let saves = owner.saves(15);
+        let saves = owner.take_saves(15);
         if !holds {
             // The write is refused, which reports the end of the ownership.
             if !saves.is_empty() {
@@ -705,16 +718,16 @@
         }
         for save in saves {
             let at = self.progress.get(&save.job).map(|(at, _)| *at).unwrap_or_default();
-            if at != save.expects {
+            if at != save.expected_revision {
                 let owner = self.nodes[number].owner.as_mut().unwrap();
                 owner.rebase(save.job, at);
-                owner.not_saved(&[save]);
+                owner.note_save_failed(&[save]);
                 continue;
             }
             let progress = serde_json::from_slice(&save.value).unwrap();
             let revision = self.write(keys::progress(save.job), Some(save.value.to_vec()));
             self.progress.insert(save.job, (revision, progress));
-            self.nodes[number].owner.as_mut().unwrap().saved(&[save], revision);
+            self.nodes[number].owner.as_mut().unwrap().note_saved(&[save], revision);
         }
     }
 
@@ -740,10 +753,11 @@
         for worker in &roster_write.dropped {
             self.write(keys::roster(&name, worker), None);
         }
-        self.silent_workers_at = self.write(keys::away(&name), Some(bytes(&roster_write.away)));
+        self.silent_workers_at =
+            self.write(keys::away(&name), Some(bytes(&roster_write.silent_workers)));
         self.nodes[number].silent_workers_at = self.silent_workers_at;
         let written_at = self.silent_workers_at;
-        self.nodes[number].owner.as_mut().unwrap().rostered(&roster_write, written_at);
+        self.nodes[number].owner.as_mut().unwrap().note_roster_written(&roster_write, written_at);
     }
 
     fn remove_finished(&mut self, number: usize) {
@@ -778,7 +792,7 @@
     fn finish(&mut self, number: usize) {
         let runner = &mut self.runners[number];
         self.done.extend(runner.runs.keys());
-        runner.end_all(HowEnded::Done);
+        runner.end_all(RunOutcome::Done);
     }
 
     fn deliver_starts(&mut self) {
@@ -899,9 +913,9 @@
             is_cancelled.then_some(Event::Cancelled(id))
         }
         Delta::Worker(report) if report.pool == pool() => Some(Event::Worker(report)),
-        Delta::Worker(report) => Some(Event::Elsewhere(report)),
+        Delta::Worker(report) => Some(Event::OtherPool(report)),
         Delta::Unlisted(id) => Some(Event::Unlisted(id)),
-        Delta::Barred(id) => Some(Event::Barred(id)),
+        Delta::Barred(id) => Some(Event::InvalidEntry(id)),
         Delta::Owner(_) => {
             release_if_replaced(node);
             None
@@ -944,7 +958,7 @@
         owner.handle(Event::Worker(at.value.clone()), now, out);
     }
     for id in node.view.barred.keys() {
-        owner.handle(Event::Barred(id.clone()), now, out);
+        owner.handle(Event::InvalidEntry(id.clone()), now, out);
     }
     for (id, known) in &node.view.jobs {
         if let Some(stored) = known.stored(*id) {
--- a/src/scheduler/tests/terms.rs
+++ b/src/scheduler/tests/terms.rs
@@ -9,7 +9,7 @@
 use std::{sync::Arc, time::Duration};
 
 use crate::{
-    jobs::owner::{LEASE_MS, OVERTIME_MS},
+    jobs::owner::{GRACE_PERIOD_MS, LEASE_MS},
     model::unit::Steady,
     scheduler::lease::{Lease, Tenure},
 };
@@ -32,7 +32,7 @@
 #[test]
 fn a_renewal_after_the_grace_period_restores_no_ownership() {
     let (lease, tenure) = acquired_at_start();
-    let later = LEASE_MS + OVERTIME_MS + 4_000;
+    let later = LEASE_MS + GRACE_PERIOD_MS + 4_000;
     lease.renewed(7, at(later), TTL, at(later));
     assert!(!tenure.allows_orders(at(later + 10)), "another node may have acquired it long ago");
     let reacquired = Tenure::new(&lease, 7, at(later + 10));
@@ -47,7 +47,7 @@
         tenure.allows_orders(at(LEASE_MS + 1_010)),
         "most often the store was unavailable to all nodes"
     );
-    assert!(!tenure.allows_orders(at(LEASE_MS + OVERTIME_MS)), "no write has confirmed it");
+    assert!(!tenure.allows_orders(at(LEASE_MS + GRACE_PERIOD_MS)), "no write has confirmed it");
 }
 
 #[test]
--- a/src/scheduler/tests/unsent.rs
+++ b/src/scheduler/tests/unsent.rs
@@ -15,7 +15,7 @@
     model::{
         order::{Addressee, Start},
         unit::Steady,
-        worker::OrderEnd,
+        worker::OrderResult,
     },
     scheduler::dispatch::{
         link::{Links, Outgoing},
@@ -46,15 +46,15 @@
 }
 
 fn poll() -> Effect {
-    Effect::Look { to: to(), acknowledged: 0, until_ms: None, wait: Duration::ZERO }
+    Effect::Poll { to: to(), acknowledged: 0, until_ms: None, wait: Duration::ZERO }
 }
 
-fn name_of<T>(result: &OrderEnd<T>) -> &'static str {
+fn name_of<T>(result: &OrderResult<T>) -> &'static str {
     match result {
-        OrderEnd::Done(_) => "done",
-        OrderEnd::Refused { .. } => "refused",
-        OrderEnd::Unknown => "unknown",
-        OrderEnd::Unsent => "unsent",
+        OrderResult::Done(_) => "done",
+        OrderResult::Refused { .. } => "refused",
+        OrderResult::Unknown => "unknown",
+        OrderResult::Unsent => "unsent",
     }
 }
 
@@ -77,7 +77,7 @@
         let on_result = move |event: Event, _| {
             let result = match event {
                 Event::Started { run, end, .. } => (run, name_of(&end)),
-                Event::Looked { end, .. } => (0, name_of(&end)),
+                Event::Polled { end, .. } => (0, name_of(&end)),
                 other => panic!("{other:?}"),
             };
             // The test may have ended.
--- a/src/scheduler/tests/watches.rs
+++ b/src/scheduler/tests/watches.rs
@@ -10,13 +10,13 @@
     jobs::{
         event::{Effect, Event},
         owner::Owner,
-        roster::Away,
+        roster::SilentWorkers,
     },
     model::{
         id::{Incarnation, PoolId},
-        job::{JobId, JobState, Room, Step, TaskId},
+        job::{JobId, JobState, Step, TaskId, TaskResources},
         unit::{Megabytes, Millicores, Now, Revision, Steady, Time},
-        worker::{Ended, HowEnded, Look, OrderEnd, Present, WorkerReport},
+        worker::{EndedRun, OrderResult, PollResponse, PresentRun, RunOutcome, WorkerReport},
     },
     platform::kv::Change,
     scheduler::{
@@ -69,7 +69,7 @@
     owners: u32,
     jobs: BTreeMap<JobId, Step>,
     runs: BTreeMap<TaskId, u32>,
-    ends: Vec<Ended>,
+    ends: Vec<EndedRun>,
     next_end: u64,
     /// Tasks whose end was acknowledged.
     acknowledged_tasks: BTreeSet<TaskId>,
@@ -87,7 +87,7 @@
         pool: pool(),
         address: "h1:80".to_owned(),
         zone: "hall-a".parse().unwrap(),
-        room: Room { cpu: Millicores(4_000), memory: Megabytes(8_000), gpus: 0 },
+        capacity: TaskResources { cpu: Millicores(4_000), memory: Megabytes(8_000), gpus: 0 },
         labels: vec!["a".to_owned(), "r1".to_owned()],
         leaves_ms: None,
     }
@@ -136,7 +136,7 @@
         self.owners += 1;
         self.owner_position = token.0 as usize;
         let (now, mut out) = (self.at(), Vec::new());
-        self.owner.inherit(vec![report()], &Away::default(), now, &mut out);
+        self.owner.inherit(vec![report()], &SilentWorkers::default(), now, &mut out);
         self.owner.handle(Event::Worker(report()), now, &mut out);
         for (id, known) in &self.view.jobs {
             if let Some(stored) = known.stored(*id) {
@@ -152,7 +152,7 @@
             return;
         }
         let id: JobId = format!("{number:016x}").parse().unwrap();
-        let need = Room { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
+        let need = TaskResources { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 2, need, estimate_ms: 100, ..Step::default() };
         self.jobs.insert(id, step.clone());
         self.write(keys::job(&pool(), id), Some(json(&sample::record(vec![step]))));
@@ -236,16 +236,26 @@
                     "{task} is started after its end was acknowledged"
                 );
                 self.runs.insert(task, run);
-                Some(Event::Started { worker: to.worker, task, run, end: OrderEnd::Done(clock_ms) })
+                Some(Event::Started {
+                    worker: to.worker,
+                    task,
+                    run,
+                    end: OrderResult::Done(clock_ms),
+                })
             }
             Effect::Stop { to, task, run } => {
                 self.runs.remove(&task);
-                Some(Event::Stopped { worker: to.worker, task, run, end: OrderEnd::Done(clock_ms) })
+                Some(Event::Stopped {
+                    worker: to.worker,
+                    task,
+                    run,
+                    end: OrderResult::Done(clock_ms),
+                })
             }
-            Effect::Look { to, acknowledged, .. } => {
+            Effect::Poll { to, acknowledged, .. } => {
                 Some(self.poll(to.worker, acknowledged, clock_ms))
             }
-            Effect::Pace { .. } | Effect::Advise { .. } => None,
+            Effect::Throttle { .. } | Effect::Advise { .. } => None,
         }
     }
 
@@ -256,33 +266,43 @@
             }
         }
         self.ends.retain(|end| acknowledged < end.number);
-        let present = self.runs.iter().map(|(task, run)| Present {
+        let present = self.runs.iter().map(|(task, run)| PresentRun {
             task: *task,
             run: *run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 50,
             gauge: 0,
         });
-        let response =
-            Look { born: None, clock_ms, present: present.collect(), ended: self.ends.clone() };
+        let response = PollResponse {
+            born: None,
+            clock_ms,
+            present: present.collect(),
+            ended: self.ends.clone(),
+        };
         let sent = Steady::from_millis(self.now);
-        Event::Looked { worker, sent, end: OrderEnd::Done(response) }
+        Event::Polled { worker, sent, end: OrderResult::Done(response) }
     }
 
     fn tick(&mut self) {
         self.now += 200;
         let (now, mut out) = (self.at(), Vec::new());
         self.owner.set_confirmed(now.steady);
-        self.owner.work(now, &mut out);
+        self.owner.tick(now, &mut out);
         self.execute(out);
         for (task, run) in std::mem::take(&mut self.runs) {
             let (number, saved) = (self.next_end, String::new());
             self.next_end += 1;
-            self.ends.push(Ended { number, task, run, how: HowEnded::Done, saved });
+            self.ends.push(EndedRun {
+                number,
+                task,
+                run,
+                how: RunOutcome::Done,
+                checkpoint: saved,
+            });
         }
         self.persist_progress();
         if let Some(roster_write) = self.owner.roster_note(29) {
-            self.owner.rostered(&roster_write, Revision(self.history.len() as u64));
+            self.owner.note_roster_written(&roster_write, Revision(self.history.len() as u64));
         }
         for id in self.owner.take_finished(32) {
             self.write(keys::job(&pool(), id), None);
@@ -290,17 +310,17 @@
     }
 
     fn persist_progress(&mut self) {
-        let saves = self.owner.saves(15);
+        let saves = self.owner.take_saves(15);
         for save in saves {
             let at = self.progress_at.get(&save.job).copied().unwrap_or_default();
-            if at != save.expects {
+            if at != save.expected_revision {
                 self.owner.rebase(save.job, at);
-                self.owner.not_saved(&[save]);
+                self.owner.note_save_failed(&[save]);
                 continue;
             }
             let revision = self.write(keys::progress(save.job), Some(save.value.to_vec()));
             self.progress_at.insert(save.job, revision);
-            self.owner.saved(&[save], revision);
+            self.owner.note_saved(&[save], revision);
         }
     }
 
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    jobs::{event::StoredJob, fleet::Leave, owner::HostUsage, roster::Away},
+    jobs::{event::StoredJob, fleet::HostAction, owner::HostUsage, roster::SilentWorkers},
     model::{
         id::{HostId, Incarnation, WorkerId},
         job::{JobId, JobRecord, JobState, Progress},
@@ -143,7 +143,7 @@
             record: record.value.clone(),
             revision: self.first_revision.unwrap_or(record.revision),
             progress: progress.map(|progress| progress.value.clone()),
-            saved_at: progress.map(|progress| progress.revision).unwrap_or_default(),
+            progress_revision: progress.map(|progress| progress.revision).unwrap_or_default(),
             cancelled: self.cancelled,
         })
     }
@@ -186,7 +186,7 @@
     pub(crate) owners: BTreeMap<String, At<OwnerRecord>>,
     pub(crate) terms: BTreeMap<String, At<TermRecord>>,
     pub(crate) nodes: BTreeMap<String, At<NodeRecord>>,
-    pub(crate) leaves: BTreeMap<HostId, At<Leave>>,
+    pub(crate) leaves: BTreeMap<HostId, At<HostAction>>,
     pub(crate) empties: BTreeMap<HostId, At<EmptyRecord>>,
     pub(crate) waves: BTreeMap<u64, At<WaveRecord>>,
     /// The usage of hosts, by pool.
@@ -195,7 +195,7 @@
     /// The workers that may run tasks of a pool, by pool and worker.
     pub(crate) rosters: BTreeMap<(String, Incarnation), At<WorkerReport>>,
     /// The silent workers on the rosters, by pool.
-    pub(crate) away: BTreeMap<String, At<Away>>,
+    pub(crate) away: BTreeMap<String, At<SilentWorkers>>,
     pub(crate) workers: BTreeMap<WorkerId, At<WorkerReport>>,
     /// Workers whose entry is invalid, with the last valid report.
     pub(crate) barred: BTreeMap<WorkerId, Option<WorkerReport>>,
@@ -461,7 +461,7 @@
                 return Err(RecordError::Unborn);
             }
             // Only another incarnation may have another place.
-            let has_moved = before.id == report.id && !before.has_place_of(&report);
+            let has_moved = before.id == report.id && !before.has_same_place(&report);
             if has_moved { Err(RecordError::Place) } else { Ok(report) }
         });
         match report {
@@ -547,7 +547,7 @@
 ) -> Option<At<WorkerReport>> {
     read(key, Some(value), revision, refused).or_else(|| {
         let pool = name.strip_prefix("pool-").unwrap_or(name);
-        let placeholder = WorkerReport::without_place(worker, pool);
+        let placeholder = WorkerReport::placeholder(worker, pool);
         let placeholder = placeholder.inspect_err(|error| log::error!("record {key}: {error}"));
         Some(At { value: placeholder.ok()?, revision })
     })
--- a/src/settings/fleet.rs
+++ b/src/settings/fleet.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     model::{
-        config::{Config, Domain, Pool, Resources, Service, Team},
+        config::{Config, FailureDomain, Pool, Resources, Service, Team},
         request::Class,
         unit::{Megabytes, Millicores, PerSecond},
     },
@@ -51,7 +51,7 @@
     let memory = section.number("memory_mb", 1..=16_000_000);
     let accelerators = section.number_or("accelerators", 0..=64, 0);
     let max_down = section.number("max_down", 0..=10_000);
-    let survive = section.text_or("survive", Domain::Rack);
+    let survive = section.text_or("survive", FailureDomain::Rack);
     let slots = section.number_or("slots", 1..=10_000, 8);
     let connections = section.number_or("connections", 1..=100_000, 64);
     let once = section.flag_or("once", false);
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     decide::{
-        claim::Keep,
+        claim::BucketLimits,
         rules::{Expected, Rules, Weights},
     },
     model::{
@@ -90,7 +90,7 @@
 pub(crate) struct Claims {
     /// Number of store keys over which claims are distributed.
     pub(crate) buckets: u32,
-    pub(crate) keep: Keep,
+    pub(crate) keep: BucketLimits,
 }
 
 /// The address of an HTTP server.
@@ -260,7 +260,7 @@
     let max_claims = section.number_or("most", 100..=5_000, 5_000);
     Some(Claims {
         buckets: buckets? as u32,
-        keep: Keep { span: max_age?, most: max_claims? as usize },
+        keep: BucketLimits { max_age: max_age?, max_claims: max_claims? as usize },
     })
 }
 
