--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,19 +1,19 @@
-//! The command line of the real binary: files, verbs and exit codes.
+//! Command line of the real binary: configuration files, subcommands and exit codes.
 
 mod common;
 
 use std::fs;
 
-use common::{folder, run, stderr, stdout};
+use common::{run, stderr, stdout, test_dir};
 
-fn file(text: &str) -> String {
-    let path = folder().join("file.json");
+fn write_file(text: &str) -> String {
+    let path = test_dir().join("file.json");
     fs::write(&path, text).unwrap();
     path.to_str().unwrap().to_owned()
 }
 
 #[test]
-fn the_examples_are_right() {
+fn the_example_files_pass_the_check() {
     for name in ["tyrehub-node", "partsbook-node"] {
         let output = run(&["check", &format!("examples/{name}.json")]);
         assert!(output.status.success(), "{}", stderr(&output));
@@ -25,8 +25,8 @@
 }
 
 #[test]
-fn every_problem_of_a_file_is_told_at_once() {
-    let path = file(
+fn all_errors_of_a_settings_file_are_reported_together() {
+    let path = write_file(
         r#"{
   "node": "no/slash",
   "zone": "a",
@@ -37,7 +37,7 @@
     );
     let output = run(&["check", &path]);
     assert_eq!(output.status.code(), Some(3));
-    let told = stderr(&output);
+    let errors = stderr(&output);
     for part in [
         ":2:11: field `node`: `no/slash` is not a node name",
         ":4:54: field `listen.operators`: `nowhere` is not an IP address and port, such as",
@@ -45,14 +45,14 @@
         "field `timing.lease_ms`: found 5; a whole number from 2000 to 120000 is allowed",
         "field `timing.hartbeat_ms`: there is no such field; did you mean `heartbeat_ms`?",
     ] {
-        assert!(told.contains(part), "missing {part} in:\n{told}");
+        assert!(errors.contains(part), "missing {part} in:\n{errors}");
     }
-    assert_eq!(told.lines().count(), 5, "{told}");
+    assert_eq!(errors.lines().count(), 5, "{errors}");
 }
 
 #[test]
-fn what_is_not_json_is_told_with_its_place() {
-    let output = run(&["check", &file("{\n  \"node\": entry\n}")]);
+fn invalid_json_is_reported_with_its_position() {
+    let output = run(&["check", &write_file("{\n  \"node\": entry\n}")]);
     assert_eq!(output.status.code(), Some(3));
     assert!(stderr(&output).contains(":2:"), "{}", stderr(&output));
     let output = run(&["check", "/nowhere/at/all.json"]);
@@ -61,33 +61,33 @@
 }
 
 #[test]
-fn a_field_that_is_given_twice_is_refused() {
-    let output = run(&["check", "--fleet", &file(r#"{"pools": {}, "pools": {}}"#)]);
+fn a_duplicate_field_is_rejected() {
+    let output = run(&["check", "--fleet", &write_file(r#"{"pools": {}, "pools": {}}"#)]);
     assert_eq!(output.status.code(), Some(3));
     assert!(stderr(&output).contains("it is given twice"), "{}", stderr(&output));
 }
 
 #[test]
-fn a_wrong_fleet_names_the_field() {
-    let path = file(
+fn errors_in_a_fleet_file_name_the_field() {
+    let path = write_file(
         r#"{"pools": {"a": {"hosts": 0}},
             "services": {"s": {"pool": "a", "team": "t", "tasks": 3, "cores_m": 1,
                                "memory_mb": 1, "max_down": 1, "class": "slow", "surge": 1}}}"#,
     );
     let output = run(&["check", "--fleet", &path]);
     assert_eq!(output.status.code(), Some(3));
-    let told = stderr(&output);
+    let errors = stderr(&output);
     for part in [
         "field `pools.a.hosts`: found 0; a whole number from 1 to 100000 is allowed",
         "field `services.s.class`: `slow` is not a class: urgent, normal or batch are allowed",
         "field `services.s.surge`: found 1; true or false is allowed",
     ] {
-        assert!(told.contains(part), "missing {part} in:\n{told}");
+        assert!(errors.contains(part), "missing {part} in:\n{errors}");
     }
 }
 
 #[test]
-fn wrong_verbs_and_options_end_with_two() {
+fn invalid_commands_and_options_exit_with_2() {
     for arguments in [
         &["serv"][..],
         &["status", "everything"],
@@ -103,15 +103,15 @@
 }
 
 #[test]
-fn a_node_that_is_not_there_ends_with_five() {
-    // Port 1 of the loopback is never listened on by tests.
+fn an_unreachable_node_exits_with_5() {
+    // No test listens on port 1 of the loopback interface.
     let output = run(&["status", "--node", "127.0.0.1:1"]);
     assert_eq!(output.status.code(), Some(5));
     assert!(stderr(&output).contains("node 127.0.0.1:1, status:"), "{}", stderr(&output));
 }
 
 #[test]
-fn help_and_completions_are_there() {
+fn help_and_completions_are_printed() {
     let output = run(&["--help"]);
     assert!(output.status.success());
     assert!(stdout(&output).contains("Exit codes"));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes for tests: the stand-in platform, workers and nodes of the real
-//! binary, on free ports of the loopback.
+//! A fleet of real processes for tests: the stand-in platform, stand-in workers and nodes of the
+//! real binary, on free loopback ports.
 
 #![allow(dead_code)]
 
@@ -22,16 +22,17 @@
 use ports::free_address;
 use serde_json::{Value, json};
 
-/// How long anything may take before a test gives up. No test passes or fails by time otherwise.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// How long a test waits for a condition before it fails; test results depend on time in no other
+/// way.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A process of the binary, killed when it is dropped.
 pub struct Process {
     child: Child,
-    /// What it printed when it was ready.
-    pub ready: String,
+    /// The address it printed when it was ready; empty for nodes.
+    pub address: String,
 }
 
 impl Drop for Process {
@@ -47,7 +48,7 @@
     command
 }
 
-/// Runs the binary to its end.
+/// Runs the binary and waits for it to exit.
 pub fn run(arguments: &[&str]) -> Output {
     binary().args(arguments).output().unwrap()
 }
@@ -62,38 +63,38 @@
 
 impl Process {
     /// Starts a process that prints a line when it is ready.
-    fn stand_in(arguments: &[&str]) -> Process {
+    fn spawn_stand_in(arguments: &[&str]) -> Process {
         let mut child =
             binary().args(arguments).stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap();
-        let mut ready = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut ready).unwrap();
-        let ready = ready.trim().rsplit(' ').next().unwrap_or_default().to_owned();
-        Process { child, ready }
+        let mut line = String::new();
+        BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
+        let address = line.trim().rsplit(' ').next().unwrap_or_default().to_owned();
+        Process { child, address }
     }
 
-    fn quiet(arguments: &[&str], log: &Path) -> Process {
+    fn spawn_node(arguments: &[&str], log: &Path) -> Process {
         let log = fs::OpenOptions::new().create(true).append(true).open(log).unwrap();
         let child = binary().args(arguments).stdout(Stdio::null()).stderr(log).spawn().unwrap();
-        Process { child, ready: String::new() }
+        Process { child, address: String::new() }
     }
 
     pub fn signal(&self, signal: Signal) {
         kill(Pid::from_raw(self.child.id() as i32), signal).unwrap();
     }
 
-    /// Kills the process without any warning.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Whether the process has ended, and with success.
-    pub fn ended(&mut self) -> Option<bool> {
+    /// Whether the process succeeded, once it has exited.
+    pub fn exit_success(&mut self) -> Option<bool> {
         self.child.try_wait().unwrap().map(|status| status.success())
     }
 }
 
-/// One node, with its addresses.
+/// A node and its addresses.
 pub struct Node {
     pub process: Process,
     pub callers: String,
@@ -102,7 +103,7 @@
     log: PathBuf,
 }
 
-/// Everything.
+/// The processes of one test.
 pub struct Fleet {
     pub nodes: Vec<Node>,
     pub workers: Process,
@@ -117,8 +118,8 @@
     }
 }
 
-/// A folder of its own for one test.
-pub fn folder() -> PathBuf {
+/// Creates a temporary directory for one test.
+pub fn test_dir() -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("caperhollow-{}-{number}", std::process::id()));
@@ -126,7 +127,7 @@
     dir
 }
 
-/// A fleet's configuration: one pool of eight hosts in two racks.
+/// The fleet configuration: one pool of eight hosts in two racks.
 pub const CONFIG: &str = r#"{
     "pools": { "all": { "hosts": 8 } },
     "teams": { "test": { "rate": 100000 } },
@@ -145,15 +146,15 @@
 impl Fleet {
     /// Starts a fleet, applies the configuration, and waits until every task is available.
     pub async fn start(nodes: usize) -> Fleet {
-        let dir = folder();
-        let platform = Process::stand_in(&["standin", "platform", "--listen", "127.0.0.1:0"]);
-        let workers = Process::stand_in(&[
+        let dir = test_dir();
+        let platform = Process::spawn_stand_in(&["standin", "platform", "--listen", "127.0.0.1:0"]);
+        let workers = Process::spawn_stand_in(&[
             "standin",
             "worker",
             "--listen",
             "127.0.0.1:0",
             "--platform",
-            &platform.ready,
+            &platform.address,
             "--hosts",
             "8",
             "--zones",
@@ -170,7 +171,7 @@
                 "node": format!("entry-{number}"),
                 "zone": format!("z{}", number % 2),
                 "listen": { "callers": own[0], "operators": own[1], "peers": own[2] },
-                "platform": { "store": platform.ready, "hosts": platform.ready },
+                "platform": { "store": platform.address, "hosts": platform.address },
                 "peers": peers,
                 "limits": { "request_bytes": 65536, "answer_bytes": 262144 },
                 "timing": { "lease_ms": 3000, "store_ms": 500 },
@@ -183,7 +184,10 @@
             fs::write(&path, settings.to_string()).unwrap();
             let log = dir.join(format!("entry-{number}.log"));
             started.push(Node {
-                process: Process::quiet(&["serve", "--settings", path.to_str().unwrap()], &log),
+                process: Process::spawn_node(
+                    &["serve", "--settings", path.to_str().unwrap()],
+                    &log,
+                ),
                 callers: own[0].clone(),
                 operators: own[1].clone(),
                 settings: path,
@@ -197,19 +201,19 @@
         fleet
     }
 
-    /// Starts a node again that was killed.
+    /// Restarts a node that was killed.
     pub fn restart(&mut self, node: usize) {
         let node = &mut self.nodes[node];
         let settings = node.settings.to_str().unwrap().to_owned();
-        node.process = Process::quiet(&["serve", "--settings", &settings], &node.log);
+        node.process = Process::spawn_node(&["serve", "--settings", &settings], &node.log);
     }
 
-    /// What a node has logged.
+    /// The log of a node.
     pub fn log(&self, node: usize) -> String {
         fs::read_to_string(&self.nodes[node].log).unwrap_or_default()
     }
 
-    /// Has a configuration accepted by the first node, as soon as it can.
+    /// Applies a configuration through the first node, retrying until it is accepted.
     pub async fn apply(&self, config: &str) {
         let path = self.dir.join("fleet.json");
         fs::write(&path, config).unwrap();
@@ -232,13 +236,13 @@
         eventually("every task to be available", || async {
             let rows = self.status(node, "services").await?;
             let services = rows["services"].as_array()?.clone();
-            let ready = services.iter().all(|row| row["available"] == row["tasks"]);
-            (services.len() == 2 && ready).then_some(())
+            let all_available = services.iter().all(|row| row["available"] == row["tasks"]);
+            (services.len() == 2 && all_available).then_some(())
         })
         .await;
     }
 
-    /// A list that `status` shows, as a node sees it.
+    /// A list of `status`, as a node reports it.
     pub async fn status(&self, node: usize, list: &str) -> Option<Value> {
         let url = format!("http://{}/v1/status/{list}", self.nodes[node].operators);
         let answer = self.client.get(url).timeout(Duration::from_secs(5)).send().await.ok()?;
@@ -257,7 +261,7 @@
         answer.json().await.ok()
     }
 
-    /// Proposes to drain hosts, and confirms it.
+    /// Proposes a drain of hosts and confirms the plan.
     pub async fn drain(&self, node: usize, hosts: &[&str]) -> String {
         let plan = self.propose(node, hosts).await;
         let decision = json!({ "digest": plan["digest"], "by": "test" });
@@ -286,40 +290,40 @@
         .await
     }
 
-    /// Changes how hosts or racks of the workers misbehave.
+    /// Sets the faults of hosts or racks of the stand-in workers.
     pub async fn worker_faults(&self, at: &[&str], faults: Value) {
-        let url = format!("http://{}/faults", self.workers.ready);
+        let url = format!("http://{}/faults", self.workers.address);
         let body = json!({ "at": at, "faults": faults });
         let answer = self.client.put(url).json(&body).send().await.unwrap();
         assert!(answer.status().is_success(), "{:?}", answer.text().await);
     }
 
-    /// Changes how every host misbehaves.
+    /// Sets the faults of all hosts.
     pub async fn all_worker_faults(&self, faults: Value) {
         self.worker_faults(&["r000", "r001"], faults).await;
     }
 
     pub async fn platform_faults(&self, faults: Value) {
-        let url = format!("{}/faults", self.platform.ready);
+        let url = format!("{}/faults", self.platform.address);
         let answer = self.client.put(url).json(&faults).send().await.unwrap();
         assert!(answer.status().is_success(), "{:?}", answer.text().await);
     }
 
-    /// Has something happen to the platform once.
-    pub async fn platform_once(&self, what: &str) {
-        let url = format!("{}/once", self.platform.ready);
-        let answer = self.client.put(url).json(&what).send().await.unwrap();
+    /// Triggers a one-time event at the stand-in platform.
+    pub async fn platform_once(&self, event: &str) {
+        let url = format!("{}/once", self.platform.address);
+        let answer = self.client.put(url).json(&event).send().await.unwrap();
         assert!(answer.status().is_success(), "{:?}", answer.text().await);
     }
 
     pub async fn counts(&self) -> Value {
-        let url = format!("{}/counts", self.platform.ready);
+        let url = format!("{}/counts", self.platform.address);
         self.client.get(url).send().await.unwrap().json().await.unwrap()
     }
 
-    /// What endpoints really ran.
+    /// The requests that the endpoints ran, as the stand-in workers counted them.
     pub async fn runs(&self) -> Value {
-        let url = format!("http://{}/runs", self.workers.ready);
+        let url = format!("http://{}/runs", self.workers.address);
         self.client.get(url).send().await.unwrap().json().await.unwrap()
     }
 
@@ -331,7 +335,7 @@
     }
 }
 
-/// An answer as its caller sees it.
+/// An answer as the caller sees it.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -357,22 +361,22 @@
     }
 }
 
-/// How often a request ran, by its identifier.
+/// How often the request with an identifier ran.
 pub fn ran(runs: &Value, request: &str) -> u64 {
     runs["by_request"][request].as_u64().unwrap_or(0)
 }
 
-/// Looks until something has come about.
+/// Polls `check` until it returns a value; fails the test after [`WAIT_TIMEOUT`].
 pub async fn eventually<T, F: Future<Output = Option<T>>>(
     what: &str,
-    mut look: impl FnMut() -> F,
+    mut check: impl FnMut() -> F,
 ) -> T {
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     loop {
-        if let Some(found) = look().await {
-            return found;
+        if let Some(value) = check().await {
+            return value;
         }
-        assert!(began.elapsed() < PATIENCE, "waited for {what} in vain");
-        tokio::time::sleep(LOOK_EVERY).await;
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/common/ports.rs
+++ b/tests/common/ports.rs
@@ -8,31 +8,32 @@
 
 use tokio::net::TcpSocket;
 
-/// The first port that is given. The system takes ports of connections from 32,768 on: one from
-/// there may be taken between its choice and its use.
+/// First port to hand out. The system assigns ephemeral ports from 32,768 on: a port in that range
+/// could be taken between its choice and its use.
 const FIRST_PORT: u32 = 10_000;
 
-/// Ports of one test process, and how many processes have some of their own.
-const BLOCK: u32 = 200;
+/// Ports per test process, and the number of such blocks.
+const BLOCK_PORTS: u32 = 200;
 const BLOCKS: u32 = 110;
 
-/// An address of this host where nobody listens; none is given twice by a process.
+/// A loopback address on which nobody listens. A process gets no address twice until it has used up
+/// its block.
 pub fn free_address() -> String {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
-    let block = FIRST_PORT + std::process::id() % BLOCKS * BLOCK;
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let block = FIRST_PORT + std::process::id() % BLOCKS * BLOCK_PORTS;
     loop {
-        let given = GIVEN.fetch_add(1, Ordering::Relaxed);
-        assert!(given < 10 * BLOCK, "no port is free");
-        let address = format!("127.0.0.1:{}", block + given % BLOCK);
+        let index = NEXT.fetch_add(1, Ordering::Relaxed);
+        assert!(index < 10 * BLOCK_PORTS, "no free port in the block");
+        let address = format!("127.0.0.1:{}", block + index % BLOCK_PORTS);
         if probe(address.parse().unwrap()).is_ok() {
             return address;
         }
     }
 }
 
-/// Whether nobody listens at an address: binds it without listening there. A process that another
-/// thread starts at the same moment holds a copy of the socket until it runs its own program, and
-/// a listening one would keep whoever was given the address from using it.
+/// Binds an address without listening; fails if somebody listens there. A process that another
+/// thread forks at the same moment inherits the socket until its exec, and a listening socket would
+/// then block the process that is to use the address.
 pub fn probe(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Waves, configuration and membership of real nodes, while nodes, hosts and the store fail.
+//! Waves, configuration and membership of real nodes while nodes, hosts and the store fail.
 
 mod common;
 
@@ -6,17 +6,17 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 
-/// The last change in force on each node, as one of them sees it.
-async fn changes(fleet: &Fleet, node: usize) -> Vec<(String, u64)> {
+/// The number of the last configuration change in force on each node, as one node reports it.
+async fn config_versions(fleet: &Fleet, node: usize) -> Vec<(String, u64)> {
     let Some(rows) = fleet.status(node, "nodes").await else { return Vec::new() };
     let row =
         |row: &Value| (row["node"].as_str().unwrap().to_owned(), row["config"].as_u64().unwrap());
     rows["nodes"].as_array().unwrap().iter().map(row).collect()
 }
 
-async fn own_change(fleet: &Fleet, node: usize) -> u64 {
+async fn own_config_version(fleet: &Fleet, node: usize) -> u64 {
     let name = format!("entry-{node}");
-    let all = changes(fleet, node).await;
+    let all = config_versions(fleet, node).await;
     all.into_iter().find(|(id, _)| *id == name).map_or(0, |(_, number)| number)
 }
 
@@ -25,14 +25,14 @@
 }
 
 #[tokio::test]
-async fn nothing_moves_before_the_confirmation_and_a_wave_ends() {
+async fn no_host_moves_before_a_plan_is_confirmed() {
     let fleet = Fleet::start(2).await;
     let plan = fleet.propose(0, &["w0000", "w0001"]).await;
     let id = plan["id"].as_str().unwrap();
     let states = |rows: Value| -> Vec<Value> {
         rows["hosts"].as_array().unwrap().iter().map(|row| row["state"].clone()).collect()
     };
-    // Several rounds of control pass, as the view's comparison with the store shows.
+    // Several iterations of the control loop pass in this time.
     for _ in 0..3 {
         let rows = fleet.status(1, "hosts").await.unwrap();
         assert!(states(rows).iter().all(|state| state == "serving"));
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn of_two_operators_who_confirm_or_cancel_one_wins() {
+async fn concurrent_confirm_and_cancel_have_a_winner() {
     let fleet = Fleet::start(2).await;
     let plan = fleet.propose(0, &["w0000"]).await;
     let id = plan["id"].as_str().unwrap().to_owned();
@@ -64,7 +64,7 @@
     let (confirm_path, cancel_path) = (format!("plans/{id}/confirm"), format!("plans/{id}/cancel"));
     let (one, two) =
         tokio::join!(fleet.post(0, &confirm_path, &confirm), fleet.post(1, &cancel_path, &cancel));
-    // A cancellation after the confirmation is right too; the other way round is not.
+    // A cancellation may follow the confirmation, but not the other way round.
     assert!(one.0 == 200 || two.0 == 200, "{one:?} {two:?}");
     if one.0 != 200 {
         assert!(one.1["error"].as_str().unwrap().contains("kofi"), "{one:?}");
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_plan_whose_base_moved_is_refused_with_a_fresh_one() {
+async fn an_outdated_plan_is_refused_with_a_fresh_one() {
     let fleet = Fleet::start(1).await;
     let stale = fleet.propose(0, &["w0000", "w0001"]).await;
     let other = fleet.drain(0, &["w0000"]).await;
@@ -88,15 +88,15 @@
     let path = format!("plans/{}/confirm", stale["id"].as_str().unwrap());
     let (status, answer) = fleet.post(0, &path, &right).await;
     assert_eq!(status, 409, "{answer}");
-    let told = answer["error"].as_str().unwrap();
-    assert!(told.contains("has changed"), "{told}");
+    let message = answer["error"].as_str().unwrap();
+    assert!(message.contains("has changed"), "{message}");
     let impossible = &answer["fresh"]["cost"]["impossible"]["w0000"];
     assert!(impossible.as_str().unwrap().contains(&other), "{answer}");
     fleet.wait_until_done(0, &other).await;
 }
 
 #[tokio::test]
-async fn another_node_carries_a_wave_on_when_one_is_killed() {
+async fn a_wave_continues_after_two_of_three_nodes_are_killed() {
     let mut fleet = Fleet::start(3).await;
     let id = fleet.drain(0, &["w0000", "w0001", "w0002"]).await;
     eventually("the wave to begin", || async {
@@ -105,7 +105,7 @@
         hosts.iter().any(|row| row["state"] != "serving").then_some(())
     })
     .await;
-    // Whichever drives the plan, it is one of those that are killed, one after the other.
+    // Node 0 must finish the wave, whichever node owns the plan.
     fleet.nodes[2].process.kill();
     fleet.nodes[1].process.kill();
     let view = fleet.wait_until_done(0, &id).await;
@@ -114,9 +114,9 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_request_off() {
+async fn a_drain_interrupts_no_running_request() {
     let fleet = Fleet::start(2).await;
-    // One long request at every slot that two nodes may have at one endpoint, and more.
+    // More long requests than two nodes may have running at one endpoint.
     let mut running = Vec::new();
     for number in 0..16 {
         let request = fleet
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn a_node_that_is_told_to_end_answers_first() {
+async fn a_node_answers_running_requests_before_it_exits() {
     let mut fleet = Fleet::start(2).await;
     let long = fleet.request(0, "GET", "echo/x").header("x-work-ms", "3000");
     let long = tokio::spawn(async move { send(long.header("x-request-id", "end-1")).await });
@@ -156,7 +156,7 @@
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "ran"), "{answer:?}");
     let mut success = None;
     while success.is_none() {
-        success = fleet.nodes[0].process.ended();
+        success = fleet.nodes[0].process.exit_success();
         tokio::time::sleep(std::time::Duration::from_millis(50)).await;
     }
     assert_eq!(success, Some(true));
@@ -166,16 +166,16 @@
 }
 
 #[tokio::test]
-async fn a_change_comes_into_force_everywhere_with_watches_cut() {
+async fn a_config_change_reaches_all_nodes_after_watches_are_cut() {
     let fleet = Fleet::start(3).await;
     for rate in [50_001, 50_002, 50_003] {
         fleet.platform_once("cut-watches").await;
         fleet.apply(&config_with_rate(rate)).await;
-        let number = own_change(&fleet, 0).await;
+        let number = own_config_version(&fleet, 0).await;
         eventually("the change to be in force everywhere", || async {
             let mut all = true;
             for node in 0..3 {
-                all &= number <= own_change(&fleet, node).await;
+                all &= number <= own_config_version(&fleet, node).await;
             }
             all.then_some(())
         })
@@ -184,15 +184,15 @@
 }
 
 #[tokio::test]
-async fn a_node_that_starts_while_the_store_is_down_serves_with_the_newest_configuration() {
+async fn a_node_started_during_a_store_outage_serves_with_the_newest_configuration() {
     let mut fleet = Fleet::start(3).await;
     fleet.apply(&config_with_rate(60_001)).await;
-    let number = own_change(&fleet, 0).await;
+    let number = own_config_version(&fleet, 0).await;
     fleet.nodes[2].process.kill();
     fleet.platform_faults(json!({ "outage": true })).await;
     fleet.restart(2);
     eventually("the configuration to come from peers", || async {
-        (own_change(&fleet, 2).await == number).then_some(())
+        (own_config_version(&fleet, 2).await == number).then_some(())
     })
     .await;
     eventually("the restarted node to serve", || async {
@@ -200,28 +200,28 @@
         (request.status() == 200).then_some(())
     })
     .await;
-    // The store comes back: the node stays where it is, and goes on from there.
+    // When the store is back, the node keeps its configuration and takes the next change.
     fleet.platform_faults(json!({})).await;
     fleet.apply(&config_with_rate(60_002)).await;
     eventually("the next change to arrive", || async {
-        let now = own_change(&fleet, 2).await;
-        assert!(number <= now, "went back from change {number} to {now}");
+        let now = own_config_version(&fleet, 2).await;
+        assert!(number <= now, "change {number} in force was replaced by {now}");
         (number < now).then_some(())
     })
     .await;
 }
 
 #[tokio::test]
-async fn a_node_that_was_frozen_past_its_lease_takes_part_again() {
+async fn a_node_frozen_past_its_lease_registers_again() {
     let fleet = Fleet::start(3).await;
     fleet.nodes[1].process.signal(Signal::SIGSTOP);
-    eventually("the registration to lapse", || async {
+    eventually("the registration to expire", || async {
         let rows = fleet.status(0, "nodes").await?;
         let row = rows["nodes"].as_array()?.iter().find(|row| row["node"] == "entry-1").cloned();
         row.is_none_or(|row| row["registered"] == false).then_some(())
     })
     .await;
-    // A wave goes on without it.
+    // A wave completes without the frozen node.
     let id = fleet.drain(0, &["w0000"]).await;
     fleet.wait_until_done(0, &id).await;
     fleet.nodes[1].process.signal(Signal::SIGCONT);
@@ -236,18 +236,18 @@
 }
 
 #[tokio::test]
-async fn a_stuck_host_does_not_hold_a_wave() {
+async fn a_stuck_host_does_not_block_a_wave() {
     let fleet = Fleet::start(1).await;
     fleet.worker_faults(&["w0001"], json!({ "stuck": true })).await;
     let id = fleet.drain(0, &["w0000", "w0001", "w0002"]).await;
     let view = fleet.wait_until_done(0, &id).await;
     assert_eq!((view["done"].clone(), view["skipped"].clone()), (json!(2), json!(1)), "{view}");
-    let told = view["hosts"]["w0001"].as_str().unwrap();
-    assert!(told.contains("did not come back"), "{view}");
+    let message = view["hosts"]["w0001"].as_str().unwrap();
+    assert!(message.contains("did not come back"), "{view}");
 }
 
 #[tokio::test]
-async fn a_cancelled_plan_gives_everything_back() {
+async fn a_cancelled_plan_releases_all_hosts_and_permits() {
     let fleet = Fleet::start(2).await;
     // A request that runs for long keeps the first host from leaving.
     fleet.worker_faults(&["w0000"], json!({ "never_ready": false })).await;
@@ -266,7 +266,7 @@
     .await;
 }
 
-/// Hosts with their states and epochs, as a node sees them.
+/// Hosts with their states and epochs, as a node reports them.
 async fn hosts(fleet: &Fleet, node: usize) -> Option<Vec<(String, String, u64)>> {
     let rows = fleet.status(node, "hosts").await?;
     let row = |row: &Value| {
@@ -276,15 +276,15 @@
     Some(rows["hosts"].as_array()?.iter().map(row).collect())
 }
 
-/// Moves of each service so far.
+/// The number of moves of each service so far.
 async fn moves(fleet: &Fleet) -> Vec<Value> {
     let rows = fleet.status(0, "services").await.unwrap();
     rows["services"].as_array().unwrap().iter().map(|row| row["moves"].clone()).collect()
 }
 
-/// Waits until the first node's view is known to be older than so many seconds.
+/// Waits until the first node reports that its view is older than `seconds`.
 async fn wait_until_view_is_older(fleet: &Fleet, seconds: u64) {
-    eventually("the view to be known to be old", || async {
+    eventually("the view to be reported as old", || async {
         let rows = fleet.status(0, "nodes").await?;
         let own = rows["nodes"].as_array()?.iter().find(|row| row["node"] == "entry-0")?.clone();
         (seconds < own["view_age"]["secs"].as_u64()?).then_some(())
@@ -292,8 +292,8 @@
     .await;
 }
 
-/// Waits until some host is no longer as it was when everything served.
-async fn wait_until_begun(fleet: &Fleet) {
+/// Waits until some host is no longer serving.
+async fn wait_until_wave_begins(fleet: &Fleet) {
     eventually("the wave to begin", || async {
         let hosts = hosts(fleet, 0).await?;
         hosts.iter().any(|(_, state, _)| state != "serving").then_some(())
@@ -302,12 +302,12 @@
 }
 
 #[tokio::test]
-async fn while_the_store_is_down_nothing_voluntary_moves_and_the_wave_ends_after_it() {
+async fn a_wave_pauses_during_a_store_outage_and_completes_after_it() {
     let fleet = Fleet::start(2).await;
     let id = fleet.drain(0, &["w0000", "w0001", "w0002", "w0003"]).await;
-    wait_until_begun(&fleet).await;
+    wait_until_wave_begins(&fleet).await;
     fleet.platform_faults(json!({ "outage": true })).await;
-    // A node's view ages for as long as the store does not answer.
+    // The node's view ages while the store does not answer.
     wait_until_view_is_older(&fleet, 2).await;
     let before = hosts(&fleet, 0).await.unwrap();
     wait_until_view_is_older(&fleet, 5).await;
@@ -320,7 +320,7 @@
 }
 
 #[tokio::test]
-async fn without_the_list_of_hosts_requests_go_on_and_waves_wait() {
+async fn without_the_list_of_hosts_requests_continue_and_waves_wait() {
     let fleet = Fleet::start(1).await;
     let before = moves(&fleet).await;
     fleet.platform_faults(json!({ "list_outage": true })).await;
@@ -333,7 +333,7 @@
         waits.then_some(())
     })
     .await;
-    // A list that cannot be read kills no host: nothing is repaired, and requests go on.
+    // An unreadable list does not mean that hosts are dead: nothing is repaired, requests continue.
     assert_eq!(moves(&fleet).await, before);
     let answer = send(fleet.request(0, "GET", "echo/x")).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "ran"), "{answer:?}");
@@ -343,10 +343,10 @@
 }
 
 #[tokio::test]
-async fn all_nodes_replaced_at_once_carry_a_wave_on() {
+async fn a_wave_continues_after_all_nodes_restart_at_once() {
     let mut fleet = Fleet::start(3).await;
     let id = fleet.drain(0, &["w0000", "w0001", "w0002"]).await;
-    wait_until_begun(&fleet).await;
+    wait_until_wave_begins(&fleet).await;
     for node in 0..3 {
         fleet.nodes[node].process.kill();
     }
@@ -366,10 +366,10 @@
 }
 
 #[tokio::test]
-async fn nodes_whose_leases_lapse_register_again_and_the_wave_ends() {
+async fn nodes_register_again_after_their_leases_expire_and_the_wave_completes() {
     let fleet = Fleet::start(2).await;
     let id = fleet.drain(0, &["w0000", "w0001"]).await;
-    wait_until_begun(&fleet).await;
+    wait_until_wave_begins(&fleet).await;
     fleet.platform_once("lapse-leases").await;
     let view = fleet.wait_until_done(0, &id).await;
     assert_eq!(view["done"], 2, "{view}");
@@ -383,9 +383,9 @@
 }
 
 #[tokio::test]
-async fn a_compacted_history_loses_no_change() {
+async fn no_config_change_is_lost_to_a_compaction_of_the_store() {
     let fleet = Fleet::start(2).await;
-    let before = own_change(&fleet, 1).await;
+    let before = own_config_version(&fleet, 1).await;
     fleet.nodes[1].process.signal(Signal::SIGSTOP);
     for rate in [70_001, 70_002] {
         fleet.apply(&config_with_rate(rate)).await;
@@ -394,8 +394,8 @@
     fleet.platform_once("cut-watches").await;
     fleet.nodes[1].process.signal(Signal::SIGCONT);
     eventually("the frozen node to have every change", || async {
-        let now = own_change(&fleet, 1).await;
-        assert!(before <= now, "went back from change {before} to {now}");
+        let now = own_config_version(&fleet, 1).await;
+        assert!(before <= now, "change {before} in force was replaced by {now}");
         (before + 2 <= now).then_some(())
     })
     .await;
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Callers' requests through real nodes, while endpoints, nodes and the store fail.
+//! Callers' requests through real nodes while endpoints, nodes and the store fail.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[tokio::test]
-async fn a_request_gets_its_own_whole_answer() {
+async fn a_request_gets_its_own_complete_answer() {
     let fleet = Fleet::start(2).await;
     for node in 0..2 {
         let id = format!("whole-{node}");
@@ -21,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn what_is_wrong_with_a_request_is_told_and_it_does_not_run() {
+async fn an_invalid_request_is_rejected_with_a_reason_and_does_not_run() {
     let fleet = Fleet::start(1).await;
     let url = format!("http://{}/echo/x", fleet.nodes[0].callers);
     let cases = [
@@ -60,12 +60,10 @@
     }
 }
 
-/// What callers saw: now and then a request got no answer, right after another one whose body was too
-/// large. The node ends a connection on which it has not read the whole body, and had not said so:
-/// the caller's next request was on its way there. Evidence: a run of all tests in which the case
-/// after the one that is too large met a closed connection.
+/// A node closes a connection on which it has not read the whole body. Without a `connection: close`
+/// header the caller sends its next request on that connection and gets no answer.
 #[tokio::test]
-async fn a_caller_is_told_that_its_connection_ends_where_its_body_was_not_read() {
+async fn an_answer_to_an_unread_body_announces_the_close_of_the_connection() {
     let fleet = Fleet::start(1).await;
     let large = fleet.request(0, "POST", "echo/x").body(vec![b'x'; 70_000]);
     let answer = large.send().await.unwrap();
@@ -73,20 +71,20 @@
     assert_eq!(answer.headers().get("connection").unwrap(), "close");
     let answer = fleet.request(0, "GET", "nothing/x").send().await.unwrap();
     assert_eq!(answer.status(), 404);
-    assert!(answer.headers().get("connection").is_none(), "nothing was left unread");
+    assert!(answer.headers().get("connection").is_none(), "no body was left unread");
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_never_passed_on() {
+async fn a_truncated_answer_is_never_passed_on() {
     let fleet = Fleet::start(1).await;
-    // Each endpoint breaks off its next answer; a repeatable request finds a whole one.
+    // Each endpoint truncates its next answer; a repeatable request may be retried elsewhere.
     fleet.all_worker_faults(json!({ "endpoint": { "die_mid_answer": 1 } })).await;
     let answer = send(fleet.request(0, "GET", "echo/x").header("x-request-id", "b-1")).await;
     assert!(matches!(answer.outcome.as_str(), "ran" | "unknown"), "{answer:?}");
     if answer.outcome == "ran" {
         assert!(answer.body.ends_with(" end b-1"), "{answer:?}");
     }
-    // One that may not run twice is not sent again: its outcome is not known.
+    // A request that may not run twice is not retried: its outcome is unknown.
     fleet.all_worker_faults(json!({ "endpoint": { "die_mid_answer": 1000 } })).await;
     let answer = send(fleet.request(0, "POST", "echo/x").header("x-request-id", "b-2")).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"), "{answer:?}");
@@ -103,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_after_the_deadline_is_not_waited_for() {
+async fn an_answer_after_the_deadline_is_dropped() {
     let fleet = Fleet::start(1).await;
     let late = fleet
         .request(0, "POST", "echo/x")
@@ -112,7 +110,7 @@
         .header("x-request-id", "late-1");
     let answer = send(late).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (502, "unknown"), "{answer:?}");
-    // The late answer goes to nobody: the next ones get their own.
+    // The late answer is dropped: later requests get their own answers.
     for number in 0..20 {
         let id = format!("after-{number}");
         let answer = send(fleet.request(0, "GET", "echo/x").header("x-request-id", &id)).await;
@@ -121,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_over_the_limit_is_refused_and_known_to_have_run() {
+async fn an_oversized_answer_is_refused_and_its_request_is_reported_as_run() {
     let fleet = Fleet::start(1).await;
     let large = fleet.request(0, "GET", "echo/x").header("x-answer-bytes", "1000000");
     let answer = send(large.header("x-request-id", "large-1")).await;
@@ -130,29 +128,29 @@
 }
 
 #[tokio::test]
-async fn a_refusal_everywhere_is_told_at_once_with_a_time_to_come_back() {
+async fn a_refusal_by_all_endpoints_is_answered_with_retry_after() {
     let fleet = Fleet::start(1).await;
     fleet.all_worker_faults(json!({ "endpoint": { "refuse": true } })).await;
     let answer = send(fleet.request(0, "POST", "echo/x").header("x-request-id", "r-1")).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (503, "not-run"), "{answer:?}");
     assert!(answer.retry_after.is_some(), "{answer:?}");
     assert_eq!(ran(&fleet.runs().await, "r-1"), 0);
-    // No endpoint is switched off for good by its refusals.
+    // Refusals do not exclude an endpoint for good.
     fleet.all_worker_faults(json!({})).await;
     let answer = send(fleet.request(0, "GET", "echo/x")).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (200, "ran"), "{answer:?}");
 }
 
 #[tokio::test]
-async fn a_key_that_comes_to_two_nodes_at_once_runs_once() {
+async fn an_idempotency_key_sent_to_two_nodes_at_once_runs_once() {
     let fleet = Fleet::start(2).await;
     for number in 0..10 {
         let key = format!("key-{number}");
-        let ask = |node: usize| {
+        let submit = |node: usize| {
             let request = fleet.request(node, "POST", "orders/x");
             send(request.header("idempotency-key", &key))
         };
-        let answers = tokio::join!(ask(0), ask(1), ask(0), ask(1));
+        let answers = tokio::join!(submit(0), submit(1), submit(0), submit(1));
         let answers = [answers.0, answers.1, answers.2, answers.3];
         let ran = answers.iter().filter(|answer| answer.status == 200).count();
         assert_eq!(ran, 1, "{answers:?}");
@@ -166,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn a_key_whose_claim_was_written_without_an_answer_does_not_run_twice() {
+async fn a_key_does_not_run_twice_when_the_answer_to_its_claim_is_lost() {
     let fleet = Fleet::start(2).await;
     fleet.platform_faults(json!({ "lose_answers": 3 })).await;
     let mut outcomes = Vec::new();
@@ -176,32 +174,32 @@
         outcomes.push(answer.outcome);
     }
     let runs = fleet.runs().await;
-    let times = runs["by_key"]["lost-1"].as_u64().unwrap_or(0);
-    assert!(times <= 1, "{outcomes:?}, ran {times} times");
+    let run_count = runs["by_key"]["lost-1"].as_u64().unwrap_or(0);
+    assert!(run_count <= 1, "{outcomes:?}, ran {run_count} times");
 }
 
 #[tokio::test]
-async fn a_key_of_a_node_that_was_killed_is_not_run_again() {
+async fn a_key_claimed_by_a_killed_node_does_not_run_again() {
     let mut fleet = Fleet::start(2).await;
     let slow = fleet
         .request(0, "POST", "orders/x")
         .header("idempotency-key", "killed-1")
         .header("x-work-ms", "60000");
-    let asked = tokio::spawn(slow.send());
+    let response = tokio::spawn(slow.send());
     eventually("the request to run", || async {
         (fleet.runs().await["by_key"]["killed-1"] == 1).then_some(())
     })
     .await;
     fleet.nodes[0].process.kill();
-    assert!(asked.await.unwrap().is_err());
-    let again = fleet.request(1, "POST", "orders/x").header("idempotency-key", "killed-1");
-    let answer = send(again).await;
+    assert!(response.await.unwrap().is_err());
+    let retry = fleet.request(1, "POST", "orders/x").header("idempotency-key", "killed-1");
+    let answer = send(retry).await;
     assert_eq!((answer.status, answer.outcome.as_str()), (409, "unknown"), "{answer:?}");
     assert_eq!(fleet.runs().await["by_key"]["killed-1"], 1);
 }
 
 #[tokio::test]
-async fn while_the_store_is_down_repeatable_requests_go_on() {
+async fn repeatable_requests_continue_during_a_store_outage() {
     let fleet = Fleet::start(2).await;
     fleet.platform_faults(json!({ "outage": true })).await;
     let answer = send(fleet.request(0, "GET", "echo/x")).await;
@@ -220,7 +218,7 @@
 }
 
 #[tokio::test]
-async fn a_host_that_dies_takes_no_repeatable_request_with_it() {
+async fn repeatable_requests_survive_dead_hosts() {
     let fleet = Fleet::start(1).await;
     fleet.worker_faults(&["r000"], json!({ "dead": true })).await;
     for number in 0..40 {
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Scheduler nodes of the real binary against the stand-in site, as callers see them.
+//! Callers' view of scheduler nodes of the real binary that run against the stand-in site.
 
 #[path = "common/ports.rs"]
 mod ports;
@@ -25,13 +25,14 @@
     time::{Instant, sleep},
 };
 
-/// How long anything may take before a test gives up. No test passes or fails by time otherwise.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Time between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(30);
+/// How long a test waits for a condition before it fails; test results depend on time in no other
+/// way.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 const HOST: &str = "shop.example";
 
-/// A process of the binary, killed by its id when it is dropped.
+/// A process of the binary, killed when dropped.
 struct Process(Child);
 
 impl Drop for Process {
@@ -49,13 +50,13 @@
     peers: String,
 }
 
-/// What differs between nodes.
-struct Shape<'a> {
-    /// Where the store is reached.
+/// Settings that differ between nodes.
+struct NodeOptions<'a> {
+    /// Address of the store.
     store: &'a str,
-    /// Processor time.
+    /// Processor time, in cores.
     cores: f64,
-    /// Nodes that hear of everything.
+    /// How many nodes hold a full view.
     replicas: u32,
 }
 
@@ -63,21 +64,21 @@
     _process: Process,
     address: String,
     client: Client,
-    folder: PathBuf,
+    dir: PathBuf,
 }
 
 fn binary() -> Command {
     Command::new(env!("CARGO_BIN_EXE_caperhollow"))
 }
 
-async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+async fn wait_until<T>(what: &str, mut check: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
-            return found;
+        if let Some(value) = check().await {
+            return value;
         }
-        assert!(Instant::now() < end, "{what}: not seen in time");
-        sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -98,10 +99,10 @@
         let mut ready = String::new();
         BufReader::new(child.stdout.take().unwrap()).read_line(&mut ready).unwrap();
         let address = ready.trim().rsplit(' ').next().unwrap().to_owned();
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("scheduler-{name}"));
-        fs::create_dir_all(&folder).unwrap();
+        let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("scheduler-{name}"));
+        fs::create_dir_all(&dir).unwrap();
         let client = Client::builder().no_proxy().timeout(Duration::from_secs(8)).build().unwrap();
-        let site = Site { _process: Process(child), address, client, folder };
+        let site = Site { _process: Process(child), address, client, dir };
         site.configure(1, &["/quotes/"]).await;
         site
     }
@@ -124,29 +125,29 @@
         assert_eq!(answer.status(), StatusCode::OK);
     }
 
-    async fn faults(&self, faults: Value) {
+    async fn set_faults(&self, faults: Value) {
         let url = format!("http://{}/faults", self.address);
         let answer = self.client.post(url).json(&faults).send().await.unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
     }
 
-    /// Has workers not hear orders with some tokens.
-    async fn unheard(&self, unheard: Value) {
+    /// Makes workers drop orders whose fencing token is in a range.
+    async fn drop_orders(&self, dropped_orders: Value) {
         let url = format!("http://{}/unheard", self.address);
-        let answer = self.client.post(url).json(&unheard).send().await.unwrap();
+        let answer = self.client.post(url).json(&dropped_orders).send().await.unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
     }
 
-    /// How many orders a worker has heard under a token.
-    async fn heard(&self, worker: u64, token: u64) -> u64 {
+    /// How many orders with a fencing token a worker has received.
+    async fn received_orders(&self, worker: u64, token: u64) -> u64 {
         let url = format!("http://{}/heard", self.address);
         let all: Value = self.client.get(url).send().await.unwrap().json().await.unwrap();
         let mut all = all.as_array().unwrap().iter();
-        let mine = all.find(|one| one["worker"] == json!(worker) && one["token"] == json!(token));
-        mine.map_or(0, |one| one["orders"].as_u64().unwrap())
+        let entry = all.find(|one| one["worker"] == json!(worker) && one["token"] == json!(token));
+        entry.map_or(0, |one| one["orders"].as_u64().unwrap())
     }
 
-    /// The token of the pool's owner.
+    /// The fencing token of the pool's owner.
     async fn token(&self) -> Option<u64> {
         let url = format!("http://{}/-/kv-key", self.address);
         let query = [("private_key", "ch/work/pool-work/owner")];
@@ -154,53 +155,54 @@
         answer.json::<Value>().await.ok()?["revision"].as_u64()
     }
 
-    /// Sets what is wrong with a worker.
-    async fn trouble(&self, worker: u64, trouble: Value) {
+    /// Sets the faults of a worker.
+    async fn set_worker_faults(&self, worker: u64, worker_faults: Value) {
         let url = format!("http://{}/trouble?{worker}", self.address);
-        let answer = self.client.post(url).json(&trouble).send().await.unwrap();
+        let answer = self.client.post(url).json(&worker_faults).send().await.unwrap();
         assert_eq!(answer.status(), StatusCode::OK);
     }
 
-    async fn counted(&self) -> Value {
+    async fn run_counts(&self) -> Value {
         let url = format!("http://{}/counted", self.address);
         self.client.get(url).send().await.unwrap().json().await.unwrap()
     }
 
     async fn node(&self, name: &str) -> Node {
-        self.node_by(name, &self.address).await
+        self.node_with_store(name, &self.address).await
     }
 
-    /// A node that reaches the store at an address of its own.
-    async fn node_by(&self, name: &str, store: &str) -> Node {
-        self.node_of(name, Shape { store, ..self.shape() }).await
+    /// Starts a node that reaches the store at the given address.
+    async fn node_with_store(&self, name: &str, store: &str) -> Node {
+        self.node_with_options(name, NodeOptions { store, ..self.options() }).await
     }
 
-    /// What nodes are unless a test says otherwise.
-    fn shape(&self) -> Shape<'_> {
-        Shape { store: &self.address, cores: 1.0, replicas: 12 }
+    /// The default options of a node.
+    fn options(&self) -> NodeOptions<'_> {
+        NodeOptions { store: &self.address, cores: 1.0, replicas: 12 }
     }
 
-    /// Three nodes with so little processor time that whichever owns the pool leaves the calls to
-    /// workers to those that own nothing.
+    /// Starts three nodes with so little processor time that the owner of the pool delegates its calls
+    /// to workers to the nodes that own nothing.
     async fn small_nodes(&self) -> Vec<Node> {
         let mut nodes = Vec::new();
         for name in ["one", "two", "three"] {
-            nodes.push(self.node_of(name, Shape { cores: 0.001, ..self.shape() }).await);
+            nodes.push(
+                self.node_with_options(name, NodeOptions { cores: 0.001, ..self.options() }).await,
+            );
         }
         nodes
     }
 
-    /// The nodes, by their places, to which another has opened a link for its orders.
-    fn helpers(&self) -> Vec<usize> {
-        let log =
-            |name: &&str| fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap();
+    /// Indexes of the nodes to which the owner has opened a link for its orders.
+    fn delegates(&self) -> Vec<usize> {
+        let log = |name: &&str| fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap();
         let names = ["one", "two", "three"];
         let opened = |name: &&str| log(name).contains("orders: link opened");
-        names.iter().enumerate().filter(|(_, name)| opened(name)).map(|(place, _)| place).collect()
+        names.iter().enumerate().filter(|(_, name)| opened(name)).map(|(index, _)| index).collect()
     }
 
-    async fn node_of(&self, name: &str, shape: Shape<'_>) -> Node {
-        let Shape { store, cores, replicas } = shape;
+    async fn node_with_options(&self, name: &str, options: NodeOptions<'_>) -> Node {
+        let NodeOptions { store, cores, replicas } = options;
         let [callers, readiness, metrics, peers] = [(); 4].map(|()| free_address());
         let settings = json!({
             "node": name, "zone": "hall-a", "cpu_cores": cores, "replicas": replicas,
@@ -210,13 +212,13 @@
             "platform": { "store": store, "hosts": self.address },
             "stop": { "grace_ms": 3000 },
         });
-        let path = self.folder.join(format!("{name}.json"));
+        let path = self.dir.join(format!("{name}.json"));
         fs::write(&path, format!("// Of a test.\n{settings}")).unwrap();
-        let log = fs::File::create(self.folder.join(format!("{name}.log"))).unwrap();
+        let log = fs::File::create(self.dir.join(format!("{name}.log"))).unwrap();
         let child =
             binary().arg("schedule").arg("--settings").arg(&path).stdout(log).spawn().unwrap();
         let mut node = Node { process: Process(child), callers, readiness, metrics, peers };
-        until("readiness", async || {
+        wait_until("readiness", async || {
             let ended = node.process.0.try_wait().unwrap();
             assert!(ended.is_none(), "node {name} has ended: {ended:?}");
             self.is_ready(&node).await.then_some(())
@@ -230,7 +232,7 @@
         self.client.get(url).send().await.is_ok_and(|answer| answer.status() == StatusCode::OK)
     }
 
-    async fn hand_in(&self, node: &Node, id: &str, job: &Value) -> StatusCode {
+    async fn submit(&self, node: &Node, id: &str, job: &Value) -> StatusCode {
         let url = format!("http://{}/quotes/{id}", node.callers);
         let request = self.client.post(url).header("Host", HOST).json(job);
         request.send().await.unwrap().status()
@@ -252,13 +254,13 @@
         answer.json::<Value>().await.ok()?["pending"].as_u64()
     }
 
-    async fn until_state(&self, node: &Node, id: &str, wanted: &str) {
+    async fn wait_for_state(&self, node: &Node, id: &str, wanted: &str) {
         let what = format!("job {id} {wanted}");
-        until(&what, async || (self.state(node, id).await? == wanted).then_some(())).await;
+        wait_until(&what, async || (self.state(node, id).await? == wanted).then_some(())).await;
     }
 }
 
-/// A way to the store that can be closed.
+/// A proxy to the store that can be closed.
 struct Gate {
     address: String,
     closed: watch::Sender<bool>,
@@ -267,17 +269,17 @@
 impl Gate {
     async fn before(address: &str) -> Gate {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let own = listener.local_addr().unwrap().to_string();
+        let own_address = listener.local_addr().unwrap().to_string();
         let (closed, mut is_closed) = watch::channel(false);
-        let behind = address.to_owned();
+        let upstream = address.to_owned();
         tokio::spawn(async move {
             while let Ok((mut caller, _)) = listener.accept().await {
                 if *is_closed.borrow_and_update() {
                     continue;
                 }
-                let (behind, mut is_closed) = (behind.clone(), is_closed.clone());
+                let (upstream, mut is_closed) = (upstream.clone(), is_closed.clone());
                 tokio::spawn(async move {
-                    let mut store = TcpStream::connect(behind).await.unwrap();
+                    let mut store = TcpStream::connect(upstream).await.unwrap();
                     tokio::select! {
                         _ = copy_bidirectional(&mut caller, &mut store) => {}
                         _ = is_closed.wait_for(|closed| *closed) => {}
@@ -285,11 +287,11 @@
                 });
             }
         });
-        Gate { address: own, closed }
+        Gate { address: own_address, closed }
     }
 }
 
-fn two_steps() -> Value {
+fn two_step_job() -> Value {
     json!({
         "spec": "300",
         "steps": [
@@ -300,147 +302,151 @@
 }
 
 #[tokio::test]
-async fn a_job_is_kept_once_run_once_and_shown_by_every_node() {
+async fn a_job_submitted_twice_runs_once_and_is_visible_on_every_node() {
     let site = Site::start("once", 3).await;
     let (one, two) = (site.node("one").await, site.node("two").await);
     let id = "00000000000000a1";
-    assert_eq!(site.hand_in(&one, id, &two_steps()).await, StatusCode::OK);
-    assert_eq!(site.hand_in(&two, id, &two_steps()).await, StatusCode::OK);
-    site.until_state(&two, id, "succeeded").await;
-    site.until_state(&one, id, "succeeded").await;
-    let counted = site.counted().await;
-    assert_eq!((&counted["twice"], &counted["starts"]), (&json!(0), &json!(5)));
+    assert_eq!(site.submit(&one, id, &two_step_job()).await, StatusCode::OK);
+    assert_eq!(site.submit(&two, id, &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&two, id, "succeeded").await;
+    site.wait_for_state(&one, id, "succeeded").await;
+    let run_counts = site.run_counts().await;
+    assert_eq!((&run_counts["twice"], &run_counts["starts"]), (&json!(0), &json!(5)));
     assert_eq!(site.state(&two, "00000000000000ff").await.unwrap(), "410");
 }
 
-/// A worker that starts again under its identifier counts its ends from 1 again.
+/// A worker that restarts under its identifier numbers the ends of its runs from 1 again.
 #[tokio::test]
-async fn a_task_that_is_done_at_a_worker_that_started_again_under_its_id_does_not_run_again() {
+async fn a_finished_task_does_not_run_again_after_its_worker_restarts_under_its_id() {
     let site = Site::start_with("again", 1, &["--keep-ids"]).await;
     let node = site.node("one").await;
     for id in ["00000000000000a1", "00000000000000a2"] {
-        assert_eq!(site.hand_in(&node, id, &two_steps()).await, StatusCode::OK);
-        site.until_state(&node, id, "succeeded").await;
+        assert_eq!(site.submit(&node, id, &two_step_job()).await, StatusCode::OK);
+        site.wait_for_state(&node, id, "succeeded").await;
     }
-    assert_eq!(site.counted().await["starts"], json!(10));
-    site.trouble(0, json!({ "crash_ms": 600 })).await;
+    assert_eq!(site.run_counts().await["starts"], json!(10));
+    site.set_worker_faults(0, json!({ "crash_ms": 600 })).await;
     for id in ["00000000000000b1", "00000000000000b2"] {
-        assert_eq!(site.hand_in(&node, id, &two_steps()).await, StatusCode::OK);
-        site.until_state(&node, id, "succeeded").await;
-    }
-    let counted = site.counted().await;
-    assert_eq!((&counted["starts"], &counted["done"]), (&json!(20), &json!(20)), "{counted}");
+        assert_eq!(site.submit(&node, id, &two_step_job()).await, StatusCode::OK);
+        site.wait_for_state(&node, id, "succeeded").await;
+    }
+    let run_counts = site.run_counts().await;
+    assert_eq!(
+        (&run_counts["starts"], &run_counts["done"]),
+        (&json!(20), &json!(20)),
+        "{run_counts}"
+    );
 }
 
 #[tokio::test]
-async fn a_job_outlives_the_node_that_owns_it() {
+async fn jobs_survive_the_loss_of_the_node_that_owns_them() {
     let site = Site::start("kill", 3).await;
     let (mut one, two) = (site.node("one").await, site.node("two").await);
     let ids: Vec<String> = (1..9).map(|n| format!("{n:016x}")).collect();
     for id in &ids {
-        assert_eq!(site.hand_in(&two, id, &two_steps()).await, StatusCode::OK);
+        assert_eq!(site.submit(&two, id, &two_step_job()).await, StatusCode::OK);
     }
-    // Whichever owns the pool is killed first or second.
+    // One of the two kills hits the owner of the pool.
     one.process.0.kill().unwrap();
     one.process.0.wait().unwrap();
     for id in &ids {
-        site.until_state(&two, id, "succeeded").await;
+        site.wait_for_state(&two, id, "succeeded").await;
     }
     let three = site.node("three").await;
     drop(two);
     let last = "00000000000000aa";
-    assert_eq!(site.hand_in(&three, last, &two_steps()).await, StatusCode::OK);
-    site.until_state(&three, last, "succeeded").await;
-    assert_eq!(site.counted().await["twice"], json!(0));
+    assert_eq!(site.submit(&three, last, &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&three, last, "succeeded").await;
+    assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
 #[tokio::test]
-async fn a_cancelled_job_and_one_that_always_fails_are_told_as_such() {
+async fn cancelled_and_failed_jobs_are_reported_as_such() {
     let site = Site::start("ends", 2).await;
     let node = site.node("one").await;
-    let lasting =
+    let long_running =
         json!({ "spec": "600000", "steps": [{ "count": 2, "cpu": 100, "long_running": true }] });
-    assert_eq!(site.hand_in(&node, "00000000000000b1", &lasting).await, StatusCode::OK);
-    site.until_state(&node, "00000000000000b1", "running").await;
+    assert_eq!(site.submit(&node, "00000000000000b1", &long_running).await, StatusCode::OK);
+    site.wait_for_state(&node, "00000000000000b1", "running").await;
     let url = format!("http://{}/quotes/00000000000000b1", node.callers);
     let answer = site.client.delete(url).header("Host", HOST).send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
-    site.until_state(&node, "00000000000000b1", "cancelled").await;
-    let fails = json!({ "spec": "fail 50", "steps": [{ "count": 1, "cpu": 100 }] });
-    assert_eq!(site.hand_in(&node, "00000000000000b2", &fails).await, StatusCode::OK);
-    site.until_state(&node, "00000000000000b2", "failed").await;
+    site.wait_for_state(&node, "00000000000000b1", "cancelled").await;
+    let failing_job = json!({ "spec": "fail 50", "steps": [{ "count": 1, "cpu": 100 }] });
+    assert_eq!(site.submit(&node, "00000000000000b2", &failing_job).await, StatusCode::OK);
+    site.wait_for_state(&node, "00000000000000b2", "failed").await;
 }
 
 #[tokio::test]
-async fn a_job_is_refused_while_the_store_is_down_and_never_runs() {
+async fn a_job_refused_during_a_store_outage_does_not_run() {
     let site = Site::start("down", 2).await;
     let node = site.node("one").await;
-    site.faults(json!({ "store_down": true })).await;
+    site.set_faults(json!({ "store_down": true })).await;
     let id = "00000000000000c1";
-    assert_eq!(site.hand_in(&node, id, &two_steps()).await, StatusCode::SERVICE_UNAVAILABLE);
-    site.faults(json!({})).await;
-    until("readiness", async || site.is_ready(&node).await.then_some(())).await;
+    assert_eq!(site.submit(&node, id, &two_step_job()).await, StatusCode::SERVICE_UNAVAILABLE);
+    site.set_faults(json!({})).await;
+    wait_until("readiness", async || site.is_ready(&node).await.then_some(())).await;
     assert_eq!(site.state(&node, id).await.unwrap(), "410");
-    assert_eq!(site.hand_in(&node, id, &two_steps()).await, StatusCode::OK);
-    site.until_state(&node, id, "succeeded").await;
-    assert_eq!(site.counted().await["starts"], json!(5));
+    assert_eq!(site.submit(&node, id, &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&node, id, "succeeded").await;
+    assert_eq!(site.run_counts().await["starts"], json!(5));
 }
 
 #[tokio::test]
-async fn a_job_whose_write_got_no_answer_is_not_told_as_refused() {
+async fn a_job_whose_write_is_unanswered_is_not_reported_as_refused() {
     let site = Site::start("lost", 2).await;
     let node = site.node("one").await;
-    site.faults(json!({ "store_lost": true })).await;
+    site.set_faults(json!({ "store_lost": true })).await;
     let id = "00000000000000d1";
-    let status = site.hand_in(&node, id, &two_steps()).await;
+    let status = site.submit(&node, id, &two_step_job()).await;
     assert!(status == StatusCode::GATEWAY_TIMEOUT || status == StatusCode::OK, "{status}");
-    site.faults(json!({})).await;
-    site.until_state(&node, id, "succeeded").await;
-    assert_eq!(site.counted().await["twice"], json!(0));
+    site.set_faults(json!({})).await;
+    site.wait_for_state(&node, id, "succeeded").await;
+    assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// The store goes on to answer calls: what was accepted is to begin all the same.
+/// The store still answers calls while its watches are silent: accepted jobs must begin.
 #[tokio::test]
 async fn a_job_begins_though_the_watches_of_the_store_have_fallen_silent() {
     let site = Site::start("silent", 2).await;
     let nodes = [site.node("one").await, site.node("two").await];
-    assert_eq!(site.hand_in(&nodes[0], "00000000000000a1", &two_steps()).await, StatusCode::OK);
-    site.until_state(&nodes[0], "00000000000000a1", "succeeded").await;
-    site.faults(json!({ "store_watches_silent": true })).await;
-    // One of them does not own the pool.
+    assert_eq!(site.submit(&nodes[0], "00000000000000a1", &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&nodes[0], "00000000000000a1", "succeeded").await;
+    site.set_faults(json!({ "store_watches_silent": true })).await;
+    // One of the nodes does not own the pool.
     for (node, id) in nodes.iter().zip(["00000000000000b1", "00000000000000b2"]) {
-        assert_eq!(site.hand_in(node, id, &two_steps()).await, StatusCode::OK);
-        site.until_state(node, id, "succeeded").await;
+        assert_eq!(site.submit(node, id, &two_step_job()).await, StatusCode::OK);
+        site.wait_for_state(node, id, "succeeded").await;
     }
-    assert_eq!(site.counted().await["twice"], json!(0));
+    assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A node that the store turns away has another one answer its callers: what they hand in is kept,
-/// states are those of now, and cancels count.
+/// A node that cannot reach the store forwards its callers' requests to another node: submitted jobs
+/// are persisted, states are current, and cancellations take effect.
 #[tokio::test]
-async fn a_node_that_the_store_turns_away_has_another_answer() {
+async fn a_node_cut_off_from_the_store_forwards_requests() {
     let site = Site::start("relay", 3).await;
     let gate = Gate::before(&site.address).await;
-    let (one, two) = (site.node_by("one", &gate.address).await, site.node("two").await);
-    let lasting =
+    let (one, two) = (site.node_with_store("one", &gate.address).await, site.node("two").await);
+    let long_running =
         json!({ "spec": "600000", "steps": [{ "count": 1, "cpu": 100, "long_running": true }] });
-    assert_eq!(site.hand_in(&one, "00000000000000a1", &lasting).await, StatusCode::OK);
-    // The node knows of the other by then.
-    site.until_state(&one, "00000000000000a1", "running").await;
+    assert_eq!(site.submit(&one, "00000000000000a1", &long_running).await, StatusCode::OK);
+    // By then the node knows the other one.
+    site.wait_for_state(&one, "00000000000000a1", "running").await;
     gate.closed.send_replace(true);
-    until("the end of its lease", async || (!site.is_ready(&one).await).then_some(())).await;
-    assert_eq!(site.hand_in(&one, "00000000000000a2", &two_steps()).await, StatusCode::OK);
-    site.until_state(&one, "00000000000000a2", "succeeded").await;
+    wait_until("the end of its lease", async || (!site.is_ready(&one).await).then_some(())).await;
+    assert_eq!(site.submit(&one, "00000000000000a2", &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&one, "00000000000000a2", "succeeded").await;
     let url = format!("http://{}/quotes/00000000000000a1", one.callers);
     let answer = site.client.delete(url).header("Host", HOST).send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
-    site.until_state(&two, "00000000000000a1", "cancelled").await;
-    assert_eq!(site.counted().await["twice"], json!(0));
+    site.wait_for_state(&two, "00000000000000a1", "cancelled").await;
+    assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A node whose configuration is older than that of the node which hands a request on refuses it.
+/// A node refuses a forwarded request if its configuration is older than that of the sender.
 #[tokio::test]
-async fn a_request_is_not_answered_by_an_older_configuration() {
+async fn a_forwarded_request_is_refused_by_a_node_with_an_older_configuration() {
     let site = Site::start("older", 1).await;
     let node = site.node("one").await;
     let ask = async |version: &str| {
@@ -453,167 +459,175 @@
     assert_eq!(ask("2").await, StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// A node that does not hear of jobs answers its callers by what the store has, and takes part once
-/// those that do are gone.
+/// A node without a full view answers its callers from the store, and acquires a full view once the
+/// nodes that had one have ended.
 #[tokio::test]
-async fn a_node_that_hears_of_little_answers_all_the_same_and_takes_over() {
+async fn a_node_without_a_full_view_answers_from_the_store_and_takes_over() {
     let site = Site::start("little", 3).await;
-    let mut one = site.node_of("one", Shape { replicas: 1, ..site.shape() }).await;
-    let two = site.node_of("two", Shape { cores: 0.5, replicas: 1, ..site.shape() }).await;
+    let mut one =
+        site.node_with_options("one", NodeOptions { replicas: 1, ..site.options() }).await;
+    let two = site
+        .node_with_options("two", NodeOptions { cores: 0.5, replicas: 1, ..site.options() })
+        .await;
     let id = "00000000000000a1";
     assert_eq!(site.state(&two, id).await.unwrap(), "410");
-    assert_eq!(site.hand_in(&two, id, &two_steps()).await, StatusCode::OK);
-    assert_eq!(site.hand_in(&two, id, &two_steps()).await, StatusCode::OK);
-    site.until_state(&two, id, "succeeded").await;
-    let vast = json!({ "spec": "1", "steps": [{ "count": 1, "cpu": 900_000_000 }] });
-    assert_eq!(site.hand_in(&two, "00000000000000a2", &vast).await, StatusCode::OK);
+    assert_eq!(site.submit(&two, id, &two_step_job()).await, StatusCode::OK);
+    assert_eq!(site.submit(&two, id, &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&two, id, "succeeded").await;
+    let oversized_job = json!({ "spec": "1", "steps": [{ "count": 1, "cpu": 900_000_000 }] });
+    assert_eq!(site.submit(&two, "00000000000000a2", &oversized_job).await, StatusCode::OK);
     assert_eq!(site.state(&two, "00000000000000a2").await.unwrap(), "queued");
     for node in [&one, &two] {
-        until("a job that waits", async || (site.pending(node).await? == 1).then_some(())).await;
+        wait_until("a job that waits", async || (site.pending(node).await? == 1).then_some(()))
+            .await;
     }
     let url = format!("http://{}/quotes/00000000000000a2", two.callers);
     let answer = site.client.delete(url).header("Host", HOST).send().await.unwrap();
     assert_eq!(answer.status(), StatusCode::OK);
     for node in [&one, &two] {
-        site.until_state(node, "00000000000000a2", "cancelled").await;
+        site.wait_for_state(node, "00000000000000a2", "cancelled").await;
     }
-    let log = || fs::read_to_string(site.folder.join("two.log")).unwrap();
-    assert!(!log().contains("hears of everything"), "one node is enough");
+    let log = || fs::read_to_string(site.dir.join("two.log")).unwrap();
+    assert!(!log().contains("hears of everything"), "only one node should hold a full view");
     one.process.0.kill().unwrap();
     one.process.0.wait().unwrap();
-    assert_eq!(site.hand_in(&two, "00000000000000a3", &two_steps()).await, StatusCode::OK);
-    site.until_state(&two, "00000000000000a3", "succeeded").await;
+    assert_eq!(site.submit(&two, "00000000000000a3", &two_step_job()).await, StatusCode::OK);
+    site.wait_for_state(&two, "00000000000000a3", "succeeded").await;
     assert!(log().contains("hears of everything"));
     assert_eq!(site.state(&two, id).await.unwrap(), "succeeded");
-    assert_eq!(site.counted().await["twice"], json!(0));
+    assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// An owner that has too little processor time for its calls has other nodes make them. One that is
-/// killed, or falls silent without closing its connections, costs no job and no second run.
+/// An owner with too little processor time has delegates make its calls. A delegate that is killed, or
+/// goes silent without closing its connections, must cause no lost job and no second run.
 #[tokio::test]
 async fn other_nodes_make_an_owners_calls_and_may_fall_silent() {
     let site = Site::start("helpers", 4).await;
     let nodes = site.small_nodes().await;
     let ids: Vec<String> = (1..20).map(|n| format!("{n:016x}")).collect();
-    let helper = until("an order by way of another node", async || {
-        site.hand_in(&nodes[0], &ids[0], &two_steps()).await;
-        site.helpers().first().copied()
+    let delegate = wait_until("an order by way of another node", async || {
+        site.submit(&nodes[0], &ids[0], &two_step_job()).await;
+        site.delegates().first().copied()
     })
     .await;
-    let asked = &nodes[(helper + 1) % nodes.len()];
-    let signal = |signal| kill(Pid::from_raw(nodes[helper].process.0.id() as i32), signal).unwrap();
+    let submitted_to = &nodes[(delegate + 1) % nodes.len()];
+    let signal =
+        |signal| kill(Pid::from_raw(nodes[delegate].process.0.id() as i32), signal).unwrap();
     for (n, id) in ids.iter().enumerate() {
-        assert_eq!(site.hand_in(asked, id, &two_steps()).await, StatusCode::OK);
+        assert_eq!(site.submit(submitted_to, id, &two_step_job()).await, StatusCode::OK);
         match n {
             4 => signal(Signal::SIGSTOP),
             9 => signal(Signal::SIGCONT),
             14 => signal(Signal::SIGKILL),
             _ => {}
         }
-        site.until_state(asked, id, "succeeded").await;
+        site.wait_for_state(submitted_to, id, "succeeded").await;
     }
-    assert_eq!(site.counted().await["twice"], json!(0));
+    assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A process that has stood still for longer than its lease, and all that later owners wait for,
-/// takes a new lease within a millisecond once it goes on; watches that have failed meanwhile rest
-/// for 150. Until one of them tells of the later owner, nothing may be ordered by what was known
-/// before: what has lapsed at a worker that did not hear the later token runs elsewhere by then.
+/// A process that resumes after a pause longer than its lease and the waits of later owners gets a new
+/// lease within a millisecond, while its failed watches back off for 150 ms. Until a watch reports the
+/// later owner, the node must send no orders from its stale view: runs that have expired at a worker
+/// that never received the later token run elsewhere by then.
 #[tokio::test]
-async fn an_owner_that_stood_still_gives_no_order_once_it_goes_on() {
+async fn an_owner_paused_past_its_lease_sends_no_orders_after_it_resumes() {
     let site = Site::start("still", 2).await;
     let last = u64::MAX;
-    site.unheard(json!([{ "worker": 1, "from": 0, "to": last }])).await;
+    site.drop_orders(json!([{ "worker": 1, "from": 0, "to": last }])).await;
     let one = site.node("one").await;
     let task = json!({ "spec": "600000", "steps": [{ "count": 1, "cpu": 100 }] });
-    assert_eq!(site.hand_in(&one, "00000000000000a1", &task).await, StatusCode::OK);
-    site.until_state(&one, "00000000000000a1", "running").await;
+    assert_eq!(site.submit(&one, "00000000000000a1", &task).await, StatusCode::OK);
+    site.wait_for_state(&one, "00000000000000a1", "running").await;
     let token = site.token().await.unwrap();
-    let unheard = json!([
+    let dropped_orders = json!([
         { "worker": 0, "from": token + 1, "to": last }, { "worker": 1, "from": 0, "to": token },
     ]);
-    site.unheard(unheard).await;
+    site.drop_orders(dropped_orders).await;
     let signal = |signal| kill(Pid::from_raw(one.process.0.id() as i32), signal).unwrap();
     signal(Signal::SIGSTOP);
     let _two = site.node("two").await;
-    until("the task to be started anew", async || {
-        (site.counted().await["starts"] == json!(2)).then_some(())
+    wait_until("the second start of the task", async || {
+        (site.run_counts().await["starts"] == json!(2)).then_some(())
     })
     .await;
-    let before = site.heard(0, token).await;
+    let before = site.received_orders(0, token).await;
     signal(Signal::SIGCONT);
-    let log = || fs::read_to_string(site.folder.join("one.log")).unwrap();
-    let (given_up, told) = (format!("given up: token {token}"), format!("token {token} is over"));
-    until("the end of the ownership", async || {
+    let log = || fs::read_to_string(site.dir.join("one.log")).unwrap();
+    let (given_up, over) = (format!("given up: token {token}"), format!("token {token} is over"));
+    wait_until("the end of the ownership", async || {
         let log = log();
-        (log.contains(&given_up) || log.contains(&told)).then_some(())
+        (log.contains(&given_up) || log.contains(&over)).then_some(())
     })
     .await;
-    until("its readiness", async || site.is_ready(&one).await.then_some(())).await;
-    // The end of a second job is heard of by way of the later owner.
+    wait_until("its readiness", async || site.is_ready(&one).await.then_some(())).await;
+    // The end of a second job is reported through the later owner.
     let short = json!({ "spec": "50", "steps": [{ "count": 1, "cpu": 100 }] });
-    assert_eq!(site.hand_in(&one, "00000000000000a2", &short).await, StatusCode::OK);
-    site.until_state(&one, "00000000000000a2", "succeeded").await;
-    let counted = site.counted().await;
-    assert_eq!((&counted["twice"], &counted["starts"]), (&json!(0), &json!(3)));
-    // One that was decided on may have been on its way through the process.
-    let more = site.heard(0, token).await - before;
-    assert!(more <= 1, "{more} orders under token {token} after its owner stood still");
+    assert_eq!(site.submit(&one, "00000000000000a2", &short).await, StatusCode::OK);
+    site.wait_for_state(&one, "00000000000000a2", "succeeded").await;
+    let run_counts = site.run_counts().await;
+    assert_eq!((&run_counts["twice"], &run_counts["starts"]), (&json!(0), &json!(3)));
+    // One order may have been in flight inside the process when it was paused.
+    let late_orders = site.received_orders(0, token).await - before;
+    assert!(late_orders <= 1, "{late_orders} orders with token {token} after its owner was paused");
 }
 
-/// An owner that is told to end leaves word of what may run. A job that waits begins under the next
-/// one at a worker that answers, though another one that may run a task of an earlier job does not.
-/// Without that word nothing that waits begins before the new owner tells that all else has lapsed.
+/// An owner that shuts down leaves a handover record of the tasks that may run. A waiting job then
+/// begins under the next owner at a worker that answers, although another worker, which may run a task
+/// of an earlier job, does not. Without the record no waiting job begins before the new owner reports
+/// that all other runs have expired.
 #[tokio::test]
-async fn a_job_that_waits_goes_on_when_its_owner_is_told_to_end() {
+async fn a_waiting_job_begins_promptly_after_its_owner_shuts_down() {
     let site = Site::start("given", 2).await;
     let last = u64::MAX;
-    site.unheard(json!([{ "worker": 1, "from": 0, "to": last }])).await;
+    site.drop_orders(json!([{ "worker": 1, "from": 0, "to": last }])).await;
     let (one, two) = (site.node("one").await, site.node("two").await);
-    let (long, waits) = ("00000000000000a1", "00000000000000a2");
-    let whole = |spec: &str| json!({ "spec": spec, "steps": [{ "count": 1, "cpu": 8_000 }] });
-    assert_eq!(site.hand_in(&one, long, &whole("600000")).await, StatusCode::OK);
-    site.until_state(&one, long, "running").await;
-    assert_eq!(site.hand_in(&one, waits, &whole("50")).await, StatusCode::OK);
+    let (long_id, waiting_id) = ("00000000000000a1", "00000000000000a2");
+    let full_worker_job =
+        |spec: &str| json!({ "spec": spec, "steps": [{ "count": 1, "cpu": 8_000 }] });
+    assert_eq!(site.submit(&one, long_id, &full_worker_job("600000")).await, StatusCode::OK);
+    site.wait_for_state(&one, long_id, "running").await;
+    assert_eq!(site.submit(&one, waiting_id, &full_worker_job("50")).await, StatusCode::OK);
     let token = site.token().await.unwrap();
-    let unheard = json!([
+    let dropped_orders = json!([
         { "worker": 0, "from": token + 1, "to": last }, { "worker": 1, "from": 0, "to": token },
     ]);
-    site.unheard(unheard).await;
-    let log = |name: &str| fs::read_to_string(site.folder.join(format!("{name}.log"))).unwrap();
+    site.drop_orders(dropped_orders).await;
+    let log = |name: &str| fs::read_to_string(site.dir.join(format!("{name}.log"))).unwrap();
     let names = ["one", "two"];
     let owns = |name: &&str| log(name).contains(&format!("taken up: token {token}"));
-    let place = names.iter().position(owns).unwrap();
-    let (giver, next) = if place == 0 { (&one, &two) } else { (&two, &one) };
-    kill(Pid::from_raw(giver.process.0.id() as i32), Signal::SIGTERM).unwrap();
-    site.until_state(next, waits, "succeeded").await;
-    assert!(log(names[place]).contains(&format!("given back: token {token}, 1 tasks may run")));
-    let told = log(names[1 - place]);
-    let ended = told.find(&format!("job {waits}: succeeded")).unwrap();
-    let clear = told.find("starts tasks of earlier jobs").unwrap_or(usize::MAX);
-    assert!(ended < clear, "it has waited until all else had lapsed");
-    let counted = site.counted().await;
-    assert_eq!((&counted["twice"], &counted["starts"]), (&json!(0), &json!(2)));
+    let index = names.iter().position(owns).unwrap();
+    let (earlier_owner, next) = if index == 0 { (&one, &two) } else { (&two, &one) };
+    kill(Pid::from_raw(earlier_owner.process.0.id() as i32), Signal::SIGTERM).unwrap();
+    site.wait_for_state(next, waiting_id, "succeeded").await;
+    assert!(log(names[index]).contains(&format!("given back: token {token}, 1 tasks may run")));
+    let next_log = log(names[1 - index]);
+    let ended = next_log.find(&format!("job {waiting_id}: succeeded")).unwrap();
+    let clear = next_log.find("starts tasks of earlier jobs").unwrap_or(usize::MAX);
+    assert!(ended < clear, "the job waited until all other runs had expired");
+    let run_counts = site.run_counts().await;
+    assert_eq!((&run_counts["twice"], &run_counts["starts"]), (&json!(0), &json!(2)));
 }
 
-/// With the store away for all, nobody hands requests on in a circle.
+/// When no node reaches the store, requests are not forwarded in a loop.
 #[tokio::test]
-async fn nodes_that_all_miss_the_store_refuse_at_once() {
+async fn nodes_refuse_requests_when_none_reaches_the_store() {
     let site = Site::start("nobody", 2).await;
     let (one, two) = (site.node("one").await, site.node("two").await);
-    site.faults(json!({ "store_down": true })).await;
+    site.set_faults(json!({ "store_down": true })).await;
     for node in [&one, &two] {
-        until("the end of its lease", async || (!site.is_ready(node).await).then_some(())).await;
+        wait_until("the end of its lease", async || (!site.is_ready(node).await).then_some(()))
+            .await;
         let id = "00000000000000c1";
-        assert_eq!(site.hand_in(node, id, &two_steps()).await, StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(site.submit(node, id, &two_step_job()).await, StatusCode::SERVICE_UNAVAILABLE);
     }
-    site.faults(json!({})).await;
-    until("readiness", async || site.is_ready(&one).await.then_some(())).await;
-    assert_eq!(site.counted().await["starts"], json!(0));
+    site.set_faults(json!({})).await;
+    wait_until("readiness", async || site.is_ready(&one).await.then_some(())).await;
+    assert_eq!(site.run_counts().await["starts"], json!(0));
 }
 
 #[tokio::test]
-async fn a_configuration_comes_into_force_and_a_dropped_queue_is_gone() {
+async fn configuration_changes_add_and_remove_queues() {
     let site = Site::start("config", 1).await;
     let node = site.node("one").await;
     site.configure(5, &["/quotes/", "/stock/"]).await;
@@ -621,28 +635,29 @@
         let url = format!("http://{}{prefix}", node.callers);
         site.client.get(url).header("Host", HOST).send().await.unwrap().status()
     };
-    until("the new queue", async || (ask("/stock/").await == StatusCode::OK).then_some(())).await;
-    site.faults(json!({ "store_compact": true })).await;
+    wait_until("the new queue", async || (ask("/stock/").await == StatusCode::OK).then_some(()))
+        .await;
+    site.set_faults(json!({ "store_compact": true })).await;
     site.configure(9, &["/quotes/"]).await;
     let gone = async || (ask("/stock/").await == StatusCode::NOT_FOUND).then_some(());
-    until("the end of the queue", gone).await;
+    wait_until("the end of the queue", gone).await;
     assert_eq!(ask("/quotes/").await, StatusCode::OK);
 }
 
-/// A node on a slow link that was cut off while large configurations came one
-/// after the other asked for all of them again and again, and never took in the newest.
+/// A node on a slow link, disconnected while large configurations followed one another, requested the
+/// whole history repeatedly and never applied the newest one.
 #[tokio::test]
-async fn a_node_that_missed_many_configurations_takes_in_the_newest() {
+async fn a_node_that_missed_many_configurations_applies_the_newest() {
     let site = Site::start("missed", 1).await;
     let node = site.node("one").await;
     let ask = async |prefix: &str| {
         let url = format!("http://{}{prefix}", node.callers);
         site.client.get(url).header("Host", HOST).send().await.unwrap().status()
     };
-    site.faults(json!({ "store_down": true })).await;
-    // The watch that is under way must have ended.
-    until("the loss of the watch", async || {
-        let log = fs::read_to_string(site.folder.join("one.log")).unwrap();
+    site.set_faults(json!({ "store_down": true })).await;
+    // Wait for the open watch to end.
+    wait_until("the loss of the watch", async || {
+        let log = fs::read_to_string(site.dir.join("one.log")).unwrap();
         log.contains("watch of op/ lost").then_some(())
     })
     .await;
@@ -650,38 +665,40 @@
         site.configure(version, &["/quotes/"]).await;
     }
     site.configure(11, &["/quotes/", "/stock/"]).await;
-    site.faults(json!({ "store_long_history": true })).await;
-    until("the new queue", async || (ask("/stock/").await == StatusCode::OK).then_some(())).await;
+    site.set_faults(json!({ "store_long_history": true })).await;
+    wait_until("the new queue", async || (ask("/stock/").await == StatusCode::OK).then_some(()))
+        .await;
 }
 
 #[tokio::test]
-async fn a_node_that_is_told_to_end_says_so_first_and_answers_to_the_last() {
+async fn a_node_that_shuts_down_turns_unready_first_and_still_accepts_jobs() {
     let site = Site::start("end", 2).await;
     let mut node = site.node("one").await;
     let page = site.client.get(format!("http://{}/metrics", node.metrics)).send().await.unwrap();
     assert!(page.text().await.unwrap().contains("caperhollow_store_calls_total"));
     kill(Pid::from_raw(node.process.0.id() as i32), Signal::SIGHUP).unwrap();
     kill(Pid::from_raw(node.process.0.id() as i32), Signal::SIGTERM).unwrap();
-    until("not ready", async || (!site.is_ready(&node).await).then_some(())).await;
+    wait_until("the node to turn unready", async || (!site.is_ready(&node).await).then_some(()))
+        .await;
     let id = "00000000000000e1";
-    assert_eq!(site.hand_in(&node, id, &two_steps()).await, StatusCode::OK);
+    assert_eq!(site.submit(&node, id, &two_step_job()).await, StatusCode::OK);
     assert!(node.process.0.wait().unwrap().success());
     let next = site.node("two").await;
-    site.until_state(&next, id, "succeeded").await;
+    site.wait_for_state(&next, id, "succeeded").await;
 }
 
-/// A process that is being started holds a copy of every socket for a moment.
+/// A forked process holds a duplicate of every socket until its exec.
 #[test]
-fn an_address_can_be_used_while_a_copy_of_its_probe_is_still_open() {
+fn an_address_is_usable_while_a_duplicate_of_its_probe_socket_is_open() {
     let address = free_address();
-    let copy = probe(address.parse().unwrap()).unwrap();
+    let duplicate = probe(address.parse().unwrap()).unwrap();
     let listener = std::net::TcpListener::bind(&address).unwrap();
     assert!(probe(address.parse().unwrap()).is_err(), "somebody listens there");
-    drop((copy, listener));
+    drop((duplicate, listener));
 }
 
 #[test]
-fn settings_that_are_wrong_are_told_with_their_field() {
+fn invalid_settings_are_reported_with_their_fields() {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("wrong-scheduler.json");
     fs::write(&path, "{ \"node\": \"n\", \"zone\": \"z\", \"listen\": {}, \"else\": 1 }").unwrap();
     let output = binary().arg("schedule").arg("--settings").arg(&path).output().unwrap();
