--- a/tests/common/ports.rs
+++ b/tests/common/ports.rs
@@ -12,7 +12,7 @@
 /// could be taken between its choice and its use.
 const FIRST_PORT: u32 = 10_000;
 
-/// Ports per test process, and the number of such blocks.
+/// Number of ports per test process, and number of such blocks.
 const BLOCK_PORTS: u32 = 200;
 const BLOCKS: u32 = 110;
 
--- a/tests/lateness.rs
+++ b/tests/lateness.rs
@@ -2,8 +2,8 @@
 //! because the figures depend on the machine:
 //! `cargo test --locked --test lateness -- --ignored --nocapture`. It asserts nothing.
 //!
-//! A worker ends expired runs when one of its own timers fires; an owner that cannot reach the worker
-//! adds a margin for this delay.
+//! A worker ends expired runs when one of its own timers fires; an owner that cannot reach the
+//! worker adds a margin for this delay.
 
 use std::{
     process::{Child, Command, Stdio},
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// A node closes a connection on which it has not read the whole body. Without a `connection: close`
-/// header the caller sends its next request on that connection and gets no answer.
+/// A node closes a connection on which it has not read the whole body. Without a `connection:
+/// close` header the caller sends its next request on that connection and gets no answer.
 #[tokio::test]
 async fn an_answer_to_an_unread_body_announces_the_close_of_the_connection() {
     let fleet = Fleet::start(1).await;
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -181,8 +181,8 @@
         NodeOptions { store: &self.address, cores: 1.0, replicas: 12 }
     }
 
-    /// Starts three nodes with so little processor time that the owner of the pool delegates its calls
-    /// to workers to the nodes that own nothing.
+    /// Starts three nodes with so little processor time that the owner of the pool delegates its
+    /// calls to workers to the nodes that own nothing.
     async fn small_nodes(&self) -> Vec<Node> {
         let mut nodes = Vec::new();
         for name in ["one", "two", "three"] {
@@ -267,7 +267,7 @@
 }
 
 impl Gate {
-    async fn before(address: &str) -> Gate {
+    async fn in_front_of(address: &str) -> Gate {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let own_address = listener.local_addr().unwrap().to_string();
         let (closed, mut is_closed) = watch::channel(false);
@@ -421,12 +421,12 @@
     assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A node that cannot reach the store forwards its callers' requests to another node: submitted jobs
-/// are persisted, states are current, and cancellations take effect.
+/// A node that cannot reach the store forwards its callers' requests to another node: submitted
+/// jobs are persisted, states are current, and cancellations take effect.
 #[tokio::test]
 async fn a_node_cut_off_from_the_store_forwards_requests() {
     let site = Site::start("relay", 3).await;
-    let gate = Gate::before(&site.address).await;
+    let gate = Gate::in_front_of(&site.address).await;
     let (one, two) = (site.node_with_store("one", &gate.address).await, site.node("two").await);
     let long_running =
         json!({ "spec": "600000", "steps": [{ "count": 1, "cpu": 100, "long_running": true }] });
@@ -498,8 +498,8 @@
     assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// An owner with too little processor time has delegates make its calls. A delegate that is killed, or
-/// goes silent without closing its connections, must cause no lost job and no second run.
+/// An owner with too little processor time has delegates make its calls. A delegate that is killed,
+/// or goes silent without closing its connections, must cause no lost job and no second run.
 #[tokio::test]
 async fn other_nodes_make_an_owners_calls_and_may_fall_silent() {
     let site = Site::start("helpers", 4).await;
@@ -526,10 +526,10 @@
     assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A process that resumes after a pause longer than its lease and the waits of later owners gets a new
-/// lease within a millisecond, while its failed watches back off for 150 ms. Until a watch reports the
-/// later owner, the node must send no orders from its stale view: runs that have expired at a worker
-/// that never received the later token run elsewhere by then.
+/// A process that resumes after a pause longer than its lease and the waits of later owners gets a
+/// new lease within a millisecond, while its failed watches back off for 150 ms. Until a watch
+/// reports the later owner, the node must send no orders from its stale view: runs that have
+/// expired at a worker that never received the later token run elsewhere by then.
 #[tokio::test]
 async fn an_owner_paused_past_its_lease_sends_no_orders_after_it_resumes() {
     let site = Site::start("still", 2).await;
@@ -573,9 +573,9 @@
 }
 
 /// An owner that shuts down leaves a handover record of the tasks that may run. A waiting job then
-/// begins under the next owner at a worker that answers, although another worker, which may run a task
-/// of an earlier job, does not. Without the record no waiting job begins before the new owner reports
-/// that all other runs have expired.
+/// begins under the next owner at a worker that answers, although another worker, which may run a
+/// task of an earlier job, does not. Without the record no waiting job begins before the new owner
+/// reports that all other runs have expired.
 #[tokio::test]
 async fn a_waiting_job_begins_promptly_after_its_owner_shuts_down() {
     let site = Site::start("given", 2).await;
@@ -639,13 +639,13 @@
         .await;
     site.set_faults(json!({ "store_compact": true })).await;
     site.configure(9, &["/quotes/"]).await;
-    let gone = async || (ask("/stock/").await == StatusCode::NOT_FOUND).then_some(());
-    wait_until("the end of the queue", gone).await;
+    let queue_removed = async || (ask("/stock/").await == StatusCode::NOT_FOUND).then_some(());
+    wait_until("the removal of the queue", queue_removed).await;
     assert_eq!(ask("/quotes/").await, StatusCode::OK);
 }
 
-/// A node on a slow link, disconnected while large configurations followed one another, requested the
-/// whole history repeatedly and never applied the newest one.
+/// A node on a slow link, disconnected while large configurations followed one another, requested
+/// the whole history repeatedly and never applied the newest one.
 #[tokio::test]
 async fn a_node_that_missed_many_configurations_applies_the_newest() {
     let site = Site::start("missed", 1).await;
--- a/tests/soak/cases.rs
+++ b/tests/soak/cases.rs
@@ -1,4 +1,4 @@
-//! Schedules that longer runs were narrowed down to.
+//! Regression cases reduced from failures of longer runs.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,48 +7,49 @@
 use tokio::time::{Instant, sleep};
 
 use super::{
-    check::{Kind, Story, check},
-    plan::{Harm, Injection, Signal, Size, What},
+    check::{JobHistory, Kind, check},
+    plan::{Fault, Injection, LinkFault, ProcessFault, Setup},
     report,
     rig::{HOST, Rig},
 };
 
-/// How long anything may take before a case gives up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long a case waits for a condition before it fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A task that still runs when an owner that was cut off gives no order any more, in milliseconds.
-const LONG_MS: u64 = 8_000;
+/// Duration of a task that still runs when an owner that was cut off sends no more orders, in
+/// milliseconds.
+const LONG_TASK_MS: u64 = 8_000;
 
-async fn until<T>(what: &str, mut look: impl AsyncFnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+async fn wait_until<T>(what: &str, mut check_condition: impl AsyncFnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
-        if let Some(found) = look().await {
-            return found;
+        if let Some(value) = check_condition().await {
+            return value;
         }
-        assert!(Instant::now() < end, "{what}: not seen in time");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         sleep(Duration::from_millis(30)).await;
     }
 }
 
-/// Users saw a task that crashes each worker that starts it started on and on, under one owner after
-/// another. Here its owner is killed while the second worker is down.
+/// A task that crashes each worker that starts it was restarted without end under successive
+/// owners. Here its owner is killed while the second worker is down.
 #[tokio::test]
-async fn a_task_that_crashes_its_workers_is_given_up_though_its_owner_is_killed() {
-    let size = Size {
+async fn a_task_that_crashes_its_workers_fails_although_its_owner_is_killed() {
+    let setup = Setup {
         nodes: 2,
         workers: 6,
         pools: 1,
         millis: 0,
-        often: None,
+        frequent_kind: None,
         crashes: true,
         keep_ids: false,
     };
-    let rig = Rig::start("crashes", 1, size).await;
+    let rig = Rig::start("crashes", 1, setup).await;
     let job = "00000000000000c1";
     let step = json!({ "count": 1, "cpu": 1_000, "estimated_ms": 300 });
-    hand_in(&rig, job, &json!({ "spec": "crash 300", "steps": [step] })).await;
+    submit(&rig, job, &json!({ "spec": "crash 300", "steps": [step] })).await;
     let crashes = async |count: usize| {
-        until("a crash", async || {
+        wait_until("a crash", async || {
             let log = rig.log(0).await;
             let crashed = log.iter().filter(|entry| entry.kind == Kind::Crashed);
             (count <= crashed.count()).then_some(())
@@ -56,18 +57,19 @@
         .await;
     };
     crashes(2).await;
-    let owner = until("the owner", async || rig.owner(0).await).await;
-    let kill = What::Node(owner, Signal::Kill);
-    rig.play(vec![Injection { at: 0, lasts: 0, what: kill }]).await;
-    until_state(&rig, 1 - owner, job, "failed").await;
+    let owner = wait_until("the owner", async || rig.owner(0).await).await;
+    let kill = Fault::Node(owner, ProcessFault::Kill);
+    rig.run_plan(vec![Injection { at: 0, duration_ms: 0, fault: kill }]).await;
+    wait_for_state(&rig, 1 - owner, job, "failed").await;
     let log = rig.log(0).await;
-    let story = Story { steps: vec![1], accepted: Some(0), crashes: true, ..Story::default() };
-    let broken = check(&log, &BTreeMap::from([(job.to_owned(), story)]), false);
-    assert!(broken.is_empty(), "{broken:?}");
+    let history =
+        JobHistory { steps: vec![1], accepted: Some(0), crashes: true, ..JobHistory::default() };
+    let violations = check(&log, &BTreeMap::from([(job.to_owned(), history)]), false);
+    assert!(violations.is_empty(), "{violations:?}");
 }
 
-async fn hand_in(rig: &Rig, id: &str, job: &Value) {
-    until("a job that is taken", async || {
+async fn submit(rig: &Rig, id: &str, job: &Value) {
+    wait_until("a job to be accepted", async || {
         let url = format!("http://{}/q0/{id}", rig.nodes[0].callers);
         let request = rig.client.post(url).header("Host", HOST).json(job);
         (request.send().await.ok()?.status() == StatusCode::OK).then_some(())
@@ -75,8 +77,8 @@
     .await;
 }
 
-async fn until_state(rig: &Rig, node: usize, id: &str, wanted: &str) {
-    until(wanted, async || {
+async fn wait_for_state(rig: &Rig, node: usize, id: &str, wanted: &str) {
+    wait_until(wanted, async || {
         let url = format!("http://{}/q0/{id}", rig.nodes[node].callers);
         let answer = rig.client.get(url).header("Host", HOST).send().await.ok()?;
         let state: Value = answer.json().await.ok()?;
@@ -85,51 +87,50 @@
     .await;
 }
 
-/// Users saw a task run on two workers at one time, in runs with cuts and pauses that overlapped.
-/// Order of events, from a run of the soak (seed 1, narrowed down): an owner no longer reaches the
-/// store, nor the worker that runs its task. Its lease ends; a later owner finds the task at that
-/// worker, takes it over and goes on renewing it. The owner before still gives orders, as it may for
-/// a while after its lease. When what it had itself given to the silent worker is over, it takes the
-/// run for lapsed, and starts the task anew at a worker that the later owner does not reach.
-/// Cause: that a silent worker's runs have lapsed by what this owner gave is concluded also after the
-/// end of its lease, when another may have given more. Evidence: the log lines `lapsed unseen` and
-/// `started` of the owner before, after `taken over` of the later one; tokens 53 and 1376.
+/// A task ran on two workers at the same time (seed 1, reduced). An owner loses its connections to
+/// the store and to the worker that runs its task. Its lease expires, and a later owner takes over
+/// the run and renews the worker's lease. During its grace period the earlier owner still sends
+/// orders: when the lease that it had itself granted to the worker expires, it must not assume that
+/// the run has expired and start the task at a worker that the later owner does not reach, because
+/// after the end of its own lease another owner may have extended the worker's lease.
 #[tokio::test]
-async fn an_owner_without_a_lease_takes_no_run_for_lapsed() {
-    let size = Size {
+async fn an_owner_without_a_lease_does_not_assume_that_a_run_has_expired() {
+    let setup = Setup {
         nodes: 2,
         workers: 2,
         pools: 1,
         millis: 0,
-        often: None,
+        frequent_kind: None,
         crashes: false,
         keep_ids: false,
     };
-    let rig = Rig::start("lapsed", 1, size).await;
-    // One task fills a worker: both have heard of the owner.
+    let rig = Rig::start("lapsed", 1, setup).await;
+    // One task fills a worker: both workers have received orders from the owner.
     let (first, second) = ("00000000000000a1", "00000000000000a2");
     let step = json!({ "count": 2, "cpu": 8_000, "estimated_ms": 300 });
-    hand_in(&rig, first, &json!({ "spec": "300", "steps": [step] })).await;
-    until_state(&rig, 1, first, "succeeded").await;
-    let step = json!({ "count": 1, "cpu": 1_000, "estimated_ms": LONG_MS });
-    hand_in(&rig, second, &json!({ "spec": LONG_MS.to_string(), "steps": [step] })).await;
-    until_state(&rig, 1, second, "running").await;
+    submit(&rig, first, &json!({ "spec": "300", "steps": [step] })).await;
+    wait_for_state(&rig, 1, first, "succeeded").await;
+    let step = json!({ "count": 1, "cpu": 1_000, "estimated_ms": LONG_TASK_MS });
+    submit(&rig, second, &json!({ "spec": LONG_TASK_MS.to_string(), "steps": [step] })).await;
+    wait_for_state(&rig, 1, second, "running").await;
     let log = rig.log(0).await;
     let started = log.iter().find(|entry| entry.task.starts_with(second)).unwrap();
     assert_eq!(started.kind, Kind::Started);
     let worker = usize::from(started.worker == "w1");
-    let owner = until("the owner", async || rig.owner(0).await).await;
-    rig.trouble(worker, &json!({ "cut": "older" })).await;
-    rig.trouble(1 - worker, &json!({ "cut": "newer" })).await;
-    rig.harm(owner, Harm::CutBoth).await;
-    // The owner before gives no orders any more by then.
-    until_state(&rig, 1 - owner, second, "succeeded").await;
+    let owner = wait_until("the owner", async || rig.owner(0).await).await;
+    rig.set_worker_faults(worker, &json!({ "cut": "older" })).await;
+    rig.set_worker_faults(1 - worker, &json!({ "cut": "newer" })).await;
+    rig.inject_link_fault(owner, LinkFault::CutBoth).await;
+    // By then the earlier owner sends no more orders.
+    wait_for_state(&rig, 1 - owner, second, "succeeded").await;
     let log = rig.log(0).await;
-    let story = |steps| Story { steps, accepted: Some(0), ..Story::default() };
-    let stories =
-        BTreeMap::from([(first.to_owned(), story(vec![2])), (second.to_owned(), story(vec![1]))]);
-    let broken = check(&log, &stories, false);
-    if let Some(first) = broken.first() {
+    let history = |steps| JobHistory { steps, accepted: Some(0), ..JobHistory::default() };
+    let histories = BTreeMap::from([
+        (first.to_owned(), history(vec![2])),
+        (second.to_owned(), history(vec![1])),
+    ]);
+    let violations = check(&log, &histories, false);
+    if let Some(first) = violations.first() {
         let timeline = report::timeline(&rig, first, &log, None).await;
         panic!("{timeline}");
     }
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -1,20 +1,20 @@
-//! What must hold, by what workers and callers saw alone.
+//! The guarantees that must hold, checked only from what workers and callers observed.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use serde::Deserialize;
 
-/// How long after a job was shown as done its last start may come, in milliseconds.
-const SLACK_MS: u64 = 1_000;
+/// How long after a job is reported as succeeded one of its tasks may still start, in milliseconds.
+const START_SLACK_MS: u64 = 1_000;
 
-/// So many workers may crash under a task that crashes them before its starts are counted, and it is
-/// started fewer times than this after that.
-const CRASHES: usize = 3;
-const STARTS_AFTER: usize = 3;
+/// Number of worker crashes by a task after which its starts are counted.
+const CRASH_LIMIT: usize = 3;
+/// Number of starts after these crashes that is a violation.
+const RESTART_LIMIT: usize = 3;
 
-/// How old a job must be to be counted among those that wait, in milliseconds: accepted jobs are known
-/// to all nodes within three seconds, and the count may be two seconds old.
-const COUNTED_MS: u64 = 5_000;
+/// Age from which a waiting job must be counted, in milliseconds: an accepted job is known to all
+/// nodes within three seconds, and the count may be two seconds old.
+const MIN_AGE_MS: u64 = 5_000;
 
 /// One event at a worker.
 #[derive(Debug, Clone, Deserialize)]
@@ -40,30 +40,30 @@
     Expired,
 }
 
-/// A job, as its caller saw it. Times are in milliseconds since 1970.
+/// A job as its caller observed it. Times are in milliseconds since 1970.
 #[derive(Debug, Clone, Default)]
-pub struct Story {
+pub struct JobHistory {
     pub pool: u32,
     /// How many tasks each step has; each step waits for the one before.
     pub steps: Vec<u32>,
     pub cpu: u32,
-    pub work: u64,
+    pub work_ms: u64,
     pub fails: bool,
-    pub lasts: bool,
-    /// Its tasks crash the workers that start them.
+    pub long_running: bool,
+    /// Whether its tasks crash the workers that start them.
     pub crashes: bool,
     pub cancel_after: Option<u64>,
     pub accepted: Option<u64>,
-    /// Some try to hand it in got no answer.
-    pub unsure: Option<u64>,
+    /// When an attempt to submit it first had an unknown outcome.
+    pub maybe_accepted: Option<u64>,
     pub cancelled: Option<u64>,
-    /// It was accepted, and a node knew nothing of it.
+    /// When a node first reported the accepted job as unknown.
     pub lost: Option<u64>,
-    pub shown: Vec<(u64, String)>,
-    pub told: Vec<(u64, String)>,
+    pub states: Vec<(u64, String)>,
+    pub replies: Vec<(u64, String)>,
 }
 
-/// How many jobs of a pool a node said to wait. Times as in [`Story`].
+/// How many waiting jobs of a pool a node reported. Times as in [`JobHistory`].
 #[derive(Debug, Clone)]
 pub struct Count {
     pub node: String,
@@ -73,65 +73,74 @@
     pub waiting: usize,
 }
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: &'static str,
     pub job: String,
-    /// The task, where there is one.
+    /// The task, or empty if the violation concerns the whole job.
     pub task: String,
     pub at: u64,
 }
 
-/// The promises broken so far. At the end also whether all jobs have ended.
-pub fn check(log: &[Entry], stories: &BTreeMap<String, Story>, at_end: bool) -> Vec<Broken> {
-    let mut broken = Vec::new();
-    let noted = noted(log);
-    // By task, where it runs, and where the first of its ends that counts was.
+/// The violations so far. With `at_end`, jobs that should have ended or should not have run are
+/// checked too.
+pub fn check(
+    log: &[Entry],
+    histories: &BTreeMap<String, JobHistory>,
+    at_end: bool,
+) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    let acknowledged = acknowledged_ends(log);
+    // By task: the workers that run it, and the index of its first acknowledged end.
     let mut running: HashMap<&str, Vec<&str>> = HashMap::new();
-    let mut over: HashMap<&str, usize> = HashMap::new();
+    let mut confirmed: HashMap<&str, usize> = HashMap::new();
     let mut done: HashMap<&str, u64> = HashMap::new();
     let mut crashed: HashMap<&str, (usize, usize)> = HashMap::new();
     for (number, entry) in log.iter().enumerate() {
         let (task, at) = (entry.task.as_str(), entry.at);
         let job = task.split('.').next().unwrap_or_default();
-        let mut is_broken = |rule| {
-            broken.push(Broken { rule, job: job.to_owned(), task: task.to_owned(), at });
+        let mut add_violation = |rule| {
+            violations.push(Violation { rule, job: job.to_owned(), task: task.to_owned(), at });
         };
         match entry.kind {
             Kind::Started => {
                 let runs = running.entry(task).or_default();
                 if !runs.is_empty() {
-                    is_broken("runs twice at one time");
+                    add_violation("runs twice at the same time");
                 }
                 runs.push(&entry.worker);
-                if over.contains_key(task) {
-                    is_broken("starts after an end that was taken note of");
+                if confirmed.contains_key(task) {
+                    add_violation("starts after an acknowledged end");
                 }
-                let Some(story) = stories.get(job) else {
-                    is_broken("was never handed in");
+                let Some(history) = histories.get(job) else {
+                    add_violation("was never submitted");
                     continue;
                 };
-                if story.shown_as("succeeded").is_some_and(|shown| shown + SLACK_MS < at) {
-                    is_broken("starts after its job was shown as succeeded");
+                if history
+                    .first_reported("succeeded")
+                    .is_some_and(|shown| shown + START_SLACK_MS < at)
+                {
+                    add_violation("starts after its job was reported as succeeded");
                 }
                 let (crashes, after) = crashed.entry(task).or_default();
-                *after += usize::from(CRASHES <= *crashes);
-                if story.crashes && *after == STARTS_AFTER {
-                    is_broken("starts on and on, and crashes its workers");
+                *after += usize::from(CRASH_LIMIT <= *crashes);
+                if history.crashes && *after == RESTART_LIMIT {
+                    add_violation("is restarted repeatedly although it crashes its workers");
                 }
-                if !story.earlier_tasks(task).iter().all(|task| done.contains_key(task.as_str())) {
-                    is_broken("starts before the steps before it are done");
+                if !history.earlier_tasks(task).iter().all(|task| done.contains_key(task.as_str()))
+                {
+                    add_violation("starts before earlier steps are done");
                 }
             }
             Kind::Acknowledged | Kind::Expired => {}
-            how => {
+            outcome => {
                 running.entry(task).or_default().retain(|worker| *worker != entry.worker);
-                crashed.entry(task).or_default().0 += usize::from(how == Kind::Crashed);
-                if how == Kind::Done {
+                crashed.entry(task).or_default().0 += usize::from(outcome == Kind::Crashed);
+                if outcome == Kind::Done {
                     done.entry(task).or_insert(at);
-                    if noted.contains(&number) {
-                        over.entry(task).or_insert(number);
+                    if acknowledged.contains(&number) {
+                        confirmed.entry(task).or_insert(number);
                     }
                 }
             }
@@ -142,85 +151,90 @@
         .filter(|entry| entry.kind == Kind::Started)
         .filter_map(|entry| entry.task.split('.').next())
         .collect();
-    for (job, story) in stories {
-        let mut is_broken = |rule, at| {
-            broken.push(Broken { rule, job: job.clone(), task: String::new(), at });
+    for (job, history) in histories {
+        let mut add_violation = |rule, at| {
+            violations.push(Violation { rule, job: job.clone(), task: String::new(), at });
         };
-        let last = story.told.last().map_or(0, |(at, _)| *at);
-        if let Some(shown) = story.shown_as("succeeded")
-            && !story
+        let last_reply = history.replies.last().map_or(0, |(at, _)| *at);
+        if let Some(shown) = history.first_reported("succeeded")
+            && !history
                 .tasks(job)
                 .iter()
                 .all(|task| done.get(task.as_str()).is_some_and(|at| *at <= shown))
         {
-            is_broken("is shown as succeeded before its tasks are done", shown);
+            add_violation("is reported as succeeded before its tasks are done", shown);
         }
-        if let Some(at) = story.lost {
-            is_broken("was accepted and is not known", at);
+        if let Some(at) = history.lost {
+            add_violation("was accepted but is unknown to a node", at);
         }
-        let is_taken = story.accepted.is_some() || story.unsure.is_some();
-        if at_end && !is_taken && started.contains(job.as_str()) {
-            is_broken("was refused and runs", last);
+        let may_be_accepted = history.accepted.is_some() || history.maybe_accepted.is_some();
+        if at_end && !may_be_accepted && started.contains(job.as_str()) {
+            add_violation("was refused but runs", last_reply);
         }
         let ends = ["succeeded", "failed", "cancelled"];
         if at_end
-            && story.accepted.is_some()
-            && !ends.iter().any(|end| story.shown_as(end).is_some())
+            && history.accepted.is_some()
+            && !ends.iter().any(|end| history.first_reported(end).is_some())
         {
-            is_broken("was accepted and does not end", last);
+            add_violation("was accepted but does not end", last_reply);
         }
     }
-    broken.sort_by_key(|broken| broken.at);
-    broken
+    violations.sort_by_key(|violation| violation.at);
+    violations
 }
 
-/// Whether nodes told of half at the least of the jobs that have waited for long. The log must have been
-/// read after the last count.
+/// Violations by nodes that counted fewer than half of the jobs that had waited for long. The log
+/// must have been read after the last count.
 pub fn check_counts(
     log: &[Entry],
-    stories: &BTreeMap<String, Story>,
+    histories: &BTreeMap<String, JobHistory>,
     counts: &[Count],
-) -> Vec<Broken> {
-    let mut begun: HashMap<&str, u64> = HashMap::new();
+) -> Vec<Violation> {
+    let mut first_starts: HashMap<&str, u64> = HashMap::new();
     for entry in log.iter().filter(|entry| entry.kind == Kind::Started) {
-        begun.entry(entry.task.split('.').next().unwrap_or_default()).or_insert(entry.at);
+        first_starts.entry(entry.task.split('.').next().unwrap_or_default()).or_insert(entry.at);
     }
-    let broken = counts.iter().filter_map(|count| {
-        let mut waiting = stories.iter().filter(|(job, story)| {
+    let violations = counts.iter().filter_map(|count| {
+        let mut waiting = histories.iter().filter(|(job, history)| {
             let after = |at: Option<u64>| at.is_none_or(|at| count.answered < at);
-            let is_old = story.accepted.is_some_and(|at| at + COUNTED_MS < count.asked);
-            let waits = after(begun.get(job.as_str()).copied()) && after(story.cancelled);
-            story.pool == count.pool && is_old && waits
+            let is_old = history.accepted.is_some_and(|at| at + MIN_AGE_MS < count.asked);
+            let waits = after(first_starts.get(job.as_str()).copied()) && after(history.cancelled);
+            history.pool == count.pool && is_old && waits
         });
         let (job, _) = waiting.next()?;
-        let wait = 1 + waiting.count();
-        let rule = "waits, and fewer than half of such jobs are counted";
+        let waiting_count = 1 + waiting.count();
+        let rule = "waits, but fewer than half of such jobs are counted";
         let (job, at) = (job.clone(), count.answered);
-        (count.waiting * 2 < wait).then_some(Broken { rule, job, task: String::new(), at })
+        (count.waiting * 2 < waiting_count).then_some(Violation {
+            rule,
+            job,
+            task: String::new(),
+            at,
+        })
     });
-    broken.collect()
+    violations.collect()
 }
 
-/// The ends `done` that a caller took note of before the worker's lease was over.
-fn noted(log: &[Entry]) -> BTreeSet<usize> {
-    let mut open: HashMap<(&str, &str, u32), usize> = HashMap::new();
-    let mut noted = BTreeSet::new();
+/// Indexes of the `done` events that a caller acknowledged before the worker's lease expired.
+fn acknowledged_ends(log: &[Entry]) -> BTreeSet<usize> {
+    let mut unacknowledged: HashMap<(&str, &str, u32), usize> = HashMap::new();
+    let mut acknowledged = BTreeSet::new();
     for (number, entry) in log.iter().enumerate() {
         let key = (entry.worker.as_str(), entry.task.as_str(), entry.run);
         match entry.kind {
-            Kind::Done => _ = open.insert(key, number),
-            Kind::Expired => open.retain(|(worker, ..), _| *worker != entry.worker),
-            Kind::Acknowledged => noted.extend(open.remove(&key)),
+            Kind::Done => _ = unacknowledged.insert(key, number),
+            Kind::Expired => unacknowledged.retain(|(worker, ..), _| *worker != entry.worker),
+            Kind::Acknowledged => acknowledged.extend(unacknowledged.remove(&key)),
             _ => {}
         }
     }
-    noted
+    acknowledged
 }
 
-impl Story {
+impl JobHistory {
     /// When a caller was first shown a state.
-    fn shown_as(&self, state: &str) -> Option<u64> {
-        self.shown.iter().find(|(_, shown)| shown == state).map(|(at, _)| *at)
+    fn first_reported(&self, state: &str) -> Option<u64> {
+        self.states.iter().find(|(_, shown)| shown == state).map(|(at, _)| *at)
     }
 
     fn tasks(&self, job: &str) -> Vec<String> {
@@ -228,7 +242,7 @@
         steps.flat_map(|(step, count)| step_tasks(job, step, *count)).collect()
     }
 
-    /// The tasks of all steps before that of a task.
+    /// The tasks of all steps before the step of `task`.
     fn earlier_tasks(&self, task: &str) -> Vec<String> {
         let mut parts = task.split('.');
         let job = parts.next().unwrap_or_default();
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,89 +1,90 @@
-//! What is injected when, as a seed draws it.
+//! The faults of a run and their times, drawn from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
 
-/// What is done to a node's process.
+/// A fault of a node's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Signal {
+pub enum ProcessFault {
     Freeze,
-    /// Its process stands still again and again, as one that has too little processor time.
+    /// The process is stopped repeatedly, like one with too little processor time.
     Slow,
     Term,
     Kill,
     Hup,
 }
 
-/// What is done to a node's way to the store.
+/// A fault of a node's link to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
+pub enum LinkFault {
     Delay(u64),
     CutOut,
     CutIn,
     CutBoth,
     Refuse,
     Reset,
-    /// Of the connections that are open one in so many falls silent for good.
+    /// One in this many of the open connections goes silent for good.
     Silent(u64),
-    /// The same, also of those that are opened while this lasts.
+    /// The same, including connections that are opened during the fault.
     Flaky(u64),
-    /// Of the connections one in so many, counted from one of them, is held up again and again for
-    /// so many milliseconds.
+    /// `Lag(divisor, remainder, hold_ms)`: the connections whose number leaves the remainder are
+    /// held repeatedly for `hold_ms` milliseconds.
     Lag(u64, u64, u64),
-    /// Watches hang, and all other calls are answered.
+    /// Watches hang while all other calls are answered.
     NoWatch,
 }
 
-/// One injection.
+/// A fault that is injected.
 #[derive(Debug, Clone, PartialEq)]
-pub enum What {
-    Node(usize, Signal),
-    Way(usize, Harm),
+pub enum Fault {
+    Node(usize, ProcessFault),
+    Way(usize, LinkFault),
     Store(Value),
     Worker(usize, Value),
-    /// The owner of a pool, as it is then, is cut off or frozen or loses its lease, and single
-    /// workers are cut off from whoever comes after.
-    Owner(u32, Vec<What>, Vec<usize>),
+    /// Faults of whichever node owns the pool at that time, and workers that are cut off from later
+    /// owners.
+    Owner(u32, Vec<Fault>, Vec<usize>),
 }
 
-/// When an injection begins, and how long it holds, in milliseconds.
+/// A fault with its start and duration in milliseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Injection {
     pub at: u64,
-    pub lasts: u64,
-    pub what: What,
+    pub duration_ms: u64,
+    pub fault: Fault,
 }
 
-/// The size of what is played.
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
+pub struct Setup {
     pub nodes: usize,
     pub workers: usize,
     pub pools: u32,
     pub millis: u64,
-    /// The kind of fault that comes often; drawn if it is not given.
-    pub often: Option<u32>,
+    /// The frequent kind of fault; drawn if `None`.
+    pub frequent_kind: Option<u32>,
     /// Whether some jobs crash the workers that start their tasks.
     pub crashes: bool,
-    /// Whether every other worker starts again under the identifier that it had.
+    /// Whether every other worker restarts under the same identifier.
     pub keep_ids: bool,
 }
 
 /// Draws the injections of a seed.
-pub fn draw(seed: u64, size: Size) -> Vec<Injection> {
+pub fn draw(seed: u64, setup: Setup) -> Vec<Injection> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut plan = Vec::new();
-    let mut at = 2_500.min(size.millis / 4);
-    // What comes often in this run: what takes several of one kind is seldom drawn otherwise.
-    let drawn = rng.random_range(0..FAVOURITES);
-    let often = size.often.unwrap_or(drawn);
-    // Some seeds are calmer than others; between two series there is some calm.
+    let mut at = 2_500.min(setup.millis / 4);
+    // The frequent kind of fault in this run: failures that take several faults of one kind are
+    // rarely drawn otherwise.
+    let drawn_kind = rng.random_range(0..FREQUENT_KINDS);
+    let frequent_kind = setup.frequent_kind.unwrap_or(drawn_kind);
+    // Seeds differ in their density of faults, and there is a pause between two series.
     let pause = rng.random_range(150..900);
-    while at < size.millis {
+    while at < setup.millis {
         let series = rng.random_range(1..5);
         for _ in 0..series {
-            plan.push(one(&mut rng, at, size, often));
+            plan.push(draw_injection(&mut rng, at, setup, frequent_kind));
             at += rng.random_range(0..pause);
         }
         at += rng.random_range(0..3 * pause);
@@ -91,121 +92,122 @@
     plan
 }
 
-/// How many kinds there are of what may come often.
-pub const FAVOURITES: u32 = 10;
-
-/// Kinds that come often only where they are asked for.
-const SLOW_OWNERS: u32 = FAVOURITES;
-const SILENT_WATCHES: u32 = FAVOURITES + 1;
-
-fn favourite(rng: &mut Pcg64Mcg, often: u32, size: Size) -> What {
-    let whats = match often {
-        0 => vec![What::Way(0, lag(rng))],
-        1 => vec![What::Store(json!({ "leases_over": "all" })), What::Way(0, lag(rng))],
-        2 => vec![What::Store(json!({ "leases_over": "all" }))],
-        3 => vec![What::Node(0, Signal::Freeze)],
-        4 => vec![What::Way(0, Harm::CutIn)],
-        5 => vec![What::Way(0, Harm::Flaky(rng.random_range(2..4)))],
-        6 => return What::Store(late(rng)),
-        7 => vec![What::Store(json!({ "leases_over": "all" })), What::Way(0, Harm::NoWatch)],
-        8 => vec![What::Way(0, Harm::NoWatch)],
-        SLOW_OWNERS => vec![What::Node(0, Signal::Slow)],
-        SILENT_WATCHES => return What::Store(json!({ "store_watches_silent": true })),
-        _ => return What::Worker(rng.random_range(0..size.workers), trouble(rng)),
+/// Number of kinds of faults that are drawn as the frequent one.
+pub const FREQUENT_KINDS: u32 = 10;
+
+/// Kinds that are frequent only on request.
+const SLOW_OWNERS: u32 = FREQUENT_KINDS;
+const SILENT_WATCHES: u32 = FREQUENT_KINDS + 1;
+
+fn frequent_fault(rng: &mut Pcg64Mcg, frequent_kind: u32, setup: Setup) -> Fault {
+    let faults = match frequent_kind {
+        0 => vec![Fault::Way(0, draw_lag(rng))],
+        1 => vec![Fault::Store(json!({ "leases_over": "all" })), Fault::Way(0, draw_lag(rng))],
+        2 => vec![Fault::Store(json!({ "leases_over": "all" }))],
+        3 => vec![Fault::Node(0, ProcessFault::Freeze)],
+        4 => vec![Fault::Way(0, LinkFault::CutIn)],
+        5 => vec![Fault::Way(0, LinkFault::Flaky(rng.random_range(2..4)))],
+        6 => return Fault::Store(draw_late_writes(rng)),
+        7 => vec![Fault::Store(json!({ "leases_over": "all" })), Fault::Way(0, LinkFault::NoWatch)],
+        8 => vec![Fault::Way(0, LinkFault::NoWatch)],
+        SLOW_OWNERS => vec![Fault::Node(0, ProcessFault::Slow)],
+        SILENT_WATCHES => return Fault::Store(json!({ "store_watches_silent": true })),
+        _ => return Fault::Worker(rng.random_range(0..setup.workers), draw_worker_faults(rng)),
     };
-    What::Owner(rng.random_range(0..size.pools), whats, cut_off(rng, size))
+    Fault::Owner(rng.random_range(0..setup.pools), faults, draw_cut_off_workers(rng, setup))
 }
 
-/// Workers that are cut off from later owners.
-fn cut_off(rng: &mut Pcg64Mcg, size: Size) -> Vec<usize> {
+/// Draws the workers that are cut off from later owners.
+fn draw_cut_off_workers(rng: &mut Pcg64Mcg, setup: Setup) -> Vec<usize> {
     if rng.random_ratio(1, 4) {
-        return (0..size.workers).collect();
+        return (0..setup.workers).collect();
     }
     let count = rng.random_range(0..4);
-    (0..count).map(|_| rng.random_range(0..size.workers)).collect()
+    (0..count).map(|_| rng.random_range(0..setup.workers)).collect()
 }
 
-fn lag(rng: &mut Pcg64Mcg) -> Harm {
-    let every = rng.random_range(2..6);
-    Harm::Lag(every, rng.random_range(0..every), rng.random_range(200..1_450))
+fn draw_lag(rng: &mut Pcg64Mcg) -> LinkFault {
+    let divisor = rng.random_range(2..6);
+    LinkFault::Lag(divisor, rng.random_range(0..divisor), rng.random_range(200..1_450))
 }
 
-fn late(rng: &mut Pcg64Mcg) -> Value {
+fn draw_late_writes(rng: &mut Pcg64Mcg) -> Value {
     json!({
         "store_late_ms": rng.random_range(300..4_000),
         "store_late_every": rng.random_range(1..6),
     })
 }
 
-fn one(rng: &mut Pcg64Mcg, at: u64, size: Size, often: u32) -> Injection {
-    let node = rng.random_range(0..size.nodes);
-    let worker = rng.random_range(0..size.workers);
-    let lasts = match rng.random_range(0..3) {
+fn draw_injection(rng: &mut Pcg64Mcg, at: u64, setup: Setup, frequent_kind: u32) -> Injection {
+    let node = rng.random_range(0..setup.nodes);
+    let worker = rng.random_range(0..setup.workers);
+    let duration_ms = match rng.random_range(0..3) {
         0 => rng.random_range(300..1_500),
         1 => rng.random_range(1_500..5_000),
         _ => rng.random_range(5_000..12_000),
     };
-    let what = match rng.random_range(0..20) {
-        10.. => favourite(rng, often, size),
-        0..2 => What::Node(node, signal(rng)),
-        2..5 => What::Way(node, harm(rng)),
-        5 => What::Store(store(rng)),
-        6..8 => What::Worker(worker, trouble(rng)),
+    let fault = match rng.random_range(0..20) {
+        10.. => frequent_fault(rng, frequent_kind, setup),
+        0..2 => Fault::Node(node, draw_process_fault(rng)),
+        2..5 => Fault::Way(node, draw_link_fault(rng)),
+        5 => Fault::Store(draw_store_faults(rng)),
+        6..8 => Fault::Worker(worker, draw_worker_faults(rng)),
         _ => {
-            let most = rng.random_range(1..3);
-            let whats = (0..most).map(|_| owners(rng)).collect();
-            What::Owner(rng.random_range(0..size.pools), whats, cut_off(rng, size))
+            let fault_count = rng.random_range(1..3);
+            let faults = (0..fault_count).map(|_| draw_owner_fault(rng)).collect();
+            Fault::Owner(rng.random_range(0..setup.pools), faults, draw_cut_off_workers(rng, setup))
         }
     };
-    // What harms all at once is short.
-    let lasts = if matches!(what, What::Store(_)) { lasts.min(2_500) } else { lasts };
-    Injection { at, lasts, what }
+    // Faults that affect all nodes at once are short.
+    let duration_ms =
+        if matches!(fault, Fault::Store(_)) { duration_ms.min(2_500) } else { duration_ms };
+    Injection { at, duration_ms, fault }
 }
 
-fn owners(rng: &mut Pcg64Mcg) -> What {
+fn draw_owner_fault(rng: &mut Pcg64Mcg) -> Fault {
     match rng.random_range(0..8) {
-        0..2 => What::Node(0, signal(rng)),
-        2..4 => What::Store(json!({ "leases_over": "all" })),
-        _ => What::Way(0, harm(rng)),
+        0..2 => Fault::Node(0, draw_process_fault(rng)),
+        2..4 => Fault::Store(json!({ "leases_over": "all" })),
+        _ => Fault::Way(0, draw_link_fault(rng)),
     }
 }
 
-fn signal(rng: &mut Pcg64Mcg) -> Signal {
+fn draw_process_fault(rng: &mut Pcg64Mcg) -> ProcessFault {
     match rng.random_range(0..10) {
-        0..6 => Signal::Freeze,
-        6..8 => Signal::Kill,
-        8 => Signal::Term,
-        _ => Signal::Hup,
+        0..6 => ProcessFault::Freeze,
+        6..8 => ProcessFault::Kill,
+        8 => ProcessFault::Term,
+        _ => ProcessFault::Hup,
     }
 }
 
-fn harm(rng: &mut Pcg64Mcg) -> Harm {
+fn draw_link_fault(rng: &mut Pcg64Mcg) -> LinkFault {
     match rng.random_range(0..11) {
-        10 => Harm::NoWatch,
-        0 => Harm::Delay(rng.random_range(20..600)),
-        1 => Harm::CutOut,
-        2 => lag(rng),
-        3 => Harm::CutIn,
-        4 => Harm::CutBoth,
-        5 => Harm::Refuse,
-        6 => Harm::Reset,
-        7 => Harm::Flaky(rng.random_range(2..5)),
-        _ => Harm::Silent(rng.random_range(1..4)),
+        10 => LinkFault::NoWatch,
+        0 => LinkFault::Delay(rng.random_range(20..600)),
+        1 => LinkFault::CutOut,
+        2 => draw_lag(rng),
+        3 => LinkFault::CutIn,
+        4 => LinkFault::CutBoth,
+        5 => LinkFault::Refuse,
+        6 => LinkFault::Reset,
+        7 => LinkFault::Flaky(rng.random_range(2..5)),
+        _ => LinkFault::Silent(rng.random_range(1..4)),
     }
 }
 
-fn store(rng: &mut Pcg64Mcg) -> Value {
+fn draw_store_faults(rng: &mut Pcg64Mcg) -> Value {
     match rng.random_range(0..7) {
         0 => json!({ "store_down": true }),
         1 => json!({ "store_lost": true }),
         2 => json!({ "store_compact": true }),
         3 => json!({ "store_slow_ms": rng.random_range(100..900) }),
         4 => json!({ "leases_over": { "nth": rng.random_range(0..8) } }),
-        _ => late(rng),
+        _ => draw_late_writes(rng),
     }
 }
 
-fn trouble(rng: &mut Pcg64Mcg) -> Value {
+fn draw_worker_faults(rng: &mut Pcg64Mcg) -> Value {
     match rng.random_range(0..7) {
         0 => json!({ "late_ms": rng.random_range(100..3_000) }),
         1 => json!({ "mute": true }),
--- a/tests/soak/tests.rs
+++ b/tests/soak/tests.rs
@@ -1,15 +1,15 @@
-//! Tests of the check itself: it must tell what is broken from what is not.
+//! Tests of the checks and of the plan: violations must be found, and nothing else.
 
 use std::collections::BTreeMap;
 
 use super::{
-    check::{Count, Entry, Kind, Story, check, check_counts},
-    plan::{self, Size},
+    check::{Count, Entry, JobHistory, Kind, check, check_counts},
+    plan::{self, Setup},
 };
 
 const JOB: &str = "00000000000000a1";
 
-/// What one worker did with a task of the first step, or of the second, one event a millisecond.
+/// The event log of tasks of the first and second step, with one event per millisecond.
 fn log(events: &[(&str, Kind, u32)]) -> Vec<Entry> {
     let entry = |(at, (worker, kind, step)): (usize, &(&str, Kind, u32))| Entry {
         at: 10 + at as u64,
@@ -22,87 +22,103 @@
     events.iter().enumerate().map(entry).collect()
 }
 
-fn accepted() -> Story {
-    Story { steps: vec![1, 1], accepted: Some(1), ..Story::default() }
+fn accepted() -> JobHistory {
+    JobHistory { steps: vec![1, 1], accepted: Some(1), ..JobHistory::default() }
 }
 
-fn broken(events: &[(&str, Kind, u32)], story: Story, at_end: bool) -> Vec<&'static str> {
-    let stories = BTreeMap::from([(JOB.to_owned(), story)]);
-    check(&log(events), &stories, at_end).into_iter().map(|broken| broken.rule).collect()
+fn violated_rules(
+    events: &[(&str, Kind, u32)],
+    history: JobHistory,
+    at_end: bool,
+) -> Vec<&'static str> {
+    let histories = BTreeMap::from([(JOB.to_owned(), history)]);
+    check(&log(events), &histories, at_end).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn two_runs_at_one_time_are_seen_and_one_after_the_other_is_not() {
-    let both = [("a", Kind::Started, 0), ("b", Kind::Started, 0)];
-    assert_eq!(broken(&both, accepted(), false), ["runs twice at one time"]);
-    let next = [("a", Kind::Started, 0), ("a", Kind::Lapsed, 0), ("b", Kind::Started, 0)];
-    assert!(broken(&next, accepted(), false).is_empty());
+fn concurrent_runs_are_violations_and_consecutive_runs_are_not() {
+    let concurrent = [("a", Kind::Started, 0), ("b", Kind::Started, 0)];
+    assert_eq!(violated_rules(&concurrent, accepted(), false), ["runs twice at the same time"]);
+    let consecutive = [("a", Kind::Started, 0), ("a", Kind::Lapsed, 0), ("b", Kind::Started, 0)];
+    assert!(violated_rules(&consecutive, accepted(), false).is_empty());
     let crashed = [("a", Kind::Started, 0), ("a", Kind::Crashed, 0), ("b", Kind::Started, 0)];
-    assert!(broken(&crashed, accepted(), false).is_empty());
+    assert!(violated_rules(&crashed, accepted(), false).is_empty());
 }
 
 #[test]
-fn a_start_after_an_end_counts_if_the_end_is_taken_note_of_within_the_lease() {
+fn a_start_after_an_end_that_was_acknowledged_within_the_lease_is_a_violation() {
     let (started, done) = (("a", Kind::Started, 0), ("a", Kind::Done, 0));
-    let (again, noted) = (("b", Kind::Started, 0), ("a", Kind::Acknowledged, 0));
-    let rule = ["starts after an end that was taken note of"];
-    assert_eq!(broken(&[started, done, noted, again], accepted(), false), rule);
-    assert_eq!(broken(&[started, done, again, noted], accepted(), false), rule);
-    assert!(broken(&[started, done, again], accepted(), false).is_empty());
-    let lapsed = ("a", Kind::Expired, 0);
-    assert!(broken(&[started, done, lapsed, again, noted], accepted(), false).is_empty());
-    assert_eq!(broken(&[started, done, noted, lapsed, again], accepted(), false), rule);
+    let (restarted, acknowledged) = (("b", Kind::Started, 0), ("a", Kind::Acknowledged, 0));
+    let rule = ["starts after an acknowledged end"];
+    assert_eq!(violated_rules(&[started, done, acknowledged, restarted], accepted(), false), rule);
+    assert_eq!(violated_rules(&[started, done, restarted, acknowledged], accepted(), false), rule);
+    assert!(violated_rules(&[started, done, restarted], accepted(), false).is_empty());
+    let expired = ("a", Kind::Expired, 0);
+    assert!(
+        violated_rules(&[started, done, expired, restarted, acknowledged], accepted(), false)
+            .is_empty()
+    );
+    assert_eq!(
+        violated_rules(&[started, done, acknowledged, expired, restarted], accepted(), false),
+        rule
+    );
 }
 
 #[test]
-fn the_order_of_steps_and_what_callers_are_shown_are_checked() {
-    let early = [("a", Kind::Started, 1)];
-    assert_eq!(broken(&early, accepted(), false), ["starts before the steps before it are done"]);
-    let shown = Story { shown: vec![(5, "succeeded".to_owned())], ..accepted() };
-    let rules = broken(&[], shown, false);
-    assert_eq!(rules, ["is shown as succeeded before its tasks are done"]);
-    let refused = Story { accepted: None, ..accepted() };
-    let rules = broken(&[("a", Kind::Started, 0)], refused, true);
-    assert_eq!(rules, ["was refused and runs"]);
-    assert_eq!(broken(&[], accepted(), true), ["was accepted and does not end"]);
-    assert!(broken(&[], accepted(), false).is_empty());
-    assert_eq!(check(&log(&early), &BTreeMap::new(), false)[0].rule, "was never handed in");
+fn the_order_of_steps_and_the_reported_states_are_checked() {
+    let early_start = [("a", Kind::Started, 1)];
+    assert_eq!(
+        violated_rules(&early_start, accepted(), false),
+        ["starts before earlier steps are done"]
+    );
+    let shown = JobHistory { states: vec![(5, "succeeded".to_owned())], ..accepted() };
+    let rules = violated_rules(&[], shown, false);
+    assert_eq!(rules, ["is reported as succeeded before its tasks are done"]);
+    let refused = JobHistory { accepted: None, ..accepted() };
+    let rules = violated_rules(&[("a", Kind::Started, 0)], refused, true);
+    assert_eq!(rules, ["was refused but runs"]);
+    assert_eq!(violated_rules(&[], accepted(), true), ["was accepted but does not end"]);
+    assert!(violated_rules(&[], accepted(), false).is_empty());
+    assert_eq!(check(&log(&early_start), &BTreeMap::new(), false)[0].rule, "was never submitted");
 }
 
 #[test]
-fn a_count_below_half_of_the_jobs_that_have_waited_for_long_is_seen() {
+fn a_count_below_half_of_the_long_waiting_jobs_is_a_violation() {
     let names = [JOB, "00000000000000a2", "00000000000000a3"];
-    let stories = |story: Story| -> BTreeMap<String, Story> {
-        names.map(|name| (name.to_owned(), story.clone())).into()
+    let histories = |history: JobHistory| -> BTreeMap<String, JobHistory> {
+        names.map(|name| (name.to_owned(), history.clone())).into()
     };
     let count = |asked, waiting| {
         let node = "n1".to_owned();
         Count { node, pool: 0, asked, answered: asked + 100, waiting }
     };
-    let is_broken = |log: &[Entry], story: Story, count| {
-        !check_counts(log, &stories(story), &[count]).is_empty()
+    let is_violation = |log: &[Entry], history: JobHistory, count| {
+        !check_counts(log, &histories(history), &[count]).is_empty()
     };
-    assert!(is_broken(&[], accepted(), count(6_000, 1)));
-    assert!(!is_broken(&[], accepted(), count(6_000, 2)));
-    assert!(!is_broken(&[], accepted(), count(4_000, 0)), "they were accepted lately");
-    assert!(!is_broken(&[], accepted(), Count { pool: 1, ..count(6_000, 0) }));
-    let cancelled = Story { cancelled: Some(6_050), ..accepted() };
-    assert!(!is_broken(&[], cancelled, count(6_000, 0)));
-    let begun = log(&[("a", Kind::Started, 0)]);
-    assert!(!is_broken(&begun, accepted(), count(6_000, 1)), "two of them wait");
+    assert!(is_violation(&[], accepted(), count(6_000, 1)));
+    assert!(!is_violation(&[], accepted(), count(6_000, 2)));
+    assert!(!is_violation(&[], accepted(), count(4_000, 0)), "they were accepted recently");
+    assert!(!is_violation(&[], accepted(), Count { pool: 1, ..count(6_000, 0) }));
+    let cancelled = JobHistory { cancelled: Some(6_050), ..accepted() };
+    assert!(!is_violation(&[], cancelled, count(6_000, 0)));
+    let first_started = log(&[("a", Kind::Started, 0)]);
+    assert!(
+        !is_violation(&first_started, accepted(), count(6_000, 1)),
+        "only two of them still wait"
+    );
 }
 
 #[test]
-fn a_seed_draws_the_same_each_time() {
-    let size = Size {
+fn a_seed_draws_the_same_plan_each_time() {
+    let setup = Setup {
         nodes: 6,
         workers: 15,
         pools: 3,
         millis: 30_000,
-        often: None,
+        frequent_kind: None,
         crashes: false,
         keep_ids: false,
     };
-    assert_eq!(plan::draw(7, size), plan::draw(7, size));
-    assert_ne!(plan::draw(7, size), plan::draw(8, size));
+    assert_eq!(plan::draw(7, setup), plan::draw(7, setup));
+    assert_ne!(plan::draw(7, setup), plan::draw(8, setup));
 }
