--- a/src/demo.rs
+++ b/src/demo.rs
@@ -83,7 +83,7 @@
     let mut fleet = Fleet::start(preset, NODES).await?;
     let mut summary = Summary::new(preset.name, options.seed);
     let client = fleet.client(0);
-    accept(&client, &preset.config).await?;
+    apply_config(&client, &preset.config).await?;
     wait_until_ready(&client, &preset.config).await?;
     let checks = Checks::start(&fleet, preset);
     let callers = Callers::start(&fleet, preset, CALLERS, options.seed);
@@ -128,7 +128,7 @@
 }
 
 /// Applies a configuration, as soon as the node can, and returns the number of the change.
-pub(crate) async fn accept(client: &Client, config: &Config) -> Result<u64, Error> {
+pub(crate) async fn apply_config(client: &Client, config: &Config) -> Result<u64, Error> {
     let by = "demo".to_owned();
     let request = ApplyRequest { config: config.clone(), by, dry: false };
     let deadline = Instant::now() + READY_LIMIT;
@@ -187,7 +187,7 @@
     for team in config.teams.values_mut() {
         team.rate = PerSecond(team.rate.0 + 1);
     }
-    accept(client, &config).await
+    apply_config(client, &config).await
 }
 
 async fn follow_plan(
--- a/src/entry/once.rs
+++ b/src/entry/once.rs
@@ -199,14 +199,14 @@
             next.op = Some(OpId::fresh());
             let value: Bytes =
                 serde_json::to_vec(&next).expect("a bucket can be serialized to JSON").into();
-            match self.store.swap_surely(&self.key, revision, Vec::new(), value).await? {
+            match self.store.swap_with_read_back(&self.key, revision, Vec::new(), value).await? {
                 Swap::Done(_) => return Ok(granted),
                 Swap::Conflict(entry) => self.known = Some(read_bucket(entry)),
             }
         }
         let (step, peer) = ("claim", "store".to_owned());
         let cause = format!("conflicted with writes of other nodes {MAX_CONFLICTS} times");
-        Err(StoreError::Unreached { step, peer, cause })
+        Err(StoreError::Failed { step, peer, cause })
     }
 }
 
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -81,7 +81,7 @@
 }
 
 fn stored(number: u64, steps: Vec<Step>, revision: u64) -> StoredJob {
-    let record = sample::record(steps);
+    let record = sample::job_record(steps);
     StoredJob {
         id: id(number),
         record: Arc::new(record),
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -66,7 +66,7 @@
 static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
 /// Number of lines dropped so far.
-pub(crate) fn left_out() -> u64 {
+pub(crate) fn dropped_lines() -> u64 {
     DROPPED_LINES.load(Ordering::Relaxed)
 }
 
@@ -186,7 +186,7 @@
             lines.push_str(&line(summary.level, &summary.target, &summary_message(summary)));
             lines.push('\n');
         }
-        let dropped = left_out();
+        let dropped = dropped_lines();
         if dropped != reported && Duration::from_secs(1) <= reported_at.elapsed() {
             (reported, reported_at) = (dropped, Instant::now());
             let message = format!("log: {dropped} lines dropped so far");
--- a/src/measure/mirror.rs
+++ b/src/measure/mirror.rs
@@ -22,7 +22,7 @@
     model::unit::{Revision, Time},
     platform::{
         kv::{self, Change, Kv},
-        runner::Runners,
+        runner::WorkerClient,
     },
     scheduler::{
         Node, accept, demand,
@@ -145,7 +145,7 @@
         let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
         let lease = Arc::new(Lease::default());
         let (to, _) = mpsc::unbounded_channel();
-        let drive = ControlLoop::new(node.clone(), lease.clone(), Runners::new(), to);
+        let drive = ControlLoop::new(node.clone(), lease.clone(), WorkerClient::new(), to);
         let mix = Mix::new(open, JOBS / ANSWERS as f64);
         let mut trial = Trial { role, open, node, lease, drive, mix, taken_up: None };
         trial.renew();
@@ -162,7 +162,7 @@
 
     fn renew(&self) {
         let now = self.node.now().steady;
-        self.lease.renewed(LEASE, now, Duration::from_millis(LEASE_MS), now);
+        self.lease.note_renewed(LEASE, now, Duration::from_millis(LEASE_MS), now);
     }
 
     /// The node wins a pool and takes it up.
@@ -172,7 +172,7 @@
         let (key, revision) = (keys::owner(name), Revision(token));
         let mut view = self.node.view();
         view.apply(Change { key, revision, value: Some(record.into()) });
-        view.known = revision;
+        view.known_revision = revision;
         drop(view);
         let tenure = Tenure::new(&self.lease, LEASE, self.node.now().steady);
         let won = Some(Ownership::new(token, 0, tenure));
--- a/src/measure/mirror/mix.rs
+++ b/src/measure/mirror/mix.rs
@@ -20,7 +20,7 @@
     scheduler::{
         drive::json as bytes,
         keys,
-        view::{CalledRecord, EmptyRecord},
+        view::{DrainedRecord, HostCallRecord},
     },
 };
 
@@ -220,7 +220,7 @@
         let marks = (0..MOVED).map(|place| {
             let number = (self.answers / TURN * MOVED + place) % HOSTS;
             let change =
-                self.write(keys::leave(&host(number)), bytes(&HostAction::Move(to.clone())));
+                self.write(keys::drain_mark(&host(number)), bytes(&HostAction::Move(to.clone())));
             self.moving.push_back((number, self.revision));
             change
         });
@@ -236,20 +236,20 @@
                 continue;
             };
             let (id, before) = (host(number), self.hosts[number]);
-            let empty = EmptyRecord { worker: worker(number, before), mark: Revision(mark) };
-            empties.push(self.write(keys::empty(&id), bytes(&empty)));
+            let empty = DrainedRecord { worker: worker(number, before), mark: Revision(mark) };
+            empties.push(self.write(keys::drained(&id), bytes(&empty)));
             rosters.push(self.rostered(number, false));
-            let record = CalledRecord { token: 1, at: Time::now() };
+            let record = HostCallRecord { token: 1, at: Time::now() };
             called.push(self.write(keys::called(&id), bytes(&record)));
             workers.push(self.listed(number, false));
             let turn = (self.answers - 1) / TURN + 1;
             self.hosts[number] = Host { pool: turn % POOLS, lives: before.lives + 1 };
             workers.push(self.listed(number, true));
             rosters.push(self.rostered(number, true));
-            let away = keys::away(&keys::pool(&pool(turn % POOLS)));
+            let away = keys::silent_workers(&keys::pool(&pool(turn % POOLS)));
             rosters.push(self.write(away, bytes(&SilentWorkers::default())));
-            unmarked.push(self.remove(keys::leave(&id)));
-            unmarked.push(self.remove(keys::empty(&id)));
+            unmarked.push(self.remove(keys::drain_mark(&id)));
+            unmarked.push(self.remove(keys::drained(&id)));
         }
         vec![
             (Kind::Emptied, empties),
--- a/src/measure/node.rs
+++ b/src/measure/node.rs
@@ -127,7 +127,7 @@
     let before = resident();
     let fleet = Fleet::start(&preset, point.nodes).await?;
     let client = fleet.client(0);
-    demo::accept(&client, &preset.config).await?;
+    demo::apply_config(&client, &preset.config).await?;
     demo::wait_until_ready(&client, &preset.config).await?;
     tokio::time::sleep(SETTLE).await;
     let memory = resident().saturating_sub(before) as f64 / f64::from(1 << 20);
@@ -168,7 +168,7 @@
         for team in config.teams.values_mut().take(1) {
             team.rate = PerSecond(20_000 + number);
         }
-        demo::accept(client, &config).await?;
+        demo::apply_config(client, &config).await?;
     }
     tokio::time::sleep(Duration::from_secs(2)).await;
     let rows: Rows = client.get("status", "status/changes").await?;
--- a/src/measure/owner.rs
+++ b/src/measure/owner.rs
@@ -19,7 +19,7 @@
         unit::{Megabytes, Millicores, Now, Revision, Steady, Time},
         worker::{EndedRun, OrderResult, PollResponse, PresentRun, RunOutcome, WorkerReport},
     },
-    scheduler::dispatch::wire::{self, Answer, Answers, Batch, Namer, Names},
+    scheduler::dispatch::wire::{self, Answer, Answers, Batch, WorkerNumbering, WorkerTable},
 };
 
 /// Workers of the pool, for each row.
@@ -108,8 +108,8 @@
     rate: f64,
     due: f64,
     events: Vec<Event>,
-    namer: Namer,
-    names: Names,
+    namer: WorkerNumbering,
+    names: WorkerTable,
     played: Played,
 }
 
@@ -133,8 +133,8 @@
             rate: jobs_a_ms * STEP_MS as f64 * load,
             due: 0.0,
             events: Vec::new(),
-            namer: Namer::default(),
-            names: Names::default(),
+            namer: WorkerNumbering::default(),
+            names: WorkerTable::default(),
             played: Played::default(),
         }
     }
@@ -249,7 +249,7 @@
         for event in events {
             match event {
                 Event::Polled { worker, sent, end } => {
-                    wire::add_answer(&mut answers, looks.len() as u32, Answer::Look(end));
+                    wire::add_answer(&mut answers, looks.len() as u32, Answer::Poll(end));
                     looks.push((worker, sent));
                 }
                 other => others.push(other),
@@ -263,7 +263,7 @@
         let read = wire::read_answers(answers);
         self.played.messages += began.elapsed();
         for ((worker, sent), (_, answer)) in looks.into_iter().zip(read) {
-            if let Answer::Look(end) = answer {
+            if let Answer::Poll(end) = answer {
                 others.push(Event::Polled { worker, sent, end });
             }
         }
--- a/src/measure/path.rs
+++ b/src/measure/path.rs
@@ -51,7 +51,7 @@
     let preset = preset();
     let fleet = Fleet::start(&preset, 1).await?;
     let client = fleet.client(0);
-    demo::accept(&client, &preset.config).await?;
+    demo::apply_config(&client, &preset.config).await?;
     demo::wait_until_ready(&client, &preset.config).await?;
     let options = endpoint::Options {
         listen: "127.0.0.1:0".to_owned(),
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -71,7 +71,7 @@
         if node.store.renew(lease).await?.is_zero() {
             let (step, peer) = ("register", "store".to_owned());
             let cause = "the new lease has already expired".to_owned();
-            return Err(StoreError::Unreached { step, peer, cause });
+            return Err(StoreError::Failed { step, peer, cause });
         }
     }
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -70,14 +70,14 @@
     let recorded = traffic.clone();
     let record = move |bytes| recorded.record(bytes);
     let store = Store::over_http(settings.platform.store.as_str(), settings.timing.store, record)
-        .counting(metrics.store_counter());
+        .with_call_observer(metrics.store_counter());
     let write_limiter = Arc::new(WriteLimiter::new(
         settings.platform.writes,
         settings.peers.len().max(1) as u32,
         Time::now(),
     ));
     let shared_limiter = write_limiter.clone();
-    let store = store.paced(move |priority| {
+    let store = store.rate_limited(move |priority| {
         let limiter = shared_limiter.clone();
         Box::pin(async move { limiter.acquire(priority).await })
     });
@@ -174,7 +174,7 @@
 impl Running {
     /// Shuts the node down: ends its registration, so that other nodes take over its work, and
     /// completes running requests.
-    pub(crate) async fn leave(self) {
+    pub(crate) async fn shut_down(self) {
         log::info!("node {}: shutting down", self.node.id());
         self.node.shutdown.cancel();
         // A panic of the task has been reported; the shutdown continues.
--- a/src/node/write.rs
+++ b/src/node/write.rs
@@ -40,7 +40,8 @@
     let value = Bytes::from(record.to_json());
     let guards = dependencies.iter().filter(|(guard, _)| *guard != record.key());
     let guards = guards.map(|(key, revision)| Guard { key: key.path(), revision: *revision });
-    let swapped = node.store.swap_surely(&key, expect, guards.collect(), value.clone()).await?;
+    let swapped =
+        node.store.swap_with_read_back(&key, expect, guards.collect(), value.clone()).await?;
     Ok(apply_swap(node, &key, Some(value), swapped))
 }
 
--- a/src/options.rs
+++ b/src/options.rs
@@ -296,7 +296,7 @@
     let sockets = sockets.map_err(|error| Error::system("listen", error))?;
     let running = run::start(settings, sockets);
     wait_for_stop_signal().await?;
-    running.leave().await;
+    running.shut_down().await;
     Ok(())
 }
 
--- a/src/platform/advice.rs
+++ b/src/platform/advice.rs
@@ -30,21 +30,21 @@
 
 /// A client of the service.
 #[derive(Clone)]
-pub(crate) struct Adviser {
+pub(crate) struct AdviceClient {
     connections: Connections,
     address: String,
 }
 
-impl Adviser {
+impl AdviceClient {
     /// Creates a client of the service at `address`.
-    pub(crate) fn new(address: &str) -> Adviser {
+    pub(crate) fn new(address: &str) -> AdviceClient {
         let connections = Connections::new(|| {
             Client::builder()
                 .no_proxy()
                 .tcp_nodelay(true)
                 .connect_timeout(Duration::from_millis(500))
         });
-        Adviser { connections, address: address.to_owned() }
+        AdviceClient { connections, address: address.to_owned() }
     }
 
     /// Asks which of the workers may run a step. `service_time` is the service's own processing
--- a/src/platform/connections.rs
+++ b/src/platform/connections.rs
@@ -19,7 +19,7 @@
 
 /// A response whose body was read completely.
 #[derive(Debug)]
-pub(crate) struct Whole {
+pub(crate) struct FullResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
@@ -37,10 +37,10 @@
     async fn call(
         &self,
         request: impl FnOnce(&Client) -> RequestBuilder,
-    ) -> reqwest::Result<Whole> {
+    ) -> reqwest::Result<FullResponse> {
         let answer: Response = request(&self.client).send().await?;
         let (status, headers) = (answer.status(), answer.headers().clone());
-        Ok(Whole { status, headers, body: answer.bytes().await? })
+        Ok(FullResponse { status, headers, body: answer.bytes().await? })
     }
 }
 
@@ -73,7 +73,7 @@
     pub(crate) async fn call(
         &self,
         request: impl FnOnce(&Client) -> RequestBuilder,
-    ) -> reqwest::Result<Whole> {
+    ) -> reqwest::Result<FullResponse> {
         let current = self.current_client();
         let answer = current.call(request).await;
         if answer.as_ref().is_err_and(is_read_timeout) {
@@ -100,17 +100,17 @@
 /// The connections to many addresses. Most addresses share a client; an address gets its own once a
 /// call to it has timed out.
 #[derive(Clone)]
-pub(crate) struct ManyConnections {
+pub(crate) struct ConnectionsByAddress {
     shared: Connections,
     own: Arc<Mutex<HashMap<String, Connections>>>,
 }
 
-impl ManyConnections {
+impl ConnectionsByAddress {
     /// Creates clients with the given builder.
     pub(crate) fn new(
         build: impl Fn() -> ClientBuilder + Send + Sync + 'static,
-    ) -> ManyConnections {
-        ManyConnections { shared: Connections::new(build), own: Arc::default() }
+    ) -> ConnectionsByAddress {
+        ConnectionsByAddress { shared: Connections::new(build), own: Arc::default() }
     }
 
     /// Makes a call to an address and reads its answer, like [`Connections::call`].
@@ -118,7 +118,7 @@
         &self,
         address: &str,
         request: impl FnOnce(&Client) -> RequestBuilder,
-    ) -> reqwest::Result<Whole> {
+    ) -> reqwest::Result<FullResponse> {
         let current = lock(&self.own).get(address).unwrap_or(&self.shared).current_client();
         let answer = current.call(request).await;
         if answer.as_ref().is_err_and(is_read_timeout) {
--- a/src/platform/kv.rs
+++ b/src/platform/kv.rs
@@ -18,13 +18,13 @@
 use crate::{
     model::unit::Revision,
     platform::{
-        connections::{Connections, Whole},
+        connections::{Connections, FullResponse},
         store::{LeaseId, StoreError, chain},
     },
 };
 
 /// Maximum number of entries (conditions, puts and removals together) of one transaction.
-pub(crate) const TXN_ENTRIES: usize = 32;
+pub(crate) const MAX_TXN_ENTRIES: usize = 32;
 
 /// Timeout of opening a connection. A store in the same region answers in milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -63,7 +63,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Txn {
     /// Keys with the revision that each must have; 0 if the key must not exist.
-    pub(crate) expects: Vec<(String, Revision)>,
+    pub(crate) conditions: Vec<(String, Revision)>,
     pub(crate) puts: Vec<Put>,
     pub(crate) removes: Vec<String>,
 }
@@ -79,7 +79,7 @@
 impl Txn {
     /// Adds a condition.
     pub(crate) fn expect(mut self, key: impl Into<String>, revision: Revision) -> Txn {
-        self.expects.push((key.into(), revision));
+        self.conditions.push((key.into(), revision));
         self
     }
 
@@ -104,27 +104,27 @@
 
 /// Result of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Committed {
+pub(crate) enum CommitResult {
     /// Committed at this revision.
     Done(Revision),
     /// Not committed: a condition failed. Holds the current items of the conditions' keys, without
     /// absent keys.
     Conflict(Vec<Item>),
     /// Not committed: the lease has expired.
-    LeaseOver,
+    LeaseExpired,
 }
 
 /// The changes of one watch answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Heard {
+pub(crate) struct WatchBatch {
     pub(crate) changes: Vec<Change>,
     /// The revision from which the watch continues.
     pub(crate) at: Revision,
 }
 
-impl Heard {
+impl WatchBatch {
     /// Whether the store may have left out later changes.
-    pub(crate) fn may_be_cut(&self) -> bool {
+    pub(crate) fn may_be_truncated(&self) -> bool {
         let bytes =
             |change: &Change| change.key.len() + change.value.as_ref().map_or(0, Bytes::len);
         TRUNCATION_CHANGES <= self.changes.len()
@@ -282,7 +282,7 @@
         prefix: &str,
         since: Revision,
         wait: Duration,
-    ) -> Result<Heard, StoreError> {
+    ) -> Result<WatchBatch, StoreError> {
         let query = [
             ("path_prefix", prefix.to_owned()),
             ("since_revision", since.0.to_string()),
@@ -303,10 +303,10 @@
     }
 
     /// Commits a transaction.
-    pub(crate) async fn commit(&self, txn: &Txn) -> Result<Committed, StoreError> {
+    pub(crate) async fn commit(&self, txn: &Txn) -> Result<CommitResult, StoreError> {
         let wire = WireTxn {
             expected_revision: txn
-                .expects
+                .conditions
                 .iter()
                 .map(|(key, revision)| WireExpect { private_key: key, revision: revision.0 })
                 .collect(),
@@ -326,16 +326,16 @@
         let answer = self.send("commit", &self.client, request).await?;
         match answer.status {
             StatusCode::OK => {
-                Ok(Committed::Done(Revision(self.parse::<WireRevision>(&answer)?.revision)))
+                Ok(CommitResult::Done(Revision(self.parse::<WireRevision>(&answer)?.revision)))
             }
             StatusCode::PRECONDITION_FAILED => {
                 let conflict: WireConflict = self.parse(&answer)?;
                 // An absent key may be listed without a value, at revision 0.
                 let present = conflict.items.into_iter().filter(|item| item.revision != 0);
                 let items = present.map(|item| self.item("commit", item));
-                Ok(Committed::Conflict(items.collect::<Result<_, _>>()?))
+                Ok(CommitResult::Conflict(items.collect::<Result<_, _>>()?))
             }
-            StatusCode::NOT_FOUND => Ok(Committed::LeaseOver),
+            StatusCode::NOT_FOUND => Ok(CommitResult::LeaseExpired),
             _ => Err(self.refused(&answer)),
         }
     }
@@ -354,7 +354,7 @@
     }
 
     /// Renews a lease. Returns `None` if it has expired.
-    pub(crate) async fn keep(&self, lease: LeaseId) -> Result<Option<Duration>, StoreError> {
+    pub(crate) async fn renew(&self, lease: LeaseId) -> Result<Option<Duration>, StoreError> {
         let url = self.url(&format!("kv-keep/{lease}"));
         let request = |client: &Client| client.post(url).timeout(self.timeout);
         let answer = self.send("keep", &self.client, request).await?;
@@ -380,7 +380,7 @@
         let started = Instant::now();
         let answer =
             connections.call(request).await.map_err(|error| self.transport_error(step, &error));
-        let answer = answer.map(|Whole { status, body, .. }| Answer { step, status, body });
+        let answer = answer.map(|FullResponse { status, body, .. }| Answer { step, status, body });
         let outcome = match &answer {
             Ok(answer) if answer.status.is_success() => "done",
             Ok(_) => "refused",
@@ -394,7 +394,7 @@
     fn transport_error(&self, step: &'static str, error: &reqwest::Error) -> StoreError {
         let (peer, cause) = (self.peer.to_string(), chain(error));
         if error.is_connect() {
-            StoreError::Unreached { step, peer, cause }
+            StoreError::Failed { step, peer, cause }
         } else {
             StoreError::Unanswered { step, peer, cause }
         }
@@ -425,7 +425,7 @@
 }
 
 /// Parses a watch answer. The error is the cause as text.
-pub(crate) fn read_changes(body: &[u8]) -> Result<Heard, String> {
+pub(crate) fn read_changes(body: &[u8]) -> Result<WatchBatch, String> {
     let answer: WireEvents = serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let change = |wire: WireItem| {
         let gone = wire.gone;
@@ -434,5 +434,5 @@
     };
     let changes = answer.events.into_iter().map(change).collect::<Result<_, _>>();
     let changes = changes.map_err(|error: base64::DecodeError| error.to_string())?;
-    Ok(Heard { changes, at: Revision(answer.at) })
+    Ok(WatchBatch { changes, at: Revision(answer.at) })
 }
--- a/src/platform/machines.rs
+++ b/src/platform/machines.rs
@@ -22,7 +22,7 @@
 
 /// Result of a call that changes a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum HostCall {
+pub(crate) enum HostCallResult {
     /// The change was made now or earlier.
     Done,
     /// The host is not up, or is already being moved or maintained.
@@ -78,7 +78,7 @@
 
 /// A client of the service that acts for one node.
 #[derive(Clone)]
-pub(crate) struct Machines {
+pub(crate) struct HostClient {
     connections: Connections,
     address: String,
     holder: NodeId,
@@ -86,21 +86,21 @@
     timeout: Duration,
 }
 
-impl Machines {
+impl HostClient {
     /// Creates a client of the service at `address`.
-    pub(crate) fn new(address: &str, holder: NodeId) -> Machines {
-        Machines::with_timeout(address, holder, CALL_TIMEOUT)
+    pub(crate) fn new(address: &str, holder: NodeId) -> HostClient {
+        HostClient::with_timeout(address, holder, CALL_TIMEOUT)
     }
 
     /// Creates a client with the given call timeout.
-    pub(crate) fn with_timeout(address: &str, holder: NodeId, timeout: Duration) -> Machines {
+    pub(crate) fn with_timeout(address: &str, holder: NodeId, timeout: Duration) -> HostClient {
         let connections = Connections::new(|| {
             Client::builder()
                 .no_proxy()
                 .tcp_nodelay(true)
                 .connect_timeout(Duration::from_millis(500))
         });
-        Machines { connections, address: address.to_owned(), holder, timeout }
+        HostClient { connections, address: address.to_owned(), holder, timeout }
     }
 
     /// Reads all hosts. Returns `None` unless every page was read.
@@ -141,16 +141,16 @@
     }
 
     /// Moves a host to another pool, which ends everything that runs on it.
-    pub(crate) async fn move_to(&self, host: &HostId, pool: &PoolId, token: u64) -> HostCall {
+    pub(crate) async fn move_to(&self, host: &HostId, pool: &PoolId, token: u64) -> HostCallResult {
         self.change("machine-move", &WireMove { machine: host, pool }, token).await
     }
 
     /// Starts a host's maintenance for a wave, which ends everything that runs on it.
-    pub(crate) async fn maintain(&self, host: &HostId, wave: u64, token: u64) -> HostCall {
+    pub(crate) async fn maintain(&self, host: &HostId, wave: u64, token: u64) -> HostCallResult {
         self.change("machine-upkeep", &WireUpkeep { machine: host, wave }, token).await
     }
 
-    async fn change(&self, call: &str, body: &impl Serialize, token: u64) -> HostCall {
+    async fn change(&self, call: &str, body: &impl Serialize, token: u64) -> HostCallResult {
         let request = |client: &Client| {
             let request = client.post(format!("http://{}/-/{call}", self.address));
             request
@@ -163,22 +163,24 @@
             Ok(answer) => answer,
             Err(error) => {
                 log::warn!("hosts: {call}: {}", chain(&error));
-                return HostCall::Unknown;
+                return HostCallResult::Unknown;
             }
         };
         match answer.status {
-            StatusCode::OK => HostCall::Done,
+            StatusCode::OK => HostCallResult::Done,
             StatusCode::CONFLICT => {
                 // A refusal without a readable reason is still a refusal.
                 let reason = serde_json::from_slice::<WireReason>(&answer.body);
                 let reason = reason.map(|wire| wire.reason).unwrap_or_default();
-                if reason == "busy" { HostCall::Busy } else { HostCall::Refused }
+                if reason == "busy" { HostCallResult::Busy } else { HostCallResult::Refused }
+            }
+            StatusCode::BAD_REQUEST => HostCallResult::Invalid,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                HostCallResult::Limited
             }
-            StatusCode::BAD_REQUEST => HostCall::Invalid,
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => HostCall::Limited,
             status => {
                 log::warn!("hosts: {call}: status {status}");
-                HostCall::Unknown
+                HostCallResult::Unknown
             }
         }
     }
--- a/src/platform/records.rs
+++ b/src/platform/records.rs
@@ -32,9 +32,9 @@
     #[error("`{0}` is not a valid worker state")]
     State(String),
     #[error("the host, pool or address of a known incarnation has changed")]
-    Place,
+    PlaceChanged,
     #[error("the start time is missing, although the worker reported one before")]
-    Unborn,
+    MissingStartTime,
 }
 
 #[derive(Deserialize)]
--- a/src/platform/runner.rs
+++ b/src/platform/runner.rs
@@ -14,7 +14,7 @@
         worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
     platform::{
-        connections::{ManyConnections, Whole},
+        connections::{ConnectionsByAddress, FullResponse},
         lines::{CallLimits, MAX_CALLS_PER_WORKER},
         store::chain,
     },
@@ -26,10 +26,10 @@
 /// Timeout of an order. Workers answer within milliseconds, and a node that has used up its
 /// processor time is paused for at most 100 ms. A run is not started elsewhere until the result of
 /// its order is known, so a job waits for this timeout.
-pub(crate) const ORDER_LIMIT: Duration = Duration::from_millis(300);
+pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of a poll beyond its own wait, for the same reasons.
-pub(crate) const LOOK_SLACK: Duration = Duration::from_millis(300);
+pub(crate) const POLL_ALLOWANCE: Duration = Duration::from_millis(300);
 
 /// Header with the identifier of the addressed worker. It does not distinguish incarnations.
 const INSTANCE_HEADER: &str = "Expect-Instance";
@@ -98,29 +98,29 @@
 
 /// A client of all workers.
 #[derive(Clone)]
-pub(crate) struct Runners {
-    connections: ManyConnections,
+pub(crate) struct WorkerClient {
+    connections: ConnectionsByAddress,
     call_limits: CallLimits,
     /// Timeout of an order.
     timeout: Duration,
 }
 
-impl Runners {
+impl WorkerClient {
     /// Creates a client with its own connections.
-    pub(crate) fn new() -> Runners {
-        Runners::with_timeout(ORDER_LIMIT)
+    pub(crate) fn new() -> WorkerClient {
+        WorkerClient::with_timeout(ORDER_TIMEOUT)
     }
 
     /// Creates a client with the given order timeout.
-    pub(crate) fn with_timeout(timeout: Duration) -> Runners {
-        let connections = ManyConnections::new(move || {
+    pub(crate) fn with_timeout(timeout: Duration) -> WorkerClient {
+        let connections = ConnectionsByAddress::new(move || {
             Client::builder()
                 .no_proxy()
                 .tcp_nodelay(true)
                 .connect_timeout(CONNECT_TIMEOUT.max(timeout))
                 .pool_max_idle_per_host(MAX_CALLS_PER_WORKER)
         });
-        Runners { connections, call_limits: CallLimits::default(), timeout }
+        WorkerClient { connections, call_limits: CallLimits::default(), timeout }
     }
 
     /// Starts a run. Succeeds also if the run already exists.
@@ -144,7 +144,7 @@
     }
 
     /// Throttles a run to a percentage of its speed.
-    pub(crate) async fn pace(
+    pub(crate) async fn throttle(
         &self,
         to: &Addressee,
         task: TaskId,
@@ -157,7 +157,7 @@
 
     /// Acknowledges ended runs up to a number, extends the worker's lease until a time on its
     /// clock, and returns its present and ended runs. Waits for at most `wait` until a run ends.
-    pub(crate) async fn look(
+    pub(crate) async fn poll(
         &self,
         to: &Addressee,
         acknowledged: u64,
@@ -170,7 +170,7 @@
             last_seen: acknowledged,
             wait_ms: wait.as_millis() as u64,
         };
-        match self.order(to, "hold", &body, wait + LOOK_SLACK).await {
+        match self.order(to, "hold", &body, wait + POLL_ALLOWANCE).await {
             OrderResult::Done(answer) => poll_result(to, answer),
             OrderResult::Refused { why, clock_ms } => OrderResult::Refused { why, clock_ms },
             OrderResult::Unknown => OrderResult::Unknown,
@@ -197,7 +197,7 @@
             request.json(body).timeout(call_timeout)
         };
         match self.connections.call(&to.address, request).await {
-            Ok(Whole { status, body, .. }) => read_answer(to, call, status, &body),
+            Ok(FullResponse { status, body, .. }) => read_answer(to, call, status, &body),
             Err(error) => {
                 log::debug!("worker {}: {call}: {}", to.worker, chain(&error));
                 OrderResult::Unknown
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -120,7 +120,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum StoreError {
     #[error("store {peer}, {step}: failed: {cause}")]
-    Unreached { step: &'static str, peer: String, cause: String },
+    Failed { step: &'static str, peer: String, cause: String },
     #[error("store {peer}, {step}: no answer, a write may have taken effect: {cause}")]
     Unanswered { step: &'static str, peer: String, cause: String },
     #[error("store {peer}, {step}: refused with status {status}")]
@@ -203,7 +203,10 @@
     }
 
     /// Wraps the store so that `note` receives the kind of each call.
-    pub(crate) fn counting(self, note: impl Fn(&'static str) + Send + Sync + 'static) -> Store {
+    pub(crate) fn with_call_observer(
+        self,
+        note: impl Fn(&'static str) + Send + Sync + 'static,
+    ) -> Store {
         let note = Arc::new(note);
         let (call, watch, watch_note) = (self.call, self.watch, note.clone());
         Store::new(
@@ -219,7 +222,7 @@
     }
 
     /// Wraps the store so that each call that counts as a write first awaits `permit`.
-    pub(crate) fn paced(
+    pub(crate) fn rate_limited(
         self,
         permit: impl Fn(Priority) -> BoxFuture<'static, ()> + Send + Sync + 'static,
     ) -> Store {
@@ -295,7 +298,7 @@
     /// Like [`Store::swap`], with further conditions on other keys. After a write without an
     /// answer, the key is read back once: if it holds the written value, which carries the
     /// identifier of its operation, the write took effect.
-    pub(crate) async fn swap_surely(
+    pub(crate) async fn swap_with_read_back(
         &self,
         key: &str,
         expect: Revision,
--- a/src/platform/store/etcd.rs
+++ b/src/platform/store/etcd.rs
@@ -363,7 +363,7 @@
     fn transport_error(&self, error: &reqwest::Error) -> StoreError {
         let (step, peer, cause) = (self.step, self.peer.to_owned(), chain(error));
         if error.is_connect() {
-            return StoreError::Unreached { step, peer, cause };
+            return StoreError::Failed { step, peer, cause };
         }
         StoreError::Unanswered { step, peer, cause }
     }
@@ -388,7 +388,7 @@
     const STEP: &str = "watch";
     let step = STEP;
     let failed =
-        |peer: &str, cause: String| StoreError::Unreached { step, peer: peer.to_owned(), cause };
+        |peer: &str, cause: String| StoreError::Failed { step, peer: peer.to_owned(), cause };
     let sent = client.post(format!("{peer}/v3/watch")).json(&request).send();
     let answer = tokio::time::timeout(timeout, sent)
         .await
@@ -414,11 +414,7 @@
                 }
                 Some(Err(error)) => {
                     let cause = chain(&error);
-                    return Err(StoreError::Unreached {
-                        step: STEP,
-                        peer: peer.to_string(),
-                        cause,
-                    });
+                    return Err(StoreError::Failed { step: STEP, peer: peer.to_string(), cause });
                 }
                 None => return Ok(None),
             }
--- a/src/platform/tests/silence.rs
+++ b/src/platform/tests/silence.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     model::{order::Addressee, unit::Revision, worker::OrderResult},
-    platform::{kv::Kv, machines::Machines, runner::Runners},
+    platform::{kv::Kv, machines::HostClient, runner::WorkerClient},
 };
 
 /// Timeout of the calls, longer than any answered call takes on a busy machine.
@@ -95,16 +95,16 @@
 async fn a_store_call_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"ttl_ms":2000}"#).await;
     let kv = Kv::new(&address, CALL_TIMEOUT, |_, _, _| {});
-    let calls = (0..OPEN_CONNECTIONS).map(|_| kv.keep(1));
+    let calls = (0..OPEN_CONNECTIONS).map(|_| kv.renew(1));
     for end in futures_util::future::join_all(calls).await {
         assert!(end.is_ok(), "{end:?}");
     }
     server.stop_responding();
     assert!(
-        server.run_until_timeout(kv.keep(1)).await.is_err(),
+        server.run_until_timeout(kv.renew(1)).await.is_err(),
         "the call on the old connection times out"
     );
-    assert!(kv.keep(1).await.is_ok());
+    assert!(kv.renew(1).await.is_ok());
 }
 
 #[tokio::test]
@@ -125,7 +125,7 @@
 #[tokio::test]
 async fn an_order_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"clock_ms":5}"#).await;
-    let runners = Runners::with_timeout(CALL_TIMEOUT);
+    let runners = WorkerClient::with_timeout(CALL_TIMEOUT);
     let to = Addressee { worker: "w1".parse().unwrap(), address, token: 7 };
     let task = "00e0f5a2b4c6d801.0.0.0".parse().unwrap();
     let calls = (0..OPEN_CONNECTIONS).map(|_| runners.stop(&to, task, 1));
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn a_host_list_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"machines":[]}"#).await;
-    let hosts = Machines::with_timeout(&address, "n1".parse().unwrap(), CALL_TIMEOUT);
+    let hosts = HostClient::with_timeout(&address, "n1".parse().unwrap(), CALL_TIMEOUT);
     let calls = (0..OPEN_CONNECTIONS).map(|_| hosts.list());
     for list in futures_util::future::join_all(calls).await {
         assert_eq!(list, Some(Vec::new()));
--- a/src/platform/tests/sockets.rs
+++ b/src/platform/tests/sockets.rs
@@ -13,8 +13,8 @@
         worker::OrderResult,
     },
     platform::{
-        kv::{Committed, Kv, Txn},
-        runner::Runners,
+        kv::{CommitResult, Kv, Txn},
+        runner::WorkerClient,
         store::StoreError,
     },
 };
@@ -52,7 +52,7 @@
 async fn a_start_on_a_closing_connection_is_sent_at_most_once() {
     for _ in 0..REPETITIONS {
         let server = ScriptedServer::new(|_| Action::AnswerAndClose(CLOCK)).await;
-        let runners = Runners::new();
+        let runners = WorkerClient::new();
         assert_eq!(runners.start(&to(&server.address), &start(1)).await, OrderResult::Done(5));
         let end = runners.start(&to(&server.address), &start(2)).await;
         match server.count_containing(&run(2)) {
@@ -75,7 +75,7 @@
                 false => last.clone(),
             };
             let server = ScriptedServer::new(script).await;
-            let runners = Runners::new();
+            let runners = WorkerClient::new();
             for number in 0..before {
                 let first = start(10 + number as u32);
                 assert_eq!(runners.start(&to(&server.address), &first).await, OrderResult::Done(5));
@@ -93,7 +93,7 @@
 async fn a_start_that_a_paused_worker_reads_later_is_unknown() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let end = Runners::new().start(&to(&address), &start(2)).await;
+    let end = WorkerClient::new().start(&to(&address), &start(2)).await;
     assert_eq!(end, OrderResult::Unknown);
     let server = ScriptedServer::on(listener, |_| Action::Answer(CLOCK));
     while server.count_containing(&run(2)) == 0 {
@@ -109,14 +109,14 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     drop(listener);
-    assert_eq!(Runners::new().start(&to(&address), &start(2)).await, OrderResult::Unknown);
+    assert_eq!(WorkerClient::new().start(&to(&address), &start(2)).await, OrderResult::Unknown);
 }
 
 fn connect(address: &str) -> Kv {
     Kv::new(address, CALL_TIMEOUT, |_, _, _| {})
 }
 
-async fn commit(kv: &Kv, key: &str) -> Result<Committed, StoreError> {
+async fn commit(kv: &Kv, key: &str) -> Result<CommitResult, StoreError> {
     kv.commit(&Txn::default().expect(key, Revision(0)).put(key, "value")).await
 }
 
@@ -181,7 +181,7 @@
 async fn a_burst_of_starts_opens_few_connections_to_a_worker() {
     const BURST: u32 = 40;
     let server = ScriptedServer::new(|_| Action::Answer(CLOCK)).await;
-    let runners = Runners::new();
+    let runners = WorkerClient::new();
     let starts = (1..=BURST).map(|number| {
         let (runners, to) = (runners.clone(), to(&server.address));
         tokio::spawn(async move { runners.start(&to, &start(number)).await })
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -43,7 +43,7 @@
     /// Submitted jobs that are yet to be written.
     pub(crate) accepting: mpsc::Sender<Acceptance>,
     /// Cancelled when the node is to shut down.
-    pub(crate) leaving: CancellationToken,
+    pub(crate) shutdown: CancellationToken,
     /// Whether the node owns work.
     owning: watch::Sender<bool>,
 }
@@ -55,7 +55,7 @@
     }
 
     /// Records whether the node owns work.
-    pub(crate) fn note_owning(&self, owns: bool) {
+    pub(crate) fn set_owns_work(&self, owns: bool) {
         self.owning.send_if_modified(|owning| std::mem::replace(owning, owns) != owns);
     }
 
@@ -90,7 +90,7 @@
         clock: Clock::new(),
         view: Mutex::default(),
         accepting,
-        leaving: CancellationToken::new(),
+        shutdown: CancellationToken::new(),
         owning: watch::Sender::new(false),
     })
 }
--- a/src/scheduler/accept.rs
+++ b/src/scheduler/accept.rs
@@ -12,7 +12,7 @@
 use crate::{
     model::{id::PoolId, job::JobId, unit::Revision},
     platform::{
-        kv::{Committed, TXN_ENTRIES, Txn},
+        kv::{CommitResult, MAX_TXN_ENTRIES, Txn},
         store::StoreError,
     },
     scheduler::{Node, keys},
@@ -22,7 +22,7 @@
 const QUEUE_CAPACITY: usize = 512;
 
 /// Most jobs in one transaction: each needs a condition and two writes.
-const MAX_BATCH_JOBS: usize = TXN_ENTRIES / 3;
+const MAX_BATCH_JOBS: usize = MAX_TXN_ENTRIES / 3;
 
 /// How long the first job of a batch waits for others.
 const BATCH_DELAY: Duration = Duration::from_millis(4);
@@ -119,11 +119,11 @@
         }
         let sent = node.now().steady;
         match node.kv.commit(&txn).await {
-            Ok(Committed::Done(revision)) => {
-                node.view().ages.told(sent, revision);
+            Ok(CommitResult::Done(revision)) => {
+                node.view().ages.note_revision(sent, revision);
                 return reply_all(batch, |_| Accepted::Kept);
             }
-            Ok(Committed::Conflict(items)) => {
+            Ok(CommitResult::Conflict(items)) => {
                 let exists = |id: JobId| items.iter().any(|item| item.key == keys::id(id));
                 let (old, new): (Vec<_>, Vec<_>) =
                     batch.into_iter().partition(|acceptance| exists(acceptance.id));
@@ -134,7 +134,7 @@
                 reply_all(old, |_| Accepted::Already);
                 batch = new;
             }
-            Ok(Committed::LeaseOver) => return reply_all(batch, |_| Accepted::NotWritten),
+            Ok(CommitResult::LeaseExpired) => return reply_all(batch, |_| Accepted::NotWritten),
             Err(error) => batch = handle_failure(batch, &error).await,
         }
     }
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -19,8 +19,8 @@
     },
     platform::{
         caller::{self, PendingAnswer},
-        kv::{Committed, Txn},
-        runner::Runners,
+        kv::{CommitResult, Txn},
+        runner::WorkerClient,
         store::StoreError,
     },
     scheduler::{
@@ -29,7 +29,7 @@
         dispatch, keys,
         lease::Lease,
         relay::{Call, RELAYED_HEADER, Relay, Relayed, Subject},
-        view::{self, KnownJob, age::MAX_STATE_AGE_MS, waiting::Counted},
+        view::{self, KnownJob, age::MAX_STATE_AGE_MS, waiting::WaitingCount},
     },
 };
 
@@ -57,7 +57,7 @@
     pub(crate) lease: Arc<Lease>,
     pub(crate) relay: Relay,
     /// Carries out orders of other nodes; `None` on the listener for callers.
-    pub(crate) orders: Option<Runners>,
+    pub(crate) orders: Option<WorkerClient>,
 }
 
 impl Endpoint for Api {
@@ -74,7 +74,7 @@
         let (queue, mut response) = self.answer(request).await;
         let queue = queue.as_deref().unwrap_or("none");
         self.node.metrics.record_request(queue, method, response.status(), received.elapsed());
-        if self.node.leaving.is_cancelled() {
+        if self.node.shutdown.is_cancelled() {
             // Makes the caller's next request go to another node.
             http::close_after(&mut response);
         }
@@ -97,7 +97,7 @@
         let is_current = view.is_ready() && view.is_operator_current(now);
         drop(view);
         let has_lease = self.lease.held(now).is_some();
-        let ready = is_current && has_lease && !self.node.leaving.is_cancelled();
+        let ready = is_current && has_lease && !self.node.shutdown.is_cancelled();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         Ok(http::text(status, ""))
     }
@@ -192,7 +192,7 @@
     /// better than no answer, and a final state does not change.
     fn last_known_response(&self, id: JobId, method: &Method) -> Option<Response> {
         let state = self.last_known_state(id).filter(|_| *method == Method::GET)?;
-        let age = self.node.view().ages.of(keys::ROOT, self.node.now().steady);
+        let age = self.node.view().ages.age_ms(keys::ROOT, self.node.now().steady);
         log::info!(
             "job {id}: answered with the last known state: the records are {} ms old",
             age.unwrap_or(0)
@@ -237,7 +237,7 @@
         }
         let counted = self.node.view().pending(queue, self.node.now().steady);
         let reason = match counted {
-            Ok(Counted { jobs, by }) => {
+            Ok(WaitingCount { jobs, by }) => {
                 self.node.metrics.record_queue_count(by);
                 return http::json(StatusCode::OK, &PendingAnswer { pending: jobs });
             }
@@ -324,8 +324,8 @@
     }
 
     async fn read_state(&self, id: JobId) -> Result<Option<JobState>, StoreError> {
-        let (items, _) = self.node.kv.range(&keys::standing(id)).await?;
-        Ok(view::standing(id, &items))
+        let (items, _) = self.node.kv.range(&keys::job_state(id)).await?;
+        Ok(view::job_state(id, &items))
     }
 
     async fn cancel(&self, id: JobId, deadline: Instant) -> Response {
@@ -348,11 +348,11 @@
         let mut unknown = false;
         loop {
             match self.node.kv.commit(&txn).await {
-                Ok(Committed::Done(_) | Committed::Conflict(_)) => {
+                Ok(CommitResult::Done(_) | CommitResult::Conflict(_)) => {
                     log::info!("job {id}: cancelled");
                     return http::text(StatusCode::OK, "");
                 }
-                Ok(Committed::LeaseOver) => return unavailable("the write was not done"),
+                Ok(CommitResult::LeaseExpired) => return unavailable("the write was not done"),
                 Err(error) => {
                     unknown |= error.is_unknown();
                     if !unknown || deadline <= Instant::now() {
--- a/src/scheduler/clock.rs
+++ b/src/scheduler/clock.rs
@@ -52,13 +52,13 @@
 
     /// When the end of a pause of the process was last detected, a suspended machine included:
     /// decisions made before that may no longer hold.
-    pub(crate) fn woke(&self) -> Steady {
+    pub(crate) fn last_resumed(&self) -> Steady {
         Steady::from_millis(self.resumed.load(Ordering::Acquire))
     }
 
     /// Simulates a pause of the process.
     #[cfg(test)]
-    pub(crate) fn stand_still(&self, millis: u64) {
+    pub(crate) fn simulate_pause(&self, millis: u64) {
         self.simulated_pauses.fetch_add(millis, Ordering::AcqRel);
     }
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -14,7 +14,7 @@
         queue::QueueConfig,
         unit::{Revision, Time},
     },
-    scheduler::view::{At, KnownJob, View},
+    scheduler::view::{KnownJob, Versioned, View},
 };
 
 /// The window over which arrivals are counted: a change of demand shows fully after half of it.
@@ -41,7 +41,7 @@
 impl Demands {
     /// How often a step was evaluated since the last call.
     #[cfg(test)]
-    pub(crate) fn take_looks(&self) -> usize {
+    pub(crate) fn take_evaluations(&self) -> usize {
         self.evaluated_steps.take()
     }
 
@@ -118,7 +118,7 @@
 
 impl JobDemand {
     /// Evaluates each step of a job.
-    fn new(at: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> JobDemand {
+    fn new(at: &Versioned<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> JobDemand {
         let record = &*at.value;
         let due = (0..record.occurrences())
             .take_while(|occurrence| record.due(*occurrence) <= wall)
@@ -179,7 +179,7 @@
     }
 
     /// Whether this is still the demand of the job.
-    fn is_current(&self, record: &At<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> bool {
+    fn is_current(&self, record: &Versioned<Arc<JobRecord>>, job: &KnownJob, wall: Time) -> bool {
         self.record == record.revision
             && self.progress == job.progress.as_ref().map(|at| at.revision)
             && self.from <= wall
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -4,30 +4,30 @@
 use crate::{
     jobs::event::{Effect, Event},
     model::{unit::Steady, worker::OrderResult},
-    platform::runner::Runners,
+    platform::runner::WorkerClient,
 };
 
 /// Makes the call of one order and returns its result. Requests for advice are not orders to
 /// workers.
-pub(crate) async fn call(runners: &Runners, effect: &Effect) -> Answer {
+pub(crate) async fn call(runners: &WorkerClient, effect: &Effect) -> Answer {
     match effect {
-        Effect::Start { to, start } => Answer::End(runners.start(to, start).await),
-        Effect::Stop { to, task, run } => Answer::End(runners.stop(to, *task, *run).await),
+        Effect::Start { to, start } => Answer::Order(runners.start(to, start).await),
+        Effect::Stop { to, task, run } => Answer::Order(runners.stop(to, *task, *run).await),
         Effect::Throttle { to, task, run, percent } => {
-            Answer::End(runners.pace(to, *task, *run, *percent).await)
+            Answer::Order(runners.throttle(to, *task, *run, *percent).await)
         }
         Effect::Poll { to, acknowledged, until_ms, wait } => {
-            Answer::Look(runners.look(to, *acknowledged, *until_ms, *wait).await)
+            Answer::Poll(runners.poll(to, *acknowledged, *until_ms, *wait).await)
         }
-        Effect::Advise { .. } => Answer::End(OrderResult::Unsent),
+        Effect::Advise { .. } => Answer::Order(OrderResult::Unsent),
     }
 }
 
 /// The event that reports the result of an order to its owner; `sent` is when it was decided.
-pub(crate) fn event(effect: Effect, sent: Steady, answer: Answer) -> Option<Event> {
+pub(crate) fn result_event(effect: Effect, sent: Steady, answer: Answer) -> Option<Event> {
     let result = |answer| match answer {
-        Answer::End(end) => end,
-        Answer::Look(_) => OrderResult::Unknown,
+        Answer::Order(end) => end,
+        Answer::Poll(_) => OrderResult::Unknown,
     };
     Some(match effect {
         Effect::Start { to, start } => Event::Started {
@@ -44,12 +44,12 @@
         }
         Effect::Poll { to, .. } => {
             let end = match answer {
-                Answer::Look(end) => end,
-                Answer::End(OrderResult::Refused { why, clock_ms }) => {
+                Answer::Poll(end) => end,
+                Answer::Order(OrderResult::Refused { why, clock_ms }) => {
                     OrderResult::Refused { why, clock_ms }
                 }
-                Answer::End(OrderResult::Unsent) => OrderResult::Unsent,
-                Answer::End(OrderResult::Done(_) | OrderResult::Unknown) => OrderResult::Unknown,
+                Answer::Order(OrderResult::Unsent) => OrderResult::Unsent,
+                Answer::Order(OrderResult::Done(_) | OrderResult::Unknown) => OrderResult::Unknown,
             };
             Event::Polled { worker: to.worker, sent, end }
         }
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -20,14 +20,14 @@
 
 use super::{
     ORDERS_PATH,
-    call::event,
+    call::result_event,
     serve::config,
-    wire::{self, Answer, Answers, Namer},
+    wire::{self, Answer, Answers, WorkerNumbering},
 };
 use crate::{
     jobs::event::{Effect, Event},
     model::{unit::Steady, worker::OrderResult},
-    platform::runner::{LOOK_SLACK, ORDER_LIMIT},
+    platform::runner::{ORDER_TIMEOUT, POLL_ALLOWANCE},
 };
 
 /// How long a link may take to open. Two crossings between zones take some 6 ms.
@@ -50,7 +50,7 @@
 const BACKOFF: Duration = Duration::from_secs(1);
 
 /// Receives the result of an order, and whether the delegate got no answer from the worker.
-pub(crate) type Tell = Box<dyn FnOnce(Event, bool) + Send>;
+pub(crate) type OnResult = Box<dyn FnOnce(Event, bool) + Send>;
 
 /// An order that a delegate is to carry out.
 pub(crate) struct Outgoing {
@@ -58,15 +58,15 @@
     /// When it was decided.
     pub(crate) sent: Steady,
     /// Whether it may still be sent.
-    pub(crate) may_go: Box<dyn Fn() -> bool + Send>,
-    pub(crate) tell: Tell,
+    pub(crate) may_send: Box<dyn Fn() -> bool + Send>,
+    pub(crate) on_result: OnResult,
 }
 
 impl Outgoing {
     fn finish(self, answer: Answer) {
-        let unanswered = answer == Answer::End(OrderResult::Unknown);
-        let Outgoing { effect, sent, tell, .. } = self;
-        if let Some(event) = event(effect, sent, answer) {
+        let unanswered = answer == Answer::Order(OrderResult::Unknown);
+        let Outgoing { effect, sent, on_result: tell, .. } = self;
+        if let Some(event) = result_event(effect, sent, answer) {
             tell(event, unanswered);
         }
     }
@@ -75,13 +75,17 @@
     /// matters only that no answer came, so it counts as unsent.
     fn give_up(self) {
         let is_poll = matches!(self.effect, Effect::Poll { .. });
-        self.finish(Answer::End(if is_poll { OrderResult::Unsent } else { OrderResult::Unknown }));
+        self.finish(Answer::Order(if is_poll {
+            OrderResult::Unsent
+        } else {
+            OrderResult::Unknown
+        }));
     }
 
     fn time_limit(&self) -> Duration {
         let call = match &self.effect {
-            Effect::Poll { wait, .. } => *wait + LOOK_SLACK,
-            _ => ORDER_LIMIT,
+            Effect::Poll { wait, .. } => *wait + POLL_ALLOWANCE,
+            _ => ORDER_TIMEOUT,
         };
         call + DELEGATE_SLACK
     }
@@ -109,7 +113,7 @@
     pub(crate) fn send(&mut self, address: SocketAddr, orders: Vec<Outgoing>) {
         let link = self.links.entry(address).or_insert_with(|| open(address));
         if let Err(unsent) = link.orders.send(orders) {
-            unsent.0.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
+            unsent.0.into_iter().for_each(|order| order.finish(Answer::Order(OrderResult::Unsent)));
         }
     }
 
@@ -144,7 +148,9 @@
                 }
             }
             Err(error) => {
-                first.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
+                first
+                    .into_iter()
+                    .for_each(|order| order.finish(Answer::Order(OrderResult::Unsent)));
                 error
             }
         };
@@ -157,7 +163,7 @@
                 () = &mut backoff => break,
                 more = orders.recv() => {
                     let Some(more) = more else { return };
-                    more.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
+                    more.into_iter().for_each(|order| order.finish(Answer::Order(OrderResult::Unsent)));
                 }
             }
         }
@@ -180,7 +186,7 @@
 struct Session {
     address: SocketAddr,
     backing_off: Arc<AtomicBool>,
-    numbering: Namer,
+    numbering: WorkerNumbering,
     next: u32,
     pending: HashMap<u32, (Outgoing, Instant)>,
     last_received: Instant,
@@ -193,7 +199,7 @@
         Session {
             address,
             backing_off,
-            numbering: Namer::default(),
+            numbering: WorkerNumbering::default(),
             next: 0,
             pending: HashMap::new(),
             last_received: Instant::now(),
@@ -241,8 +247,9 @@
     /// ownership may have ended while the link was opened or the previous message was written.
     fn encode(&mut self, batch: Vec<Outgoing>) -> eyre::Result<Vec<u8>> {
         let now = Instant::now();
-        let (batch, expired): (Vec<_>, Vec<_>) = batch.into_iter().partition(|one| (one.may_go)());
-        expired.into_iter().for_each(|order| order.finish(Answer::End(OrderResult::Unsent)));
+        let (batch, expired): (Vec<_>, Vec<_>) =
+            batch.into_iter().partition(|one| (one.may_send)());
+        expired.into_iter().for_each(|order| order.finish(Answer::Order(OrderResult::Unsent)));
         if self.pending.is_empty() {
             self.last_received = now;
         }
--- a/src/scheduler/dispatch/serve.rs
+++ b/src/scheduler/dispatch/serve.rs
@@ -25,9 +25,9 @@
 use super::{
     MAX_MESSAGE_BYTES,
     call::call,
-    wire::{self, Answer, Answers, Batch, Names},
+    wire::{self, Answer, Answers, Batch, WorkerTable},
 };
-use crate::{http, platform::runner::Runners};
+use crate::{http, platform::runner::WorkerClient};
 
 /// How long the first answer waits for others, so that they share a message: with ends of some
 /// twelve workers, each message and each wake-up of its reader serves several.
@@ -48,7 +48,7 @@
 }
 
 /// Accepts a request for a link, and serves the link until it ends.
-pub(crate) fn upgrade(request: &Request, runners: Runners) -> Response {
+pub(crate) fn upgrade(request: &Request, runners: WorkerClient) -> Response {
     let key =
         request.header(header::SEC_WEBSOCKET_KEY).map(|key| derive_accept_key(key.as_bytes()));
     let (Some(key), Ok(upgrade)) = (key, request.take_upgrade()) else {
@@ -75,14 +75,14 @@
         .finish()
 }
 
-async fn serve<S>(link: WebSocketStream<S>, runners: Runners) -> eyre::Result<()>
+async fn serve<S>(link: WebSocketStream<S>, runners: WorkerClient) -> eyre::Result<()>
 where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
     let (sink, mut stream) = link.split();
     let (done, answers) = mpsc::unbounded_channel();
     let sender = tokio::spawn(send_answers(sink, answers));
-    let mut table = Names::default();
+    let mut table = WorkerTable::default();
     while let Ok(Some(message)) = timeout(RECEIVE_TIMEOUT, stream.next()).await {
         let Message::Binary(bytes) = message? else {
             continue;
--- a/src/scheduler/dispatch/wire.rs
+++ b/src/scheduler/dispatch/wire.rs
@@ -30,7 +30,7 @@
     #[serde(rename = "c")]
     pub(crate) throttles: Vec<ThrottleRow>,
     #[serde(rename = "l")]
-    pub(crate) looks: Vec<PollRow>,
+    pub(crate) polls: Vec<PollRow>,
 }
 
 /// A worker, to which later rows refer by its number: number, identifier, address, token.
@@ -63,11 +63,11 @@
     #[serde(rename = "e")]
     pub(crate) ends: Vec<OrderResultRow>,
     #[serde(rename = "f")]
-    pub(crate) found: Vec<PollResultRow>,
+    pub(crate) polls: Vec<PollResultRow>,
     /// For polls whose answer has it, the start time of the incarnation that answered: order,
     /// start.
     #[serde(rename = "b", default)]
-    pub(crate) born: Vec<(u32, StartTime)>,
+    pub(crate) start_times: Vec<(u32, StartTime)>,
 }
 
 /// Order, result (see [`refusal_code`]), the worker's clock if the answer had it.
@@ -98,25 +98,25 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Answer {
     /// Of a start, a stop or a throttle.
-    End(OrderResult<u64>),
+    Order(OrderResult<u64>),
     /// Of a poll.
-    Look(OrderResult<PollResponse>),
+    Poll(OrderResult<PollResponse>),
 }
 
 /// Assigns numbers to workers, on the sending side.
 #[derive(Default)]
-pub(crate) struct Namer {
+pub(crate) struct WorkerNumbering {
     numbers: HashMap<Incarnation, (u32, String, u64)>,
     next: u32,
 }
 
 /// Looks workers up by their numbers, on the receiving side.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(crate) struct WorkerTable {
     workers: HashMap<u32, Addressee>,
 }
 
-impl Namer {
+impl WorkerNumbering {
     /// The number of a worker; added to the batch if the other side does not know it yet.
     fn number(&mut self, to: &Addressee, batch: &mut Batch) -> u32 {
         if let Some((number, address, token)) = self.numbers.get(&to.worker)
@@ -135,7 +135,7 @@
 
 /// Encodes orders. Effects that a delegate cannot carry out are logged and left out.
 pub(crate) fn batch<'a>(
-    numbering: &mut Namer,
+    numbering: &mut WorkerNumbering,
     orders: impl Iterator<Item = (u32, &'a Effect)>,
 ) -> Batch {
     let mut batch = Batch::default();
@@ -170,7 +170,7 @@
             Effect::Poll { to, acknowledged, until_ms, wait } => {
                 let worker = numbering.number(to, &mut batch);
                 let wait = wait.as_millis() as u64;
-                batch.looks.push(PollRow(number, worker, *acknowledged, *until_ms, wait));
+                batch.polls.push(PollRow(number, worker, *acknowledged, *until_ms, wait));
             }
             Effect::Advise { step, .. } => {
                 log::error!("step {step}: a request for advice is not an order to a worker");
@@ -182,7 +182,7 @@
 
 /// Decodes orders. An order with an unknown worker or payload is logged and left out: its owner
 /// treats it as unanswered.
-pub(crate) fn orders(table: &mut Names, batch: Batch) -> Vec<Order> {
+pub(crate) fn orders(table: &mut WorkerTable, batch: Batch) -> Vec<Order> {
     for WorkerRow(number, worker, address, token) in batch.workers {
         table.workers.insert(number, Addressee { worker, address, token });
     }
@@ -212,7 +212,7 @@
             known(worker).map(|to| Effect::Throttle { to, task: task.into(), run, percent });
         orders.extend(throttle.map(|effect| Order { number, effect }));
     }
-    for PollRow(number, worker, acknowledged, until_ms, wait) in batch.looks {
+    for PollRow(number, worker, acknowledged, until_ms, wait) in batch.polls {
         let wait = Duration::from_millis(wait);
         let poll = known(worker).map(|to| Effect::Poll { to, acknowledged, until_ms, wait });
         orders.extend(poll.map(|effect| Order { number, effect }));
@@ -223,7 +223,7 @@
 /// Adds the result of an order to the next message.
 pub(crate) fn add_answer(answers: &mut Answers, number: u32, answer: Answer) {
     match answer {
-        Answer::Look(OrderResult::Done(poll)) => {
+        Answer::Poll(OrderResult::Done(poll)) => {
             let present = poll.present.into_iter().map(|present| {
                 let PresentRun { task, run, checkpoint: saved, percent, gauge } = present;
                 PresentRow(task.into(), run, saved, percent, gauge)
@@ -233,22 +233,22 @@
                 EndedRow(number, task.into(), run, outcome_code(how), saved)
             });
             let (present, ended) = (present.collect(), ended.collect());
-            answers.born.extend(poll.born.map(|born| (number, born)));
-            answers.found.push(PollResultRow(number, poll.clock_ms, present, ended));
+            answers.start_times.extend(poll.born.map(|born| (number, born)));
+            answers.polls.push(PollResultRow(number, poll.clock_ms, present, ended));
         }
-        Answer::Look(OrderResult::Refused { why, clock_ms }) => {
+        Answer::Poll(OrderResult::Refused { why, clock_ms }) => {
             answers.ends.push(OrderResultRow(number, refusal_code(why), clock_ms));
         }
-        Answer::Look(OrderResult::Unknown) | Answer::End(OrderResult::Unknown) => {
+        Answer::Poll(OrderResult::Unknown) | Answer::Order(OrderResult::Unknown) => {
             answers.ends.push(OrderResultRow(number, UNKNOWN, None));
         }
-        Answer::Look(OrderResult::Unsent) | Answer::End(OrderResult::Unsent) => {
+        Answer::Poll(OrderResult::Unsent) | Answer::Order(OrderResult::Unsent) => {
             answers.ends.push(OrderResultRow(number, UNSENT, None));
         }
-        Answer::End(OrderResult::Done(clock_ms)) => {
+        Answer::Order(OrderResult::Done(clock_ms)) => {
             answers.ends.push(OrderResultRow(number, DONE, Some(clock_ms)));
         }
-        Answer::End(OrderResult::Refused { why, clock_ms }) => {
+        Answer::Order(OrderResult::Refused { why, clock_ms }) => {
             answers.ends.push(OrderResultRow(number, refusal_code(why), clock_ms));
         }
     }
@@ -265,11 +265,11 @@
                 None => OrderResult::Unknown,
             },
         };
-        (number, Answer::End(end))
+        (number, Answer::Order(end))
     });
-    let start_times: HashMap<u32, StartTime> = answers.born.into_iter().collect();
+    let start_times: HashMap<u32, StartTime> = answers.start_times.into_iter().collect();
     let found =
-        answers.found.into_iter().map(move |PollResultRow(number, clock_ms, present, ended)| {
+        answers.polls.into_iter().map(move |PollResultRow(number, clock_ms, present, ended)| {
             let born = start_times.get(&number).copied();
             let present =
                 present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| {
@@ -294,7 +294,7 @@
                 }),
                 None => OrderResult::Unknown,
             };
-            (number, Answer::Look(end))
+            (number, Answer::Poll(end))
         });
     ends.chain(found).collect()
 }
--- a/src/scheduler/drive.rs
+++ b/src/scheduler/drive.rs
@@ -38,7 +38,7 @@
         unit::{Now, Revision, Steady},
         worker::WorkerReport,
     },
-    platform::{advice::Adviser, machines::Machines, runner::Runners},
+    platform::{advice::AdviceClient, machines::HostClient, runner::WorkerClient},
     scheduler::{
         Node,
         demand::Demands,
@@ -46,7 +46,7 @@
         keys,
         lease::{Lease, Tenure},
         mirror,
-        view::{At, WaveRecord},
+        view::{Versioned, WaveRecord},
     },
 };
 
@@ -118,7 +118,7 @@
     pub(super) fleet: FleetOwner,
     pub(super) tenure: Tenure,
     /// Wave records as last written by this owner.
-    pub(super) waves: BTreeMap<u64, At<WaveRecord>>,
+    pub(super) waves: BTreeMap<u64, Versioned<WaveRecord>>,
     /// Demand of each pool, as last computed.
     pub(super) demands: Demands,
 }
@@ -135,8 +135,8 @@
     pub(super) node: Arc<Node>,
     pub(super) lease: Arc<Lease>,
     instance_id: u64,
-    runners: Runners,
-    adviser: Option<Adviser>,
+    runners: WorkerClient,
+    adviser: Option<AdviceClient>,
     advice_slot: Arc<Semaphore>,
     links: Links,
     /// Orders of the current iteration, by the node that is to make the calls.
@@ -152,7 +152,7 @@
     /// Earliest time of the next request to the store to confirm that the fleet has no later owner.
     next_fleet_confirmation: Steady,
     next_summary: Steady,
-    pub(super) machines: Machines,
+    pub(super) machines: HostClient,
     /// Ownerships that were won but are not in the view yet, by name.
     won: BTreeMap<String, Ownership>,
     vacant: BTreeMap<String, Vacancy>,
@@ -168,13 +168,13 @@
     pub(crate) fn new(
         node: Arc<Node>,
         lease: Arc<Lease>,
-        runners: Runners,
+        runners: WorkerClient,
         sender: mpsc::UnboundedSender<Input>,
     ) -> ControlLoop {
         let hosts = node.settings.platform.hosts.to_string();
-        let machines = Machines::new(&hosts, node.settings.node.clone());
+        let machines = HostClient::new(&hosts, node.settings.node.clone());
         let adviser = node.settings.platform.advice;
-        let adviser = adviser.map(|address| Adviser::new(&address.to_string()));
+        let adviser = adviser.map(|address| AdviceClient::new(&address.to_string()));
         ControlLoop {
             node,
             lease,
@@ -280,7 +280,7 @@
                 }
             }
             Input::FleetWritten { token, ends, wave } => {
-                self.fleet_written(token, &ends, wave, now);
+                self.note_fleet_write(token, &ends, wave, now);
             }
             Input::DelegateFailed(worker) => self.note_delegate_failure(worker, now.steady),
             Input::Shutdown => self.release_all(),
@@ -308,11 +308,11 @@
         self.drop_expired(now.steady);
         let view = self.node.view();
         let config = view.config.as_ref().map_or(0, |config| config.version);
-        self.node.metrics.refused(view.refused);
+        self.node.metrics.set_refused_records(view.refused_records);
         drop(view);
         let owned = self.owned.len() + usize::from(self.fleet.is_some());
-        self.node.metrics.holds(owned, config);
-        self.node.note_owning(owned != 0);
+        self.node.metrics.set_ownership(owned, config);
+        self.node.set_owns_work(owned != 0);
         self.take_over(now);
         self.acquire(now);
         self.rebalance(now);
@@ -336,7 +336,7 @@
                 continue;
             }
             let counts = owned.owner.take_counts();
-            self.node.metrics.counted(&counts);
+            self.node.metrics.add_counts(&counts);
             owned.order_counts.note_resent(counts.resent_orders);
             self.execute(&name, token, out);
             self.persist_progress(&name, now);
@@ -349,7 +349,7 @@
             self.resolve_unknown_jobs(&name, now);
         }
         self.request_fleet_confirmation(now);
-        self.fleet_step(now);
+        self.fleet_tick(now);
         self.summarize(now);
     }
 
@@ -391,7 +391,7 @@
         let visible: Vec<String> = self
             .won
             .iter()
-            .filter(|(_, won)| won.token <= view.known.0)
+            .filter(|(_, won)| won.token <= view.known_revision.0)
             .map(|(name, _)| name.clone())
             .collect();
         drop(view);
@@ -415,7 +415,7 @@
     }
 
     fn log_takeover(&self, name: &str, token: u64, earlier_owners: u32, now: Now) {
-        let age = self.node.view().ages.of(keys::ROOT, now.steady).unwrap_or_default();
+        let age = self.node.view().ages.age_ms(keys::ROOT, now.steady).unwrap_or_default();
         log::info!(
             "owner {name}: taken up: token {token}, {earlier_owners} earlier owners, \
              records {age} ms old"
@@ -427,7 +427,7 @@
         let mut owner = Owner::new(token, earlier_owners, now.steady);
         let view = self.node.view();
         let mut out = Vec::new();
-        let other_pools = view.rostered_by_others(name);
+        let other_pools = view.on_other_rosters(name);
         let mut workers: Vec<(Revision, WorkerReport)> = view
             .workers
             .values()
@@ -437,7 +437,7 @@
         workers.sort_by_key(|(revision, _)| *revision);
         // Workers may run tasks of earlier owners, whether they are listed or not.
         let roster = view.roster(name);
-        let silent = view.away.get(name).cloned();
+        let silent = view.silent_workers.get(name).cloned();
         let silent_revision = silent.as_ref().map(|at| at.revision).unwrap_or_default();
         let silent = silent.map(|at| at.value).unwrap_or_default();
         owner.inherit(roster, &silent, now, &mut out);
@@ -448,7 +448,7 @@
         for (_, report) in workers {
             owner.handle(Event::Worker(report), now, &mut out);
         }
-        for id in view.barred.keys() {
+        for id in view.invalid_entries.keys() {
             owner.handle(Event::InvalidEntry(id.clone()), now, &mut out);
         }
         for (id, known) in &view.jobs {
@@ -459,12 +459,13 @@
         owner.set_draining(news::drain_marks(&view, &pool));
         // The owner has received all jobs up to its token, and the write that won the token was
         // sent at the time returned by `confirmed`.
-        let report_revision = view.queued.get(name).map(|at| at.revision).unwrap_or_default();
+        let report_revision =
+            view.waiting_reports.get(name).map(|at| at.revision).unwrap_or_default();
         let waiting_report = ReportState::new(report_revision, tenure.confirmed(), Revision(token));
         drop(view);
         self.log_takeover(name, token, earlier_owners, now);
         let stop_watch = CancellationToken::new();
-        mirror::follow(&self.node, name, token, stop_watch.clone(), &self.inputs);
+        mirror::watch_work(&self.node, name, token, stop_watch.clone(), &self.inputs);
         let owned = OwnedPool {
             pool,
             owner,
--- a/src/scheduler/drive/behind.rs
+++ b/src/scheduler/drive/behind.rs
@@ -10,7 +10,7 @@
     platform::records::OPERATOR_PREFIX,
     scheduler::{
         keys::{self, ROOT},
-        view::age::RECORDS_MS,
+        view::age::MAX_RECORDS_AGE_MS,
     },
 };
 
@@ -41,14 +41,14 @@
 impl ControlLoop {
     /// Whether the records are older than a node may use for counts and plans.
     pub(super) fn has_stale_view(&self, now: Now) -> bool {
-        !self.node.view().ages.is_within(ROOT, RECORDS_MS, now.steady)
+        !self.node.view().ages.is_within(ROOT, MAX_RECORDS_AGE_MS, now.steady)
     }
 
     /// Whether the view is fresh enough to plan. If not, running actions continue but no new ones
     /// start.
     pub(in crate::scheduler) fn may_plan(&mut self, now: Now) -> bool {
         let view = self.node.view();
-        let check = |prefix| view.ages.check(prefix, RECORDS_MS, now.steady);
+        let check = |prefix| view.ages.check(prefix, MAX_RECORDS_AGE_MS, now.steady);
         let Err(too_old) = check(ROOT).and_then(|()| check(OPERATOR_PREFIX)) else {
             return true;
         };
@@ -64,10 +64,10 @@
     /// store is reachable, so another node may have a fresh view. The fleet's work goes first: it
     /// depends on the view most and costs the least to move.
     pub(super) fn release_if_stale(&mut self, now: Now) {
-        let age = self.node.view().ages.of(ROOT, now.steady);
+        let age = self.node.view().ages.age_ms(ROOT, now.steady);
         let fleet = self.fleet.iter().map(|_| keys::FLEET);
         let owned = fleet.chain(self.owned.keys().map(String::as_str));
-        if age.is_some_and(|age| age <= RECORDS_MS) {
+        if age.is_some_and(|age| age <= MAX_RECORDS_AGE_MS) {
             self.stale_view.fresh_owned = owned.map(str::to_owned).collect();
             return;
         }
--- a/src/scheduler/drive/input.rs
+++ b/src/scheduler/drive/input.rs
@@ -14,10 +14,10 @@
         unit::{Revision, Steady},
         worker::ListedHost,
     },
-    platform::{kv::Committed, store::StoreError},
+    platform::{kv::CommitResult, store::StoreError},
     scheduler::{
         lease::Tenure,
-        view::{At, Delta, WaveRecord},
+        view::{Delta, Versioned, WaveRecord},
     },
 };
 
@@ -89,7 +89,7 @@
     FleetWritten {
         token: u64,
         ends: Vec<(FleetEffect, WriteResult)>,
-        wave: Option<(u64, At<WaveRecord>)>,
+        wave: Option<(u64, Versioned<WaveRecord>)>,
     },
     /// A worker did not answer its delegate.
     DelegateFailed(Incarnation),
@@ -133,14 +133,14 @@
 
 impl OverwriteResult {
     /// Result of a write that requires the record to be unchanged.
-    pub(super) fn of(result: Result<Committed, StoreError>, key: &str) -> OverwriteResult {
+    pub(super) fn of(result: Result<CommitResult, StoreError>, key: &str) -> OverwriteResult {
         match result {
-            Ok(Committed::Done(revision)) => OverwriteResult::Kept(revision),
-            Ok(Committed::Conflict(items)) => {
+            Ok(CommitResult::Done(revision)) => OverwriteResult::Kept(revision),
+            Ok(CommitResult::Conflict(items)) => {
                 let found = items.iter().find(|item| item.key == key);
                 OverwriteResult::Rebase(found.map(|item| item.revision).unwrap_or_default())
             }
-            Ok(Committed::LeaseOver) => OverwriteResult::Failed,
+            Ok(CommitResult::LeaseExpired) => OverwriteResult::Failed,
             Err(error) => {
                 log::debug!("record {key}: not written: {error}");
                 OverwriteResult::Failed
--- a/src/scheduler/drive/keep.rs
+++ b/src/scheduler/drive/keep.rs
@@ -8,7 +8,7 @@
         unit::{Now, Revision},
     },
     platform::{
-        kv::{Committed, Item, TXN_ENTRIES, Txn},
+        kv::{CommitResult, Item, MAX_TXN_ENTRIES, Txn},
         store::StoreError,
     },
     scheduler::{Node, keys, lease::Tenure},
@@ -16,7 +16,7 @@
 
 /// Jobs per transaction: each needs a condition and a write, in addition to the condition on the
 /// owner.
-const PROGRESS_BATCH: usize = (TXN_ENTRIES - 1) / 2;
+const PROGRESS_BATCH: usize = (MAX_TXN_ENTRIES - 1) / 2;
 
 /// Maximum number of progress writes in flight per owner. A single one limited an owner to a
 /// thousand jobs a second, and more change at a peak.
@@ -39,7 +39,7 @@
 const REMOVAL_PAUSE_MS: u64 = 500;
 
 /// Worker records per transaction, in addition to two conditions and the record of silent workers.
-const ROSTER_BATCH: usize = TXN_ENTRIES - 3;
+const ROSTER_BATCH: usize = MAX_TXN_ENTRIES - 3;
 
 impl ControlLoop {
     /// The pool, if this node still owns it under the given token.
@@ -90,7 +90,7 @@
         match result {
             ProgressResult::Done(revision) => {
                 for ended in owned.owner.note_saved(writes, revision) {
-                    self.node.metrics.job_ended(&ended.queue, ended.state, ended.took);
+                    self.node.metrics.record_job_end(&ended.queue, ended.state, ended.took);
                 }
             }
             ProgressResult::Rebase(positions) => {
@@ -167,7 +167,7 @@
         if owned.removing || now.steady < owned.next_removal {
             return;
         }
-        let jobs = owned.owner.take_finished(TXN_ENTRIES);
+        let jobs = owned.owner.take_finished(MAX_TXN_ENTRIES);
         if jobs.is_empty() {
             return;
         }
@@ -181,7 +181,7 @@
             if let Err(error) = &result {
                 log::info!("owner {name}: {} ended jobs not removed: {error}", jobs.len());
             }
-            let done = matches!(result, Ok(Committed::Done(_)));
+            let done = matches!(result, Ok(CommitResult::Done(_)));
             let _ = inputs.send(Input::JobsRemoved { name, token, jobs, done });
         });
     }
@@ -198,7 +198,7 @@
             return;
         };
         owned.removing = false;
-        let full = jobs.len() == TXN_ENTRIES;
+        let full = jobs.len() == MAX_TXN_ENTRIES;
         let pause = match (done, full) {
             (false, _) => WRITE_RETRY_MS,
             (true, true) => 0,
@@ -221,7 +221,7 @@
     silent_revision: Revision,
     write: &RosterWrite,
 ) -> OverwriteResult {
-    let silent_key = keys::away(name);
+    let silent_key = keys::silent_workers(name);
     let mut txn = Txn::default()
         .expect(keys::owner(name), Revision(token))
         .expect(silent_key.clone(), silent_revision)
@@ -254,9 +254,9 @@
         txn = txn.expect(key.clone(), write.expected_revision).put(key, write.value.clone());
     }
     let items = match commit(node, tenure, &txn).await {
-        Ok(Committed::Done(revision)) => return ProgressResult::Done(revision),
-        Ok(Committed::Conflict(items)) => items,
-        Ok(Committed::LeaseOver) => return ProgressResult::Failed,
+        Ok(CommitResult::Done(revision)) => return ProgressResult::Done(revision),
+        Ok(CommitResult::Conflict(items)) => items,
+        Ok(CommitResult::LeaseExpired) => return ProgressResult::Failed,
         Err(error) => {
             log::warn!("owner {name}: progress of {} jobs not written: {error}", writes.len());
             return ProgressResult::Failed;
@@ -281,23 +281,23 @@
     node: &Node,
     tenure: &Tenure,
     txn: &Txn,
-) -> Result<Committed, StoreError> {
+) -> Result<CommitResult, StoreError> {
     let sent = node.now().steady;
     let result = node.kv.commit(txn).await;
     match &result {
-        Ok(Committed::Done(revision)) => {
+        Ok(CommitResult::Done(revision)) => {
             tenure.confirm(sent);
-            node.view().ages.told(sent, *revision);
+            node.view().ages.note_revision(sent, *revision);
         }
-        Ok(Committed::Conflict(items)) if is_owner_conflict(txn, items) => tenure.deny(),
-        Ok(Committed::Conflict(_) | Committed::LeaseOver) | Err(_) => {}
+        Ok(CommitResult::Conflict(items)) if is_owner_conflict(txn, items) => tenure.note_ended(),
+        Ok(CommitResult::Conflict(_) | CommitResult::LeaseExpired) | Err(_) => {}
     }
     result
 }
 
 /// Whether a transaction failed on its first condition, that the owner has not changed.
 fn is_owner_conflict(txn: &Txn, found: &[Item]) -> bool {
-    txn.expects.first().is_some_and(|(key, revision)| {
+    txn.conditions.first().is_some_and(|(key, revision)| {
         let item = found.iter().find(|item| item.key == *key);
         item.is_none_or(|item| item.revision != *revision)
     })
--- a/src/scheduler/drive/news.rs
+++ b/src/scheduler/drive/news.rs
@@ -55,7 +55,7 @@
                     self.deliver(&name, Event::OtherPool(report.clone()), now);
                 }
                 let owns = self.owned.contains_key(&own);
-                if owns && self.node.view().is_of_another(&own, &report.id) {
+                if owns && self.node.view().is_on_other_roster(&own, &report.id) {
                     log::error!(
                         "worker {}: not used: it belongs to another pool than {own}",
                         report.id
@@ -70,14 +70,14 @@
                     self.deliver(&name, Event::Unlisted(id.clone()), now);
                 }
             }
-            Delta::Barred(id) => {
+            Delta::InvalidEntry(id) => {
                 let names: Vec<String> = self.owned.keys().cloned().collect();
                 for name in names {
                     self.deliver(&name, Event::InvalidEntry(id.clone()), now);
                 }
             }
             Delta::Owner(name) => self.check_owner(&name),
-            Delta::Leave(host) => self.set_drain_mark(&host),
+            Delta::DrainMark(host) => self.set_drain_mark(&host),
             Delta::Config => {}
         }
     }
@@ -114,7 +114,7 @@
     /// while 600 hosts were marked at a demand peak (`measure mirror`).
     fn set_drain_mark(&mut self, host: &HostId) {
         let view = self.node.view();
-        let stored_mark = view.leaves.get(host);
+        let stored_mark = view.drain_marks.get(host);
         for owned in self.owned.values_mut() {
             let mark = stored_mark
                 .filter(|at| requires_drain(&at.value, &owned.pool))
@@ -137,6 +137,6 @@
 
 /// The hosts that the pool's owner has to drain, by the revisions of their marks.
 pub(super) fn drain_marks(view: &View, pool: &PoolId) -> BTreeMap<HostId, Revision> {
-    let marks = view.leaves.iter().filter(|(_, at)| requires_drain(&at.value, pool));
+    let marks = view.drain_marks.iter().filter(|(_, at)| requires_drain(&at.value, pool));
     marks.map(|(host, at)| (host.clone(), at.revision)).collect()
 }
--- a/src/scheduler/drive/orders.rs
+++ b/src/scheduler/drive/orders.rs
@@ -76,7 +76,7 @@
         move || {
             let now = node.now().steady;
             let is_allowed = |tenure: &Tenure| {
-                tenure.allows_orders(now) && !tenure.is_older_than(node.clock.woke())
+                tenure.allows_orders(now) && !tenure.is_unconfirmed_since(node.clock.last_resumed())
             };
             tenure.as_ref().is_some_and(is_allowed)
         }
@@ -98,13 +98,13 @@
         tokio::spawn(async move {
             let answer = match may_go() {
                 true => call(&runners, &effect).await,
-                false => Answer::End(OrderResult::Unsent),
+                false => Answer::Order(OrderResult::Unsent),
             };
-            metrics.ordered(order_kind(&effect), outcome(&answer), began.elapsed());
+            metrics.record_order(order_kind(&effect), outcome(&answer), began.elapsed());
             if let Some(pending) = pending {
                 pending.note_outcome(outcome(&answer));
             }
-            if let Some(event) = call::event(effect, sent, answer) {
+            if let Some(event) = call::result_event(effect, sent, answer) {
                 send_event(event);
             }
         });
@@ -118,7 +118,7 @@
         let (metrics, kind) = (self.node.metrics.clone(), order_kind(&effect));
         let (pending, began) = (self.count_order(name, CallingNode::Other), Instant::now());
         let finish = move |event: Event, unanswered: bool| {
-            metrics.ordered(kind, event_outcome(&event), began.elapsed());
+            metrics.record_order(kind, event_outcome(&event), began.elapsed());
             if let Some(pending) = pending {
                 pending.note_outcome(event_outcome(&event));
             }
@@ -129,7 +129,7 @@
             send_event(event);
         };
         let (sent, may_go) = (self.node.now().steady, Box::new(self.send_check(name)));
-        let order = Outgoing { effect, sent, may_go, tell: Box::new(finish) };
+        let order = Outgoing { effect, sent, may_send: may_go, on_result: Box::new(finish) };
         self.outbox.entry(address).or_default().push(order);
     }
 
@@ -217,8 +217,8 @@
 
 fn outcome(answer: &Answer) -> &'static str {
     match answer {
-        Answer::End(end) => outcome_label(end),
-        Answer::Look(end) => outcome_label(end),
+        Answer::Order(end) => outcome_label(end),
+        Answer::Poll(end) => outcome_label(end),
     }
 }
 
--- a/src/scheduler/drive/reach.rs
+++ b/src/scheduler/drive/reach.rs
@@ -9,7 +9,7 @@
     jobs::balance::{self, Capacity},
     model::unit::{Millicores, Now, Revision},
     platform::{
-        kv::{Committed, Txn},
+        kv::{CommitResult, Txn},
         store::LeaseId,
     },
     scheduler::{
@@ -152,7 +152,7 @@
             let token = owned.fleet.token;
             // Host calls whose records are being written are not made: the next owner may have
             // acquired the work before.
-            owned.tenure.deny();
+            owned.tenure.note_ended();
             log::info!("owner {name}: given back: token {token}");
             self.vacant.insert(name.clone(), vacancy);
             self.remove_owner_record(name, token, Txn::default());
@@ -163,7 +163,7 @@
     /// act as the owner.
     fn unowned(&self) -> BTreeSet<String> {
         let view = self.node.view();
-        let Some(config) = view.is_whole().then_some(view.config.as_ref()).flatten() else {
+        let Some(config) = view.is_complete().then_some(view.config.as_ref()).flatten() else {
             return BTreeSet::new();
         };
         let pools = config.pools.keys().map(keys::pool);
@@ -201,10 +201,10 @@
         let tenure = Tenure::new(&self.lease, lease, now.steady);
         tokio::spawn(async move {
             let won = match node.kv.commit(&txn).await {
-                Ok(Committed::Done(revision)) => {
+                Ok(CommitResult::Done(revision)) => {
                     Some(Ownership { token: revision.0, earlier_owners: count, tenure })
                 }
-                Ok(Committed::Conflict(_) | Committed::LeaseOver) => None,
+                Ok(CommitResult::Conflict(_) | CommitResult::LeaseExpired) => None,
                 Err(error) => {
                     log::warn!("owner {name}: ownership not acquired: {error}");
                     None
@@ -237,7 +237,7 @@
     /// not wait for workers that the next owner cannot reach.
     fn release_pool(&self, name: String, owned: &OwnedPool, now: Now) {
         // Pending orders are not sent any more, but the handover record still includes them.
-        owned.tenure.deny();
+        owned.tenure.note_ended();
         let token = owned.owner.token;
         let silent = owned.owner.handover_record(now);
         let may_run = match silent.as_ref().and_then(|record| record.handover.as_ref()) {
@@ -246,7 +246,7 @@
         };
         log::info!("owner {name}: given back: token {token}, {may_run}");
         let txn = match silent {
-            Some(record) => Txn::default().put(keys::away(&name), json(&record)),
+            Some(record) => Txn::default().put(keys::silent_workers(&name), json(&record)),
             None => Txn::default(),
         };
         self.remove_owner_record(name, token, txn);
--- a/src/scheduler/drive/tally.rs
+++ b/src/scheduler/drive/tally.rs
@@ -100,7 +100,7 @@
         calling_node: CallingNode,
     ) -> PendingOrder {
         order_counts.of(calling_node).fetch_add(1, Relaxed);
-        metrics.orders_under_way(calling_node.label(), 1);
+        metrics.add_orders_in_flight(calling_node.label(), 1);
         PendingOrder { order_counts: order_counts.clone(), metrics: metrics.clone(), calling_node }
     }
 
@@ -113,6 +113,6 @@
 impl Drop for PendingOrder {
     fn drop(&mut self) {
         self.order_counts.of(self.calling_node).fetch_sub(1, Relaxed);
-        self.metrics.orders_under_way(self.calling_node.label(), -1);
+        self.metrics.add_orders_in_flight(self.calling_node.label(), -1);
     }
 }
--- a/src/scheduler/drive/tell.rs
+++ b/src/scheduler/drive/tell.rs
@@ -8,7 +8,7 @@
     jobs::{event::Event, owner::DrainedHost},
     model::unit::{Now, Revision, Steady},
     platform::kv::Txn,
-    scheduler::{keys, lease::Tenure, view::EmptyRecord},
+    scheduler::{keys, lease::Tenure, view::DrainedRecord},
 };
 
 /// Minimum time between two writes of the host usage, in milliseconds; it is only a hint.
@@ -39,17 +39,17 @@
             let is_recent = |(previous, at): &(DrainedHost, Steady)| {
                 *previous == drained && now.steady.since(*at) < DRAINED_REPEAT_MS
             };
-            let is_visible = self.node.view().empties.get(&host).is_some_and(|at| {
+            let is_visible = self.node.view().drained_hosts.get(&host).is_some_and(|at| {
                 at.value.mark == drained.mark && at.value.worker == drained.worker
             });
             if is_visible || published.is_some_and(is_recent) {
                 continue;
             }
-            let record = EmptyRecord { worker: drained.worker.clone(), mark: drained.mark };
+            let record = DrainedRecord { worker: drained.worker.clone(), mark: drained.mark };
             let txn = Txn::default()
                 .expect(keys::owner(name), Revision(token))
-                .expect(keys::leave(&host), drained.mark)
-                .put(keys::empty(&host), json(&record));
+                .expect(keys::drain_mark(&host), drained.mark)
+                .put(keys::drained(&host), json(&record));
             owned.published_drained.insert(host.clone(), (drained, now.steady));
             let (node, tenure) = (self.node.clone(), owned.tenure.clone());
             tokio::spawn(async move {
@@ -156,9 +156,9 @@
         let Some(owned) = self.owned.get_mut(name) else {
             return;
         };
-        let was_suspended = owned.tenure.is_older_than(self.node.clock.woke());
+        let was_suspended = owned.tenure.is_unconfirmed_since(self.node.clock.last_resumed());
         let is_needed = owned.owner.awaits_confirmation(now.steady)
-            || owned.tenure.is_doubtful()
+            || owned.tenure.is_unconfirmed()
             || was_suspended;
         if !is_needed || now.steady < owned.next_confirmation {
             return;
@@ -178,7 +178,7 @@
     /// The same for the fleet's work. It has no queues: the written record is empty and adds
     /// nothing to the counts for callers.
     pub(super) fn request_fleet_confirmation(&mut self, now: Now) {
-        let Some(owned) = self.fleet.as_ref().filter(|owned| owned.tenure.is_doubtful()) else {
+        let Some(owned) = self.fleet.as_ref().filter(|owned| owned.tenure.is_unconfirmed()) else {
             return;
         };
         if now.steady < self.next_fleet_confirmation {
--- a/src/scheduler/drive/tests.rs
+++ b/src/scheduler/drive/tests.rs
@@ -23,7 +23,7 @@
     platform::{
         kv::{Change, Kv},
         records::OPERATOR_PREFIX,
-        runner::Runners,
+        runner::WorkerClient,
         store::LeaseId,
     },
     scheduler::{
@@ -85,7 +85,8 @@
         let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
         let lease = Arc::new(Lease::default());
         let (inputs, _) = mpsc::unbounded_channel();
-        let control_loop = ControlLoop::new(node.clone(), lease.clone(), Runners::new(), inputs);
+        let control_loop =
+            ControlLoop::new(node.clone(), lease.clone(), WorkerClient::new(), inputs);
         World {
             node,
             lease,
@@ -115,9 +116,9 @@
     /// time.
     fn answer_watches(&self, until: Steady) {
         let mut view = self.node.view();
-        let call = view.ages.ask(until);
+        let call = view.ages.start_call(until);
         for prefix in [keys::ROOT, OPERATOR_PREFIX] {
-            view.ages.heard(prefix, call, Extent::Quiet(Revision(0), until));
+            view.ages.note_answer(prefix, call, Extent::Unchanged(Revision(0), until));
         }
     }
 
@@ -135,7 +136,7 @@
         let (key, revision) = (keys::owner(&name), Revision(token));
         let mut view = self.node.view();
         view.apply(Change { key, revision, value: Some(record.into()) });
-        view.known = view.known.max(revision);
+        view.known_revision = view.known_revision.max(revision);
     }
 
     /// Checks what the node holds after an iteration or an input.
@@ -162,9 +163,9 @@
                     self.next_lease
                 });
                 let sent = self.node.now().steady;
-                self.lease.renewed(id, sent, Duration::from_millis(LEASE_MS), sent);
+                self.lease.note_renewed(id, sent, Duration::from_millis(LEASE_MS), sent);
             }
-            Op::EndLease => self.lease.ended(),
+            Op::EndLease => self.lease.note_ended(),
             Op::Acquire { fleet } => {
                 let name = if fleet { keys::FLEET } else { "pool-work" };
                 let lease = self.lease.held(self.node.now().steady);
@@ -219,7 +220,7 @@
         }
         let send_check = world.control_loop.send_check("pool-work");
         assert!(send_check());
-        world.node.clock.stand_still(pause_ms);
+        world.node.clock.simulate_pause(pause_ms);
         assert!(!send_check(), "an order decided before a pause of {pause_ms} ms may be sent");
         world.apply(Op::RenewLease);
         assert!(!send_check(), "a lease renewal does not confirm the owner");
@@ -242,7 +243,7 @@
         world.apply(op);
     }
     let [absent, unreadable, ended] = [1, 2, 3].map(JobId::from_number);
-    let record = bytes(&sample::record(Vec::new()));
+    let record = bytes(&sample::job_record(Vec::new()));
     let over = Progress { state: JobState::Succeeded, ..Progress::default() };
     world.apply_write(keys::job(&"work".parse().unwrap(), unreadable), record);
     world.apply_write(keys::progress(unreadable), b"{".to_vec());
--- a/src/scheduler/drive/tests/behind.rs
+++ b/src/scheduler/drive/tests/behind.rs
@@ -16,7 +16,7 @@
     scheduler::{
         drive::{Input, OverwriteResult, json as bytes},
         keys,
-        view::age::{RECORDS_MS, WORD_MS},
+        view::age::{MAX_RECORDS_AGE_MS, MAX_REPORT_AGE_MS},
     },
 };
 
@@ -74,7 +74,7 @@
         let now = self.now.steady.after(millis);
         self.now.steady = now;
         let lease = self.world.lease.last().unwrap();
-        self.world.lease.renewed(lease, now, Duration::from_millis(LEASE_MS), now);
+        self.world.lease.note_renewed(lease, now, Duration::from_millis(LEASE_MS), now);
     }
 }
 
@@ -94,12 +94,12 @@
             harness.answer_watches();
         }
         let before = harness.world.control_loop.next_fleet_summary;
-        harness.world.control_loop.fleet_step(harness.now);
+        harness.world.control_loop.fleet_tick(harness.now);
         harness.world.control_loop.next_fleet_summary != before
     };
     assert!(!plans(1_500, false), "the watches have not answered yet");
     assert!(plans(1_500, true));
-    assert!(plans(RECORDS_MS, false));
+    assert!(plans(MAX_RECORDS_AGE_MS, false));
     assert!(!plans(1_500, false));
     assert!(plans(1_500, true));
 }
@@ -149,7 +149,7 @@
     let mut harness = Harness::start();
     harness.list_node("two");
     let early = harness.now.steady;
-    harness.world.node.clock.stand_still(RECORDS_MS + 1);
+    harness.world.node.clock.simulate_pause(MAX_RECORDS_AGE_MS + 1);
     harness.world.apply(Op::RenewLease);
     harness.now = harness.world.node.now();
     harness.world.answer_watches(early);
@@ -207,7 +207,7 @@
     harness.answer_watches();
     harness.acquire(false);
     // The lease is renewed too late, and the owner's own watch stays silent.
-    harness.advance(2 * RECORDS_MS);
+    harness.advance(2 * MAX_RECORDS_AGE_MS);
     let before = harness.world.control_loop.owned[POOL].waiting_report.pending;
     harness.world.control_loop.request_confirmation(POOL, harness.now);
     let owned = &harness.world.control_loop.owned[POOL];
@@ -263,5 +263,5 @@
         longest = longest.max(sent.since(last_published));
         last_published = sent;
     }
-    assert!(longest + WATCH_MS + PAUSE_MS <= WORD_MS, "renewed after {longest} ms");
+    assert!(longest + WATCH_MS + PAUSE_MS <= MAX_REPORT_AGE_MS, "renewed after {longest} ms");
 }
--- a/src/scheduler/drive/tests/load.rs
+++ b/src/scheduler/drive/tests/load.rs
@@ -33,7 +33,7 @@
     assert_eq!(world.control_loop.owned.len(), 1);
     let mark = json(&HostAction::Move("other".parse().unwrap()));
     let changes = (0..MARKED).map(|number| Change {
-        key: keys::leave(&format!("m-{number}").parse().unwrap()),
+        key: keys::drain_mark(&format!("m-{number}").parse().unwrap()),
         revision: Revision(1_000 + number as u64),
         value: Some(mark.clone().into()),
     });
--- a/src/scheduler/drive/tests/words.rs
+++ b/src/scheduler/drive/tests/words.rs
@@ -15,7 +15,7 @@
     scheduler::{
         drive::{Input, OverwriteResult, OwnedPool},
         keys,
-        view::{OwnerRecord, age::RECORDS_MS},
+        view::{OwnerRecord, age::MAX_RECORDS_AGE_MS},
     },
     tests::sample,
 };
@@ -154,7 +154,7 @@
         "it may not know all jobs accepted before token {token}"
     );
     let pool = "work".parse().unwrap();
-    let record = JobRecord { pool, ..sample::record(Vec::new()) };
+    let record = JobRecord { pool, ..sample::job_record(Vec::new()) };
     let key = keys::job(&record.pool, JobId::from_number(1));
     world.apply_record(key, token - 1, bytes(&record));
     world.apply(Op::ShowOwner);
@@ -172,7 +172,7 @@
     let mut world = world_with_owned_pool();
     let now = world.node.now();
     world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
-    assert!(!world.publishes(after(now, RECORDS_MS)));
+    assert!(!world.publishes(after(now, MAX_RECORDS_AGE_MS)));
     let later = after(now, STALE_JOBS_MS);
     assert!(!world.publishes(later));
     world.control_loop.request_confirmation(POOL, later);
--- a/src/scheduler/drive/word.rs
+++ b/src/scheduler/drive/word.rs
@@ -11,7 +11,7 @@
 use super::OverwriteResult;
 use crate::{
     model::unit::{Revision, Steady},
-    scheduler::view::waiting::WordRecord,
+    scheduler::view::waiting::WaitingRecord,
 };
 
 /// Minimum time between two reports, in milliseconds: counts for callers may be two seconds old,
@@ -81,8 +81,8 @@
 
     /// The record of these counts, with the revision up to which the jobs were known: from it other
     /// nodes determine the age of the counts, however late the record is written.
-    pub(super) fn to_record(&self, counts: Counts) -> WordRecord {
-        WordRecord { known: Some(self.jobs_revision), counts }
+    pub(super) fn to_record(&self, counts: Counts) -> WaitingRecord {
+        WaitingRecord { known: Some(self.jobs_revision), counts }
     }
 
     /// Whether the owner's knowledge of its jobs is recent enough for a report.
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -17,15 +17,15 @@
         worker::Upkeep,
     },
     platform::{
-        kv::{Committed, Item, TXN_ENTRIES, Txn},
-        machines::HostCall,
+        kv::{CommitResult, Item, MAX_TXN_ENTRIES, Txn},
+        machines::HostCallResult,
         records,
     },
     scheduler::{
         demand::Demands,
         drive::{ControlLoop, Input, OwnedFleet, SUMMARY_MS, json},
         keys,
-        view::{At, CalledRecord, View, WaveRecord},
+        view::{HostCallRecord, Versioned, View, WaveRecord},
     },
 };
 
@@ -45,10 +45,10 @@
 
 /// Most hosts to mark in one transaction: each needs a condition and a write, beside the condition
 /// that this node is the owner.
-const MARK_BATCH: usize = (TXN_ENTRIES - 1) / 2;
+const MARK_BATCH: usize = (MAX_TXN_ENTRIES - 1) / 2;
 
 /// Most hosts to unmark in one transaction: each needs a condition and two removals.
-const UNMARK_BATCH: usize = (TXN_ENTRIES - 1) / 3;
+const UNMARK_BATCH: usize = (MAX_TXN_ENTRIES - 1) / 3;
 
 /// Data copied from the view for one plan.
 struct PlanInput {
@@ -68,7 +68,7 @@
 
 impl ControlLoop {
     /// Plans for the fleet, if this node owns that work and a plan is due.
-    pub(super) fn fleet_step(&mut self, now: Now) {
+    pub(super) fn fleet_tick(&mut self, now: Now) {
         if now.steady < self.next_fleet {
             return;
         }
@@ -130,11 +130,11 @@
     }
 
     /// Handles the results of writes of the fleet's work.
-    pub(super) fn fleet_written(
+    pub(super) fn note_fleet_write(
         &mut self,
         token: u64,
         ends: &[(FleetEffect, WriteResult)],
-        wave: Option<(u64, At<WaveRecord>)>,
+        wave: Option<(u64, Versioned<WaveRecord>)>,
         now: Now,
     ) {
         let owned = self.fleet.as_mut().filter(|owned| owned.fleet.token == token);
@@ -161,13 +161,13 @@
             match effect {
                 FleetEffect::Mark(host, action) => {
                     log::info!("host {host}: marked as draining: {action:?}");
-                    let key = keys::leave(host);
+                    let key = keys::drain_mark(host);
                     txn = txn.expect(key.clone(), Revision(0)).put(key, json(action));
                 }
                 FleetEffect::Unmark(host, mark) => {
                     // The condition keeps a delayed write from removing a later mark.
-                    let key = keys::leave(host);
-                    txn = txn.expect(key.clone(), *mark).remove(key).remove(keys::empty(host));
+                    let key = keys::drain_mark(host);
+                    txn = txn.expect(key.clone(), *mark).remove(key).remove(keys::drained(host));
                 }
                 FleetEffect::List
                 | FleetEffect::Maintain(..)
@@ -203,7 +203,7 @@
                 let mut txn = guard.expect(key.clone(), record.revision);
                 for host in hosts {
                     log::info!("host {host}: maintained for wave {wave}");
-                    txn = txn.remove(keys::leave(host)).remove(keys::empty(host));
+                    txn = txn.remove(keys::drain_mark(host)).remove(keys::drained(host));
                     record.value.hosts.insert(host.clone());
                 }
                 let txn = txn.put(key, json(&record.value));
@@ -234,11 +234,11 @@
 
     /// The record of a wave on which the next write builds: the one that this owner wrote last, if
     /// the view does not have it yet.
-    fn wave_record(&self, wave: u64) -> At<WaveRecord> {
+    fn wave_record(&self, wave: u64) -> Versioned<WaveRecord> {
         let viewed = self.node.view().waves.get(&wave).cloned();
         let own = self.fleet.as_ref().and_then(|owned| owned.waves.get(&wave)).cloned();
         let newest = viewed.into_iter().chain(own).max_by_key(|at| at.revision);
-        newest.unwrap_or(At { value: WaveRecord::default(), revision: Revision(0) })
+        newest.unwrap_or(Versioned { value: WaveRecord::default(), revision: Revision(0) })
     }
 
     fn list_hosts(&self, token: u64, now: Now) {
@@ -257,11 +257,11 @@
             // The record is written first, under the condition that there is no later owner, so
             // that a later one does not call the host for a while.
             let now = node.now();
-            let record = CalledRecord { token, at: now.wall };
+            let record = HostCallRecord { token, at: now.wall };
             let txn = Txn::default()
                 .expect(keys::owner(keys::FLEET), Revision(token))
                 .put(keys::called(&host), json(&record));
-            let written = matches!(node.kv.commit(&txn).await, Ok(Committed::Done(_)));
+            let written = matches!(node.kv.commit(&txn).await, Ok(CommitResult::Done(_)));
             // The process may have been paused meanwhile.
             let late = MAX_CALL_DELAY_MS < node.now().steady.since(now.steady);
             let holds = tenure.is_some_and(|tenure| tenure.holds(node.now().steady));
@@ -284,10 +284,10 @@
             };
             log::info!("host {host}: {leave:?}: {answer:?}");
             let end = match answer {
-                HostCall::Done => CallResult::Begun,
-                HostCall::Unknown | HostCall::Busy => CallResult::Unknown,
-                HostCall::Limited => CallResult::RateLimited,
-                HostCall::Refused | HostCall::Invalid => CallResult::NotBegun,
+                HostCallResult::Done => CallResult::Begun,
+                HostCallResult::Unknown | HostCallResult::Busy => CallResult::Unknown,
+                HostCallResult::Limited => CallResult::RateLimited,
+                HostCallResult::Refused | HostCallResult::Invalid => CallResult::NotBegun,
             };
             let _ = inputs.send(Input::HostCalled { token, host, leave, end });
         });
@@ -305,9 +305,9 @@
         let (node, inputs) = (self.node.clone(), self.inputs.clone());
         tokio::spawn(async move {
             let (end, items) = match node.kv.commit(&txn).await {
-                Ok(Committed::Done(revision)) => (WriteResult::Done(revision), Vec::new()),
-                Ok(Committed::Conflict(items)) => (WriteResult::Refused(None), items),
-                Ok(Committed::LeaseOver) => (WriteResult::Unknown, Vec::new()),
+                Ok(CommitResult::Done(revision)) => (WriteResult::Done(revision), Vec::new()),
+                Ok(CommitResult::Conflict(items)) => (WriteResult::Refused(None), items),
+                Ok(CommitResult::LeaseExpired) => (WriteResult::Unknown, Vec::new()),
                 Err(error) => {
                     log::warn!("fleet: write of {} failed: {error}", describe(&effects));
                     (WriteResult::Unknown, Vec::new())
@@ -321,7 +321,7 @@
             }
             let written = wave.and_then(|(number, record)| match &end {
                 WriteResult::Done(revision) => {
-                    Some((number, At { value: record, revision: *revision }))
+                    Some((number, Versioned { value: record, revision: *revision }))
                 }
                 WriteResult::Refused(_) => {
                     stored_record(&items, &keys::wave(number)).map(|record| (number, record))
@@ -333,7 +333,7 @@
                     FleetEffect::Mark(host, _) | FleetEffect::Unmark(host, _),
                     WriteResult::Refused(_),
                 ) => {
-                    let mark = stored_record(&items, &keys::leave(host));
+                    let mark = stored_record(&items, &keys::drain_mark(host));
                     let mark = mark.map(|at| DrainMark { action: at.value, revision: at.revision });
                     WriteResult::Refused(mark)
                 }
@@ -356,17 +356,20 @@
 }
 
 /// One of the scheduler's records as the store has it; `None` if it is absent or cannot be read.
-fn stored_record<T: serde::de::DeserializeOwned>(items: &[Item], key: &str) -> Option<At<T>> {
+fn stored_record<T: serde::de::DeserializeOwned>(
+    items: &[Item],
+    key: &str,
+) -> Option<Versioned<T>> {
     let item = items.iter().find(|item| item.key == key)?;
     let value = serde_json::from_slice(&item.value);
     let value = value.inspect_err(|error| log::error!("record {key}: ignored: {error}"));
-    Some(At { value: value.ok()?, revision: item.revision })
+    Some(Versioned { value: value.ok()?, revision: item.revision })
 }
 
 /// Hosts that another owner has moved or maintained since a given time.
 fn recently_called(view: &View, token: u64, since: Time) -> BTreeSet<HostId> {
-    let is_recent = |at: &&CalledRecord| at.token != token && since < at.at;
-    let called = view.called.iter().filter(|(_, at)| is_recent(&&at.value));
+    let is_recent = |at: &&HostCallRecord| at.token != token && since < at.at;
+    let called = view.host_calls.iter().filter(|(_, at)| is_recent(&&at.value));
     called.map(|(host, _)| host.clone()).collect()
 }
 
@@ -379,17 +382,18 @@
 fn plan_input(view: &View, demands: &mut Demands, wall: Time) -> Option<PlanInput> {
     let config = view.config.clone()?;
     let demands = demands.of_pools(view, &config, wall);
-    let mark = |at: &At<HostAction>| DrainMark { action: at.value.clone(), revision: at.revision };
+    let mark =
+        |at: &Versioned<HostAction>| DrainMark { action: at.value.clone(), revision: at.revision };
     Some(PlanInput {
         config,
         demands,
-        view_revision: view.known,
-        marks: view.leaves.iter().map(|(host, at)| (host.clone(), mark(at))).collect(),
+        view_revision: view.known_revision,
+        marks: view.drain_marks.iter().map(|(host, at)| (host.clone(), mark(at))).collect(),
         drained: view
-            .empties
+            .drained_hosts
             .iter()
             .filter(|(host, at)| {
-                view.leaves.get(*host).is_some_and(|mark| mark.revision == at.value.mark)
+                view.drain_marks.get(*host).is_some_and(|mark| mark.revision == at.value.mark)
             })
             .map(|(host, at)| (host.clone(), at.value.worker.worker.clone()))
             .collect(),
--- a/src/scheduler/keys.rs
+++ b/src/scheduler/keys.rs
@@ -47,15 +47,15 @@
     /// The number of owners so far.
     Term(String),
     /// The drain mark of a host.
-    Leave(HostId),
+    DrainMark(HostId),
     /// A host that is drained, as reported by its pool's owner.
-    Empty(HostId),
+    Drained(HostId),
     /// The progress of a wave.
     Wave(u64),
     /// A worker that may run tasks of a pool.
     Roster(String, Incarnation),
     /// The silent workers on a pool's roster.
-    Away(String),
+    SilentWorkers(String),
     /// The usage of a pool's hosts.
     Usage(String),
     /// When a host was last moved or maintained, and by which owner.
@@ -90,17 +90,17 @@
             return Some(Key::Term(name.to_owned()));
         }
         if let Some(host) = rest(LEAVE) {
-            return host.parse().ok().map(Key::Leave);
+            return host.parse().ok().map(Key::DrainMark);
         }
         if let Some(host) = rest(EMPTY) {
-            return host.parse().ok().map(Key::Empty);
+            return host.parse().ok().map(Key::Drained);
         }
         if let Some(listed) = rest(ROSTER) {
             let (name, worker) = listed.split_once('/')?;
             return Some(Key::Roster(name.to_owned(), worker.parse().ok()?));
         }
         if let Some(name) = rest(AWAY) {
-            return Some(Key::Away(name.to_owned()));
+            return Some(Key::SilentWorkers(name.to_owned()));
         }
         if let Some(name) = rest(USAGE) {
             return Some(Key::Usage(name.to_owned()));
@@ -128,7 +128,7 @@
 }
 
 /// The prefix of the records with the state of a job.
-pub(crate) fn standing(id: JobId) -> String {
+pub(crate) fn job_state(id: JobId) -> String {
     format!("{JOB_STATE}{id}/")
 }
 
@@ -156,11 +156,11 @@
     format!("{TERM}{name}")
 }
 
-pub(crate) fn leave(host: &HostId) -> String {
+pub(crate) fn drain_mark(host: &HostId) -> String {
     format!("{LEAVE}{host}")
 }
 
-pub(crate) fn empty(host: &HostId) -> String {
+pub(crate) fn drained(host: &HostId) -> String {
     format!("{EMPTY}{host}")
 }
 
@@ -181,7 +181,7 @@
     format!("{ROSTER}{name}/{worker}")
 }
 
-pub(crate) fn away(name: &str) -> String {
+pub(crate) fn silent_workers(name: &str) -> String {
     format!("{AWAY}{name}")
 }
 
--- a/src/scheduler/lateness.rs
+++ b/src/scheduler/lateness.rs
@@ -11,7 +11,7 @@
     scheduler::{
         Node,
         keys::{ALL, ROOT},
-        view::age::RECORDS_MS,
+        view::age::MAX_RECORDS_AGE_MS,
     },
 };
 
@@ -24,33 +24,33 @@
 
 /// A change of a prefix's view to be logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum Transition {
     /// It has become stale.
-    Late { age_ms: u64 },
+    Stale { age_ms: u64 },
     /// It is current again, after being stale for `after_ms`.
-    Back { after_ms: u64 },
+    Current { after_ms: u64 },
 }
 
 /// The last logged status of one prefix.
 #[derive(Debug, Default)]
-pub(crate) struct Lateness {
+pub(crate) struct AgeMonitor {
     stale_since: Option<Steady>,
     next_log: Steady,
 }
 
-impl Lateness {
+impl AgeMonitor {
     /// Checks the age of a prefix; returns the change to log, if any.
-    pub(crate) fn look(&mut self, age_ms: u64, now: Steady) -> Option<Turn> {
-        let is_stale = RECORDS_MS < age_ms;
+    pub(crate) fn check(&mut self, age_ms: u64, now: Steady) -> Option<Transition> {
+        let is_stale = MAX_RECORDS_AGE_MS < age_ms;
         if is_stale == self.stale_since.is_some() || now < self.next_log {
             return None;
         }
         self.next_log = now.after(MIN_LOG_INTERVAL_MS);
         match self.stale_since.take() {
-            Some(since) => Some(Turn::Back { after_ms: now.since(since) }),
+            Some(since) => Some(Transition::Current { after_ms: now.since(since) }),
             None => {
                 self.stale_since = Some(now);
-                Some(Turn::Late { age_ms })
+                Some(Transition::Stale { age_ms })
             }
         }
     }
@@ -58,20 +58,20 @@
 
 /// Checks the ages of all prefixes until the node ends.
 pub(crate) async fn watch(node: Arc<Node>) {
-    let mut logged: BTreeMap<&'static str, Lateness> = BTreeMap::new();
+    let mut logged: BTreeMap<&'static str, AgeMonitor> = BTreeMap::new();
     loop {
         sleep(CHECK_INTERVAL).await;
         let now = node.now().steady;
         for prefix in [OPERATOR_PREFIX, ALL, ROOT, WORKER_PREFIX] {
-            let Some(age_ms) = node.view().ages.of(prefix, now) else {
+            let Some(age_ms) = node.view().ages.age_ms(prefix, now) else {
                 continue;
             };
             node.metrics.set_view_age(prefix, Duration::from_millis(age_ms));
-            match logged.entry(prefix).or_default().look(age_ms, now) {
-                Some(Turn::Late { age_ms }) => {
+            match logged.entry(prefix).or_default().check(age_ms, now) {
+                Some(Transition::Stale { age_ms }) => {
                     log::warn!("view of {prefix}: stale: {age_ms} ms old");
                 }
-                Some(Turn::Back { after_ms }) => {
+                Some(Transition::Current { after_ms }) => {
                     log::info!("view of {prefix}: current again after {after_ms} ms");
                 }
                 None => {}
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -14,7 +14,7 @@
     jobs::owner::{GRACE_PERIOD_MS, LEASE_MS},
     model::unit::Steady,
     platform::{
-        kv::{Committed, Txn},
+        kv::{CommitResult, Txn},
         store::LeaseId,
     },
     scheduler::{Node, drive::json, keys, view::NodeRecord},
@@ -80,7 +80,7 @@
     }
 
     /// Records that the lease was granted or renewed by a call sent at `sent` and answered now.
-    pub(crate) fn renewed(&self, id: LeaseId, sent: Steady, ttl: Duration, now: Steady) {
+    pub(crate) fn note_renewed(&self, id: LeaseId, sent: Steady, ttl: Duration, now: Steady) {
         // Later owners rely on the requested time to live, so a longer one is not used.
         let left = (ttl.min(TTL).as_millis() as u64).saturating_sub(MARGIN_MS);
         let mut state = self.state();
@@ -99,12 +99,12 @@
     }
 
     /// Records that it could not be renewed, or not for certain.
-    pub(crate) fn failed(&self) {
+    pub(crate) fn note_failed(&self) {
         self.state().failing = true;
     }
 
     /// Records that the store has reported it as expired.
-    pub(crate) fn ended(&self) {
+    pub(crate) fn note_ended(&self) {
         self.state().last = None;
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Records that the store has reported it as over.
-    pub(crate) fn deny(&self) {
+    pub(crate) fn note_ended(&self) {
         self.ended.store(true, Ordering::Release);
     }
 
@@ -161,13 +161,13 @@
 
     /// Whether the lease was renewed when it may have expired, and the ownership was not confirmed
     /// since then.
-    pub(crate) fn is_doubtful(&self) -> bool {
+    pub(crate) fn is_unconfirmed(&self) -> bool {
         let confirmed = self.confirmed();
         self.lease.state().gaps.iter().any(|gap| confirmed < gap.renewed)
     }
 
     /// Whether it was last confirmed before `moment`, when the node may have missed its end.
-    pub(crate) fn is_older_than(&self, moment: Steady) -> bool {
+    pub(crate) fn is_unconfirmed_since(&self, moment: Steady) -> bool {
         self.confirmed() < moment
     }
 
@@ -206,21 +206,21 @@
 }
 
 /// Acquires a lease and renews it until the node ends.
-pub(crate) async fn keep(node: Arc<Node>, lease: Arc<Lease>) {
+pub(crate) async fn maintain(node: Arc<Node>, lease: Arc<Lease>) {
     let mut registered = false;
     loop {
         let sent = node.now().steady;
         let held = lease.last();
         let outcome = match held {
             None => node.kv.grant(TTL).await.map(Some),
-            Some(id) => node.kv.keep(id).await.map(|ttl| ttl.map(|ttl| (id, ttl))),
+            Some(id) => node.kv.renew(id).await.map(|ttl| ttl.map(|ttl| (id, ttl))),
         };
         match outcome {
             Ok(Some((id, ttl))) => {
                 if held.is_none() {
                     log::info!("store: lease {id} for {} ms", ttl.as_millis());
                 }
-                lease.renewed(id, sent, ttl, node.now().steady);
+                lease.note_renewed(id, sent, ttl, node.now().steady);
                 if !registered {
                     registered = register(&node, id).await;
                 }
@@ -229,15 +229,15 @@
             Ok(None) => {
                 log::warn!("store: lease {held:?} has expired: ownership of all work is lost");
                 registered = false;
-                lease.ended();
+                lease.note_ended();
             }
             Err(error) => {
                 log::warn!("store: lease not renewed: {error}");
-                lease.failed();
+                lease.note_failed();
                 sleep(RETRY_DELAY).await;
             }
         }
-        if node.leaving.is_cancelled() {
+        if node.shutdown.is_cancelled() {
             return;
         }
     }
@@ -249,9 +249,9 @@
     let key = keys::node(node.settings.node.as_str());
     let txn = Txn::default().put_leased(&key, json(&record), lease);
     match node.kv.commit(&txn).await {
-        Ok(Committed::Done(_)) => true,
+        Ok(CommitResult::Done(_)) => true,
         // The next renewal reports that the lease has expired.
-        Ok(Committed::LeaseOver | Committed::Conflict(_)) => false,
+        Ok(CommitResult::LeaseExpired | CommitResult::Conflict(_)) => false,
         Err(error) => {
             log::warn!("node {}: registration failed: {error}", node.settings.node);
             false
--- a/src/scheduler/metrics.rs
+++ b/src/scheduler/metrics.rs
@@ -249,19 +249,19 @@
     }
 
     /// Records an order to a worker.
-    pub(crate) fn ordered(&self, order: &'static str, outcome: &'static str, took: Duration) {
+    pub(crate) fn record_order(&self, order: &'static str, outcome: &'static str, took: Duration) {
         let label = OrderLabels { order, outcome };
         self.orders.get_or_create(&label).inc();
         self.order_seconds.get_or_create(&label).observe(took.as_secs_f64());
     }
 
     /// Adds to the number of orders in flight.
-    pub(crate) fn orders_under_way(&self, caller: &'static str, change: i64) {
+    pub(crate) fn add_orders_in_flight(&self, caller: &'static str, change: i64) {
         self.in_flight_orders.get_or_create(&CallerLabels { caller }).inc_by(change);
     }
 
     /// Records the end of a job that this node owns.
-    pub(crate) fn job_ended(&self, queue: &str, state: &'static str, took: Duration) {
+    pub(crate) fn record_job_end(&self, queue: &str, state: &'static str, took: Duration) {
         let label = JobEndLabels { queue: queue.to_owned(), state };
         self.ended_jobs.get_or_create(&label).inc();
         let label = QueueLabels { queue: queue.to_owned() };
@@ -269,7 +269,7 @@
     }
 
     /// Adds the counts of an owner.
-    pub(crate) fn counted(&self, counts: &Counts) {
+    pub(crate) fn add_counts(&self, counts: &Counts) {
         for (why, count) in &counts.restarts {
             self.task_restarts.get_or_create(&ReasonLabels { why }).inc_by(*count);
         }
@@ -284,7 +284,7 @@
 
     /// Sets the number of pieces of work that the node owns and the version of the configuration in
     /// force.
-    pub(crate) fn holds(&self, owned: usize, config: u64) {
+    pub(crate) fn set_ownership(&self, owned: usize, config: u64) {
         self.owned_work.set(owned as i64);
         self.config_version.set(config as i64);
     }
@@ -300,7 +300,7 @@
     }
 
     /// Sets the number of records that were refused.
-    pub(crate) fn refused(&self, records: u64) {
+    pub(crate) fn set_refused_records(&self, records: u64) {
         self.refused_records.set(records as i64);
     }
 
@@ -330,7 +330,7 @@
 
     /// Encodes all metrics as text.
     fn text(&self) -> String {
-        self.dropped_log_lines.set(logging::left_out() as i64);
+        self.dropped_log_lines.set(logging::dropped_lines() as i64);
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(error) = encode(&mut text, &registry) {
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -9,7 +9,7 @@
 use crate::{
     model::unit::Revision,
     platform::{
-        kv::{Change, Heard},
+        kv::{Change, WatchBatch},
         records::{OPERATOR_PREFIX, WORKER_PREFIX},
         store::StoreError,
     },
@@ -19,7 +19,7 @@
         keys::{self, ROOT},
         view::{
             Delta,
-            age::{Asked, Extent},
+            age::{CallStart, Extent},
             heard::SourceId,
         },
     },
@@ -102,7 +102,7 @@
 
 /// The minimum number of changes to apply at once, about as many as the store sends in one answer.
 /// A large deployment has 10,000 and more, which at once locked the view for 25 ms on a whole core.
-pub(super) const SLICE: usize = 512;
+pub(super) const MIN_SLICE: usize = 512;
 
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
@@ -140,7 +140,7 @@
 
 /// Watches the records of one piece of work that this node owns, so that its new jobs are received
 /// at once. The mirror receives the same changes later.
-pub(crate) fn follow(
+pub(crate) fn watch_work(
     node: &Arc<Node>,
     name: &str,
     token: u64,
@@ -150,9 +150,9 @@
     let (prefix, inputs) = (keys::work(name), inputs.clone());
     // The owner already got the changes that the mirror had applied when it took the work up.
     let mut view = node.view();
-    let since = view.known.max(Revision(token));
-    let source = view.heard.open(&prefix, since);
-    view.ages.begin(&prefix, ROOT);
+    let since = view.known_revision.max(Revision(token));
+    let source = view.key_revisions.add_source(&prefix, since);
+    view.ages.add_prefix(&prefix, ROOT);
     drop(view);
     let owner_watch =
         OwnerWatch { node: node.clone(), prefix, source, name: name.to_owned(), token };
@@ -181,7 +181,7 @@
                     let answered = self.node.now().steady;
                     let extent = Extent::of_watch(call, WATCH_WAIT, &answer, answered);
                     since = answer.at.max(since);
-                    let may_be_cut = answer.may_be_cut();
+                    let may_be_cut = answer.may_be_truncated();
                     let deltas = self.receive(call, answer.changes, extent);
                     // Cannot fail: the receiver lives as long as the process.
                     if !deltas.is_empty() {
@@ -198,7 +198,7 @@
                     log::debug!("store: watch of {prefix} lost at {since}: {error}");
                     sleep(RETRY_DELAY).await;
                     // Changes that the mirror has applied are not needed again.
-                    since = since.max(self.node.view().known);
+                    since = since.max(self.node.view().known_revision);
                 }
             }
         }
@@ -206,27 +206,27 @@
 }
 
 impl OwnerWatch {
-    fn receive(&self, call: Asked, changes: Vec<Change>, extent: Extent) -> Vec<Delta> {
-        self.node.view().hear((&self.prefix, self.source), call, changes, extent)
+    fn receive(&self, call: CallStart, changes: Vec<Change>, extent: Extent) -> Vec<Delta> {
+        self.node.view().apply_answer((&self.prefix, self.source), call, changes, extent)
     }
 }
 
 impl Drop for OwnerWatch {
     fn drop(&mut self) {
         let mut view = self.node.view();
-        view.heard.close(self.source);
-        view.ages.end(&self.prefix);
+        view.key_revisions.remove_source(self.source);
+        view.ages.remove_prefix(&self.prefix);
     }
 }
 
 /// Describes a call that is sent now.
-fn start_call(node: &Node) -> Asked {
+fn start_call(node: &Node) -> CallStart {
     let now = node.now().steady;
-    node.view().ages.ask(now)
+    node.view().ages.start_call(now)
 }
 
 async fn mirror(node: &Arc<Node>, prefix: Prefix, inputs: &mpsc::UnboundedSender<Input>) {
-    let source = node.view().heard.open(prefix.path, Revision::default());
+    let source = node.view().key_revisions.add_source(prefix.path, Revision::default());
     let mut since: Option<Revision> = None;
     let mut keys: BTreeSet<String> = BTreeSet::new();
     let mut lost = false;
@@ -279,8 +279,8 @@
 /// The pause after an answer of a prefix's watch. After an answer that may be cut there is none:
 /// with one of 120 ms a view applied at most 3,125 changes a second, and one that had fallen behind
 /// never caught up with the store.
-pub(super) fn pause_after(answer: &Heard, prefix: &Prefix, owns: bool) -> Duration {
-    match (answer.may_be_cut(), owns) {
+pub(super) fn pause_after(answer: &WatchBatch, prefix: &Prefix, owns: bool) -> Duration {
+    match (answer.may_be_truncated(), owns) {
         (true, _) => Duration::ZERO,
         (false, true) => prefix.owner_pause,
         (false, false) => prefix.pause,
@@ -296,7 +296,7 @@
 ) -> Result<Revision, StoreError> {
     let call = start_call(node);
     let (mut items, at) = node.kv.range(prefix).await?;
-    node.view().ages.told(call.sent, at);
+    node.view().ages.note_revision(call.sent, at);
     let present: BTreeSet<String> = items.iter().map(|item| item.key.clone()).collect();
     let removed = keys.iter().filter(|key| !present.contains(*key));
     let removed = removed.map(|key| Change { key: key.clone(), revision: at, value: None });
@@ -331,16 +331,16 @@
             log::info!(
                 "store: the history of {path} after {since} was compacted: reading the prefix again"
             );
-            let empty = Heard { changes: Vec::new(), at: since };
+            let empty = WatchBatch { changes: Vec::new(), at: since };
             return Ok((None, pause_after(&empty, prefix, node.owns_work())));
         }
         Err(error) => return Err(error),
     };
     let (at, extent) = (answer.at, Extent::of_watch(call, wait, &answer, node.now().steady));
-    if let Extent::Quiet(at, until) = extent
+    if let Extent::Unchanged(at, until) = extent
         && since < at
     {
-        node.view().ages.told(until, at);
+        node.view().ages.note_revision(until, at);
     }
     for change in &answer.changes {
         match change.value {
@@ -357,13 +357,13 @@
 async fn apply(
     node: &Arc<Node>,
     (prefix, source): (&'static str, SourceId),
-    call: Asked,
+    call: CallStart,
     mut changes: Vec<Change>,
     extent: Extent,
     inputs: &mpsc::UnboundedSender<Input>,
 ) {
     let now = node.now().steady;
-    while let Some(end) = end_of_slice(&changes) {
+    while let Some(end) = slice_end(&changes) {
         let remaining = changes.split_off(end);
         let slice = std::mem::replace(&mut changes, remaining);
         let deltas = node.view().apply_part(call, slice);
@@ -372,10 +372,10 @@
         yield_now().await;
     }
     let mut view = node.view();
-    let deltas = view.hear((prefix, source), call, changes, extent);
+    let deltas = view.apply_answer((prefix, source), call, changes, extent);
     let first = view.note_answer(prefix, now);
     if prefix == ROOT {
-        view.known = view.known.max(extent.at());
+        view.known_revision = view.known_revision.max(extent.at());
     }
     drop(view);
     if !deltas.is_empty() || first || prefix == ROOT {
@@ -386,6 +386,6 @@
 
 /// The end of the first of several slices, such that no transaction is split; `None` if the changes
 /// fit into one slice.
-pub(super) fn end_of_slice(changes: &[Change]) -> Option<usize> {
-    (SLICE..changes.len()).find(|at| changes[*at].revision != changes[*at - 1].revision)
+pub(super) fn slice_end(changes: &[Change]) -> Option<usize> {
+    (MIN_SLICE..changes.len()).find(|at| changes[*at].revision != changes[*at - 1].revision)
 }
--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -21,7 +21,7 @@
 
 use crate::{
     model::{job::JobId, unit::Steady},
-    platform::connections::{ManyConnections, Whole},
+    platform::connections::{ConnectionsByAddress, FullResponse},
     scheduler::{Node, api::DEADLINE_HEADER},
 };
 
@@ -88,7 +88,7 @@
 
 /// Relays requests to other nodes.
 pub(crate) struct Relay {
-    connections: ManyConnections,
+    connections: ConnectionsByAddress,
     /// When requests about jobs may be relayed again, in milliseconds of the steady clock.
     jobs_not_before: AtomicU64,
     /// The same for requests about queues.
@@ -99,7 +99,7 @@
 
 impl Relay {
     pub(crate) fn new() -> Relay {
-        let connections = ManyConnections::new(|| {
+        let connections = ConnectionsByAddress::new(|| {
             Client::builder()
                 .no_proxy()
                 .tcp_nodelay(true)
@@ -164,7 +164,7 @@
                 return Relayed::Unknown;
             }
         };
-        let Whole { status, headers, body } = whole;
+        let FullResponse { status, headers, body } = whole;
         match status {
             StatusCode::SERVICE_UNAVAILABLE => return Relayed::NotAccepted,
             StatusCode::GATEWAY_TIMEOUT => return Relayed::Unknown,
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -15,7 +15,7 @@
 use crate::{
     error::Error,
     http,
-    platform::{kv::Kv, runner::Runners},
+    platform::{kv::Kv, runner::WorkerClient},
     scheduler::{
         Node, accept,
         api::{Api, Readiness},
@@ -68,10 +68,10 @@
     log::info!("node {}: started in {}", node.settings.node, node.settings.zone);
     let lease = Arc::new(Lease::default());
     let (inputs, received) = mpsc::unbounded_channel();
-    tokio::spawn(lease::keep(node.clone(), lease.clone()));
+    tokio::spawn(lease::maintain(node.clone(), lease.clone()));
     tokio::spawn(accept::write(node.clone(), waiting));
     mirror::start(&node, &inputs);
-    let runners = Runners::new();
+    let runners = WorkerClient::new();
     let control_loop =
         ControlLoop::new(node.clone(), lease.clone(), runners.clone(), inputs.clone());
     tokio::spawn(control_loop.run(received));
@@ -90,7 +90,7 @@
     tokio::spawn(reload(node.clone(), path));
     shutdown.await?;
     log::info!("node {}: shutting down", node.settings.node);
-    node.leaving.cancel();
+    node.shutdown.cancel();
     // Cannot fail: the receiver lives as long as the process.
     let _ = inputs.send(Input::Shutdown);
     sleep(grace.saturating_sub(FINAL_GRACE)).await;
--- a/src/scheduler/tests/age.rs
+++ b/src/scheduler/tests/age.rs
@@ -38,7 +38,7 @@
         metrics::Metrics,
         mirror, node,
         relay::{RELAYED_HEADER, Relay},
-        view::{age::RECORDS_MS, waiting::WordRecord},
+        view::{age::MAX_RECORDS_AGE_MS, waiting::WaitingRecord},
     },
     settings::scheduler::parse,
     standin::site,
@@ -128,7 +128,7 @@
         let record = json!({ "cpu": 500 });
         harness.put(keys::node("one"), json(&record)).await;
         wait_for("the node to mirror all records", async || {
-            harness.node.view().is_whole().then_some(())
+            harness.node.view().is_complete().then_some(())
         })
         .await;
         harness
@@ -181,8 +181,10 @@
         let (node, _, api) = join("two", &self.store, &json!(12));
         tokio::spawn(http::serve(listener, 16, api, http::Stop::default()));
         self.put(keys::node("two"), json(&json!({ "cpu": 500, "peers": peers }))).await;
-        wait_for("the peer to mirror all records", async || node.view().is_whole().then_some(()))
-            .await;
+        wait_for("the peer to mirror all records", async || {
+            node.view().is_complete().then_some(())
+        })
+        .await;
         wait_for("the peer to be known", async || {
             self.node.view().nodes.contains_key("two").then_some(())
         })
@@ -191,7 +193,7 @@
 
     /// Writes a job as another node that accepts it does.
     async fn submit(&self, number: u64) {
-        let mut record = sample::record(Vec::new());
+        let mut record = sample::job_record(Vec::new());
         (record.pool, record.queue, record.accepted) = (pool(), QUEUE.to_owned(), Time::now());
         let id = JobId::from_number(number);
         let txn = Txn::default()
@@ -212,9 +214,9 @@
 
     /// Advances the node's clock, and renews its lease.
     fn advance(&self, millis: u64) {
-        self.node.clock.stand_still(millis);
+        self.node.clock.simulate_pause(millis);
         let now = self.node.now().steady;
-        self.lease.renewed(1, now, TTL, now);
+        self.lease.note_renewed(1, now, TTL, now);
     }
 
     /// Advances the node's clock, and waits until the watch of the records for all nodes is
@@ -223,7 +225,7 @@
         self.advance(millis);
         wait_for("the watch to be answered", async || {
             let now = self.node.now().steady;
-            self.node.view().ages.is_within(keys::ALL, RECORDS_MS, now).then_some(())
+            self.node.view().ages.is_within(keys::ALL, MAX_RECORDS_AGE_MS, now).then_some(())
         })
         .await;
     }
@@ -280,7 +282,7 @@
     let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
     let lease = Arc::new(Lease::default());
     let now = node.now().steady;
-    lease.renewed(1, now, TTL, now);
+    lease.note_renewed(1, now, TTL, now);
     let (to, _) = mpsc::unbounded_channel();
     mirror::start(&node, &to);
     let api = Api { node: node.clone(), lease: lease.clone(), relay: Relay::new(), orders: None };
@@ -317,7 +319,7 @@
     harness.publish(&json!({ QUEUE: 2 })).await;
     wait_for("the last report to be received", async || {
         let view = harness.node.view();
-        let report = view.queued.get(&keys::pool(&pool()))?;
+        let report = view.waiting_reports.get(&keys::pool(&pool()))?;
         (report.counts.get(QUEUE) == Some(&2)).then_some(())
     })
     .await;
@@ -339,7 +341,7 @@
     let harness = Harness::with_reports().await;
     let publish = async |jobs: usize, known: Revision| {
         harness
-            .publish(&json!(WordRecord {
+            .publish(&json!(WaitingRecord {
                 known: Some(known),
                 counts: BTreeMap::from([(QUEUE.to_owned(), jobs)]),
             }))
@@ -359,7 +361,7 @@
     publish(0, counted).await;
     wait_for("the late report to be received", async || {
         let view = harness.node.view();
-        (view.queued.get(&keys::pool(&pool()))?.known == Some(counted)).then_some(())
+        (view.waiting_reports.get(&keys::pool(&pool()))?.known == Some(counted)).then_some(())
     })
     .await;
     assert_eq!(harness.pending().await, Err(UNAVAILABLE), "4 jobs have waited for 6 s");
@@ -483,6 +485,6 @@
     harness.proxy.is_down.send_replace(true);
     harness.advance(STALE_MS);
     assert_eq!(harness.state(1).await.as_deref(), Ok("queued"));
-    harness.lease.failed();
+    harness.lease.note_failed();
     assert_eq!(harness.state(1).await.as_deref(), Ok("queued"));
 }
--- a/src/scheduler/tests/behind.rs
+++ b/src/scheduler/tests/behind.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     model::unit::Revision,
-    platform::kv::{Change, Committed, Heard, Kv, Txn},
-    scheduler::mirror::{Prefix, RECORDS, SLICE, WORKERS, end_of_slice, pause_after},
+    platform::kv::{Change, CommitResult, Kv, Txn, WatchBatch},
+    scheduler::mirror::{MIN_SLICE, Prefix, RECORDS, WORKERS, pause_after, slice_end},
     standin::site,
 };
 
@@ -24,14 +24,14 @@
 /// it.
 const MAX_AGE_MS: u64 = 1_000;
 
-fn answer(changes: u64) -> Heard {
+fn answer(changes: u64) -> WatchBatch {
     let value = vec![b'v'; VALUE_BYTES];
     let change = |number: u64| Change {
         key: format!("ch/job/{number:016x}/progress"),
         revision: Revision(number),
         value: Some(value.clone().into()),
     };
-    Heard { changes: (1..=changes).map(change).collect(), at: Revision(changes) }
+    WatchBatch { changes: (1..=changes).map(change).collect(), at: Revision(changes) }
 }
 
 /// The age of a view after ten seconds of that load, in milliseconds.
@@ -79,14 +79,19 @@
     for first in (0..1_300).step_by(26) {
         let keys: Vec<String> = (first..first + 26).map(|n| format!("ch/x/{n:05}")).collect();
         let txn = keys.iter().fold(Txn::default(), |txn, key| txn.put(key.clone(), "v"));
-        assert!(matches!(kv.commit(&txn).await.unwrap(), Committed::Done(_)));
+        assert!(matches!(kv.commit(&txn).await.unwrap(), CommitResult::Done(_)));
         written.extend(keys);
     }
     let (mut received, mut since) = (Vec::new(), Revision(0));
     while received.len() < written.len() {
         let answer = kv.watch("ch/x/", since, Duration::from_millis(800)).await.unwrap();
         let left = written.len() - received.len();
-        assert_eq!(answer.may_be_cut(), 500 < left, "{} of {left} received", answer.changes.len());
+        assert_eq!(
+            answer.may_be_truncated(),
+            500 < left,
+            "{} of {left} received",
+            answer.changes.len()
+        );
         assert!(answer.changes.len() <= 520 && answer.changes.len() % 26 == 0);
         assert!(answer.changes.iter().all(|change| change.revision <= answer.at));
         received.extend(answer.changes.into_iter().map(|change| change.key));
@@ -104,14 +109,14 @@
         change.revision = Revision(position as u64 / 26);
     }
     let mut slices = 0;
-    while let Some(end) = end_of_slice(&changes) {
-        assert!((SLICE..SLICE + 26).contains(&end), "a slice of {end}");
+    while let Some(end) = slice_end(&changes) {
+        assert!((MIN_SLICE..MIN_SLICE + 26).contains(&end), "a slice of {end}");
         let rest = changes.split_off(end);
         assert!(changes.last().unwrap().revision < rest[0].revision);
         changes = rest;
         slices += 1;
     }
     // Each slice holds as many transactions as fill it.
-    assert_eq!(slices, 10_000 / (26 * SLICE.div_ceil(26)));
-    assert!(changes.len() < SLICE + 26);
+    assert_eq!(slices, 10_000 / (26 * MIN_SLICE.div_ceil(26)));
+    assert!(changes.len() < MIN_SLICE + 26);
 }
--- a/src/scheduler/tests/clock.rs
+++ b/src/scheduler/tests/clock.rs
@@ -6,20 +6,20 @@
 fn a_process_that_reads_its_clock_often_was_not_paused() {
     let clock = Clock::new();
     for _ in 0..20 {
-        clock.stand_still(400);
+        clock.simulate_pause(400);
         clock.now();
     }
-    assert_eq!(clock.woke(), Default::default());
+    assert_eq!(clock.last_resumed(), Default::default());
 }
 
 #[test]
 fn the_clock_reports_when_a_paused_process_resumed() {
     let clock = Clock::new();
     let before = clock.now().steady;
-    clock.stand_still(3_000);
+    clock.simulate_pause(3_000);
     let after = clock.now().steady;
     assert!(before.after(3_000) <= after);
-    assert_eq!(clock.woke(), after);
+    assert_eq!(clock.last_resumed(), after);
     clock.now();
-    assert_eq!(clock.woke(), after, "a later reading does not move it");
+    assert_eq!(clock.last_resumed(), after, "a later reading does not move it");
 }
--- a/src/scheduler/tests/cold.rs
+++ b/src/scheduler/tests/cold.rs
@@ -25,7 +25,7 @@
 /// A lease that was last renewed at 0, and an ownership acquired under it.
 fn acquired_at_start() -> (Arc<Lease>, Tenure) {
     let lease = Arc::<Lease>::default();
-    lease.renewed(7, at(0), TTL, at(0));
+    lease.note_renewed(7, at(0), TTL, at(0));
     let tenure = Tenure::new(&lease, 7, at(0));
     (lease, tenure)
 }
@@ -41,10 +41,10 @@
     let mut allowed = Vec::new();
     for gap in 1..=6 {
         let sent = gap * (LEASE_MS + 50);
-        lease.renewed(7, at(sent), TTL, at(sent));
+        lease.note_renewed(7, at(sent), TTL, at(sent));
         allowed.push((sent + 10, tenure.allows_orders(at(sent + 10))));
     }
-    assert!(tenure.is_doubtful(), "no write has succeeded since the first gap");
+    assert!(tenure.is_unconfirmed(), "no write has succeeded since the first gap");
     let overdue = |(now, allows): &&(u64, bool)| *allows && LEASE_MS + GRACE_PERIOD_MS <= *now;
     assert_eq!(allowed.iter().find(overdue), None, "another node acquired it 2 s after the start");
 }
@@ -80,11 +80,11 @@
     let renewal = at(LEASE_MS - 100);
     tenure.confirm(at(LEASE_MS - 50));
     // Removed and acquired by another node here; answered 100 ms after the lease's end.
-    lease.renewed(7, renewal, TTL, at(LEASE_MS + 100));
+    lease.note_renewed(7, renewal, TTL, at(LEASE_MS + 100));
     let mut now = LEASE_MS + 100;
     while now < 2 * (LEASE_MS + GRACE_PERIOD_MS) {
         now += 500;
-        lease.renewed(7, at(now), TTL, at(now));
+        lease.note_renewed(7, at(now), TTL, at(now));
     }
     assert!(
         !tenure.allows_orders(at(now)),
@@ -100,7 +100,7 @@
 fn an_overwritten_and_restored_job_keeps_its_age() {
     let mut view = View::default();
     let key = keys::job(&"pool".parse().unwrap(), super::job());
-    let record = json(&sample::record(vec![]));
+    let record = json(&sample::job_record(vec![]));
     for (revision, value) in [(10, record.clone()), (35, b"garbage".to_vec()), (40, record)] {
         let value = Some(value.into());
         view.apply(Change { key: key.clone(), revision: Revision(revision), value });
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -34,7 +34,7 @@
     let need = TaskResources { cpu: Millicores(4_000), memory: Megabytes(1), gpus: 0 };
     let step = Step { count: 10, need, estimate_ms: 1_000, ..Step::default() };
     let steps = vec![step.clone(), Step { after: vec![0], ..step }];
-    JobRecord { stretch_percent: 160, ..sample::record(steps) }
+    JobRecord { stretch_percent: 160, ..sample::job_record(steps) }
 }
 
 /// The demand of a pool with one job, `after` milliseconds after the job was accepted.
@@ -114,14 +114,14 @@
     let (mut view, config) = (view_of(1_000), config());
     let mut demands = Demands::default();
     demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 100));
-    demands.take_looks();
+    demands.take_evaluations();
     demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 200));
-    assert_eq!(demands.take_looks(), 0, "only the time has changed");
+    assert_eq!(demands.take_evaluations(), 0, "only the time has changed");
     let value = Some(json(&first_step_done()).into());
     let key = keys::progress(JobId::from_number(7));
     view.apply(Change { key, revision: Revision(5_000), value });
     demands.of_pools(&view, &config, Time::from_millis(ACCEPTED_MS + 300));
-    assert_eq!(demands.take_looks(), 2, "the steps of one job");
+    assert_eq!(demands.take_evaluations(), 2, "the steps of one job");
 }
 
 /// An event of one of four jobs, or of the clock.
--- a/src/scheduler/tests/foreign.rs
+++ b/src/scheduler/tests/foreign.rs
@@ -111,7 +111,7 @@
 fn a_job_with_unreadable_progress_is_not_reported_as_new() {
     let mut view = View::default();
     let (job, pool) = (super::job(), "pool".parse().unwrap());
-    put(&mut view, &keys::job(&pool, job), 10, bytes(&sample::record(vec![])));
+    put(&mut view, &keys::job(&pool, job), 10, bytes(&sample::job_record(vec![])));
     assert!(view.jobs[&job].stored(job).is_some());
     put(&mut view, &keys::progress(job), 11, b"garbage".to_vec());
     assert!(view.jobs[&job].stored(job).is_none(), "it waits");
@@ -156,13 +156,13 @@
 fn a_worker_in_the_roster_of_another_pool_does_not_join_the_pool_in_its_entry() {
     let mut view = View::default();
     put(&mut view, "servers/w1", 10, with("service", json!("other")));
-    assert!(!view.is_of_another("pool-other", &worker("w1")));
+    assert!(!view.is_on_other_roster("pool-other", &worker("w1")));
     let report = view.workers[&worker("w1").worker].value.clone();
     put(&mut view, &keys::roster("pool-pool", &worker("w1")), 9, bytes(&report));
-    assert!(view.is_of_another("pool-other", &worker("w1")));
-    assert!(view.rostered_by_others("pool-other").contains(&worker("w1")));
-    assert!(!view.is_of_another("pool-pool", &worker("w1")));
-    assert!(view.rostered_by_others("pool-pool").is_empty());
+    assert!(view.is_on_other_roster("pool-other", &worker("w1")));
+    assert!(view.on_other_rosters("pool-other").contains(&worker("w1")));
+    assert!(!view.is_on_other_roster("pool-pool", &worker("w1")));
+    assert!(view.on_other_rosters("pool-pool").is_empty());
 }
 
 /// A worker whose capacity changes while it runs reports that in its entry only.
--- a/src/scheduler/tests/incarnations.rs
+++ b/src/scheduler/tests/incarnations.rs
@@ -59,14 +59,14 @@
     moved["address"] = json!("h2:80");
     assert_eq!(reported(put(&mut view, 11, &moved)).address, "h2:80");
     moved["address"] = json!("h3:80");
-    assert!(matches!(put(&mut view, 12, &moved), Some(Delta::Barred(_))));
+    assert!(matches!(put(&mut view, 12, &moved), Some(Delta::InvalidEntry(_))));
 }
 
 #[test]
 fn an_entry_that_loses_its_start_time_withdraws_its_worker() {
     let mut view = View::default();
     put(&mut view, 10, &entry(Some(1_000)));
-    assert!(matches!(put(&mut view, 11, &entry(None)), Some(Delta::Barred(_))));
+    assert!(matches!(put(&mut view, 11, &entry(None)), Some(Delta::InvalidEntry(_))));
     reported(put(&mut view, 12, &entry(Some(1_000))));
 }
 
--- a/src/scheduler/tests/lease.rs
+++ b/src/scheduler/tests/lease.rs
@@ -162,7 +162,7 @@
         }
         let (sent, requested) = (self.at(), self.lease.last());
         let pending = match outcome {
-            CallOutcome::Lost => return self.lease.failed(),
+            CallOutcome::Lost => return self.lease.note_failed(),
             CallOutcome::Delayed => Pending::NotExecuted,
             CallOutcome::Done | CallOutcome::LateAnswer | CallOutcome::AnswerLost => {
                 Pending::Executed(self.grant(requested, ttl))
@@ -173,7 +173,7 @@
             CallOutcome::Done => self.answer_renewal(),
             CallOutcome::AnswerLost => {
                 self.renewing = None;
-                self.lease.failed();
+                self.lease.note_failed();
             }
             CallOutcome::LateAnswer | CallOutcome::Delayed | CallOutcome::Lost => {}
         }
@@ -189,9 +189,9 @@
         };
         match grant {
             Some((lease, ttl)) => {
-                self.lease.renewed(lease, sent, Duration::from_millis(ttl), self.at())
+                self.lease.note_renewed(lease, sent, Duration::from_millis(ttl), self.at())
             }
-            None => self.lease.ended(),
+            None => self.lease.note_ended(),
         }
     }
 
--- a/src/scheduler/tests/links.rs
+++ b/src/scheduler/tests/links.rs
@@ -18,7 +18,7 @@
         unit::Steady,
         worker::OrderResult,
     },
-    platform::runner::Runners,
+    platform::runner::WorkerClient,
     scheduler::{
         dispatch::{
             link::{Links, Outgoing},
@@ -45,7 +45,7 @@
 }
 
 /// A node that carries out other nodes' orders.
-struct Peer(Runners);
+struct Peer(WorkerClient);
 
 impl Endpoint for Peer {
     type Output = Response;
@@ -63,11 +63,11 @@
     let (listener, worker) = http::listen("127.0.0.1:0").await.unwrap();
     tokio::spawn(http::serve(listener, 16, Worker(tokens), http::Stop::default()));
     let (listener, peer) = http::listen("127.0.0.1:0").await.unwrap();
-    tokio::spawn(http::serve(listener, 16, Peer(Runners::new()), http::Stop::default()));
+    tokio::spawn(http::serve(listener, 16, Peer(WorkerClient::new()), http::Stop::default()));
     let (results, mut reported) = mpsc::unbounded_channel();
     let (mut links, now) = (Links::default(), Steady::default());
     let mut send = |token: u64, lease: &Arc<Lease>| {
-        lease.renewed(1, now, Duration::from_millis(LEASE_MS), now);
+        lease.note_renewed(1, now, Duration::from_millis(LEASE_MS), now);
         let tenure = Tenure::new(lease, 1, now);
         let to = Addressee { worker: "w1".parse().unwrap(), address: worker.to_string(), token };
         let of = StepId { job: JobId::from_number(token), occurrence: 0, step: 0 };
@@ -76,8 +76,8 @@
         let order = Outgoing {
             effect,
             sent: now,
-            may_go: Box::new(move || tenure.allows_orders(now)),
-            tell: Box::new(move |event, _| results.send((token, event)).unwrap()),
+            may_send: Box::new(move || tenure.allows_orders(now)),
+            on_result: Box::new(move |event, _| results.send((token, event)).unwrap()),
         };
         links.send(peer, vec![order]);
     };
@@ -85,7 +85,7 @@
     send(1, &ended_lease);
     send(2, &current_lease);
     // The link is opened by a separate task, which has not run yet.
-    ended_lease.ended();
+    ended_lease.note_ended();
     let result = |event| match event {
         Event::Stopped { end, .. } => end,
         other => panic!("{other:?}"),
--- a/src/scheduler/tests/news.rs
+++ b/src/scheduler/tests/news.rs
@@ -31,7 +31,7 @@
 }
 
 fn job() -> Value {
-    serde_json::to_value(crate::tests::sample::record(vec![])).unwrap()
+    serde_json::to_value(crate::tests::sample::job_record(vec![])).unwrap()
 }
 
 /// Every kind of record that comes and goes.
@@ -59,21 +59,21 @@
         }),
         kind("ch/term/pool-a", one, two, |view| !view.terms.is_empty()),
         kind("ch/leave/h1", json!({ "Upkeep": 3 }), json!({ "Upkeep": 4 }), |view| {
-            !view.leaves.is_empty()
+            !view.drain_marks.is_empty()
         }),
-        kind("ch/empty/h1", drained(1), drained(2), |view| !view.empties.is_empty()),
+        kind("ch/empty/h1", drained(1), drained(2), |view| !view.drained_hosts.is_empty()),
         kind("ch/wave/3", wave(false), wave(true), |view| !view.waves.is_empty()),
         kind("ch/usage/pool-a", json!({}), json!({ "i": ["h1"] }), |view| !view.usages.is_empty()),
-        kind("ch/called/h1", called(1), called(2), |view| !view.called.is_empty()),
+        kind("ch/called/h1", called(1), called(2), |view| !view.host_calls.is_empty()),
         kind("ch/all/node/n1", json!({ "cpu": 1 }), json!({ "cpu": 2 }), |view| {
             !view.nodes.is_empty()
         }),
         kind("ch/all/queued/pool-a", json!({ "q": 1 }), json!({ "q": 2 }), |view| {
-            !view.queued.is_empty()
+            !view.waiting_reports.is_empty()
         }),
         kind("ch/roster/pool-a/w1", report(None), report(Some(1)), |view| !view.rosters.is_empty()),
         kind("ch/away/pool-a", json!({}), json!({ "s": { "w1": [] } }), |view| {
-            !view.away.is_empty()
+            !view.silent_workers.is_empty()
         }),
         kind("servers/w1", server("ready"), server("draining"), |view| !view.workers.is_empty()),
         kind("op/wave/3", upkeep(1), upkeep(2), |view| !view.upkeeps.is_empty()),
@@ -227,9 +227,9 @@
 fn removals_are_forgotten_once_every_source_of_the_key_has_passed_them() {
     let mut view = View::default();
     let at = Revision;
-    let mirror = view.heard.open("ch/", at(0));
-    let own = view.heard.open("ch/work/pool-a/", at(5));
-    let workers = view.heard.open("servers/", at(0));
+    let mirror = view.key_revisions.add_source("ch/", at(0));
+    let own = view.key_revisions.add_source("ch/work/pool-a/", at(5));
+    let workers = view.key_revisions.add_source("servers/", at(0));
     let kinds = kinds();
     let [owner, worker] = ["ch/work/pool-a/owner", "servers/w1"]
         .map(|key| kinds.iter().find(|kind| kind.key == key).unwrap());
@@ -237,25 +237,25 @@
     owner.remove(&mut view, 20);
     worker.put(&mut view, 11, &worker.first);
     worker.remove(&mut view, 21);
-    view.heard.passed(mirror, at(20));
+    view.key_revisions.note_progress(mirror, at(20));
     assert_eq!(
-        view.heard.removals(),
+        view.key_revisions.removal_count(),
         2,
         "the owner's own watch may repeat the removal of the owner"
     );
     owner.put(&mut view, 10, &owner.first);
     assert!(view.owners.is_empty());
-    view.heard.passed(own, at(19));
-    assert_eq!(view.heard.removals(), 2);
-    view.heard.close(own);
-    assert_eq!(view.heard.removals(), 1, "the watch of workers does not cover owners");
-    view.heard.passed(workers, at(30));
-    assert_eq!(view.heard.removals(), 0);
+    view.key_revisions.note_progress(own, at(19));
+    assert_eq!(view.key_revisions.removal_count(), 2);
+    view.key_revisions.remove_source(own);
+    assert_eq!(view.key_revisions.removal_count(), 1, "the watch of workers does not cover owners");
+    view.key_revisions.note_progress(workers, at(30));
+    assert_eq!(view.key_revisions.removal_count(), 0);
     worker.put(&mut view, 40, &worker.first);
     worker.remove(&mut view, 41);
     worker.put(&mut view, 42, &worker.first);
-    view.heard.passed(workers, at(50));
-    assert_eq!(view.heard.removals(), 0);
+    view.key_revisions.note_progress(workers, at(50));
+    assert_eq!(view.key_revisions.removal_count(), 0);
     worker.put(&mut view, 42, &worker.second);
     assert!(
         view.workers[&"w1".parse().unwrap()].value.leaves_ms.is_none(),
--- a/src/scheduler/tests/orders.rs
+++ b/src/scheduler/tests/orders.rs
@@ -13,7 +13,7 @@
         worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
     scheduler::dispatch::wire::{
-        self, Answer, Answers, Batch, Namer, Names, add_answer, read_answers,
+        self, Answer, Answers, Batch, WorkerNumbering, WorkerTable, add_answer, read_answers,
     },
     tests::fuzz,
 };
@@ -81,14 +81,14 @@
     let refusals = [Refusal::Fenced, Refusal::Old, Refusal::Late, Refusal::Room, Refusal::Ticket];
     let why = refusals[sample.task as usize % refusals.len()];
     match sample.kind % 5 {
-        0 => Answer::End(OrderResult::Done(clock)),
-        1 => Answer::End(OrderResult::Unknown),
-        2 => Answer::End(OrderResult::Unsent),
-        3 => Answer::End(OrderResult::Refused {
+        0 => Answer::Order(OrderResult::Done(clock)),
+        1 => Answer::Order(OrderResult::Unknown),
+        2 => Answer::Order(OrderResult::Unsent),
+        3 => Answer::Order(OrderResult::Refused {
             why,
             clock_ms: (clock.is_multiple_of(2)).then_some(clock),
         }),
-        _ => Answer::Look(OrderResult::Done(poll_response(sample, clock))),
+        _ => Answer::Poll(OrderResult::Done(poll_response(sample, clock))),
     }
 }
 
@@ -118,7 +118,7 @@
 #[test]
 fn orders_survive_the_wire_format() {
     fuzz(200, 40, |all: &[Sample]| {
-        let (mut namer, mut names) = (Namer::default(), Names::default());
+        let (mut namer, mut names) = (WorkerNumbering::default(), WorkerTable::default());
         for part in all.chunks(7) {
             let sent: Vec<Effect> = part.iter().map(effect).collect();
             let numbered = sent.iter().enumerate().map(|(number, one)| (number as u32, one));
@@ -152,9 +152,10 @@
 #[test]
 fn an_order_that_names_an_unannounced_worker_is_dropped() {
     let sample = Sample { kind: 1, worker: 1, token: 1, task: 1, number: 1 };
-    let mut batch = wire::batch(&mut Namer::default(), [(7, &effect(&sample))].into_iter());
+    let mut batch =
+        wire::batch(&mut WorkerNumbering::default(), [(7, &effect(&sample))].into_iter());
     batch.workers.clear();
-    assert!(wire::orders(&mut Names::default(), batch).is_empty());
+    assert!(wire::orders(&mut WorkerTable::default(), batch).is_empty());
 }
 
 /// A newer node may report outcomes that this one does not support. Without such an end the run
@@ -163,7 +164,7 @@
 fn a_poll_response_with_an_unsupported_outcome_counts_as_unknown() {
     let sample = Sample { kind: 4, worker: 1, token: 1, task: 1, number: 1 };
     let mut answers = Answers::default();
-    add_answer(&mut answers, 7, Answer::Look(OrderResult::Done(poll_response(&sample, 5))));
+    add_answer(&mut answers, 7, Answer::Poll(OrderResult::Done(poll_response(&sample, 5))));
     let mut bytes = Vec::new();
     ciborium::into_writer(&answers, &mut bytes).unwrap();
     let mut value: ciborium::Value = ciborium::from_reader(&bytes[..]).unwrap();
@@ -173,5 +174,5 @@
     let mut bytes = Vec::new();
     ciborium::into_writer(&value, &mut bytes).unwrap();
     let received = read_answers(ciborium::from_reader(&bytes[..]).unwrap());
-    assert_eq!(received, vec![(7, Answer::Look(OrderResult::Unknown))]);
+    assert_eq!(received, vec![(7, Answer::Poll(OrderResult::Unknown))]);
 }
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -27,7 +27,7 @@
     },
     platform::{
         kv::{Kv, Txn},
-        runner::Runners,
+        runner::WorkerClient,
         store::LeaseId,
     },
     scheduler::{
@@ -97,7 +97,7 @@
     async fn submit(&self) {
         let need = TaskResources { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 1, need, estimate_ms: 600_000, ..Step::default() };
-        let mut record = sample::record(vec![step]);
+        let mut record = sample::job_record(vec![step]);
         (record.pool, record.payload, record.accepted) = (pool(), TASK_MS.into(), Time::now());
         let txn = Txn::default()
             .put(keys::id(job()), pool().to_string())
@@ -154,10 +154,10 @@
     let kv = Kv::new(store, STORE_TIMEOUT, |_, _, _| {});
     let node = node(settings, kv, Arc::new(Metrics::new()), accepting);
     let (lease, (to, from)) = (Arc::new(Lease::default()), mpsc::unbounded_channel());
-    tokio::spawn(lease::keep(node.clone(), lease.clone()));
+    tokio::spawn(lease::maintain(node.clone(), lease.clone()));
     tokio::spawn(accept::write(node.clone(), waiting));
     mirror::start(&node, &to);
-    tokio::spawn(ControlLoop::new(node.clone(), lease, Runners::new(), to).run(from));
+    tokio::spawn(ControlLoop::new(node.clone(), lease, WorkerClient::new(), to).run(from));
     node
 }
 
--- a/src/scheduler/tests/readiness.rs
+++ b/src/scheduler/tests/readiness.rs
@@ -39,7 +39,7 @@
     let lease = Arc::new(Lease::default());
     let renew = || {
         let now = node.now().steady;
-        lease.renewed(1, now, TTL, now);
+        lease.note_renewed(1, now, TTL, now);
     };
     let now = node.now().steady;
     node.view().note_answer(OPERATOR_PREFIX, now);
@@ -47,7 +47,7 @@
     node.view().config = Some(Arc::new(QueueConfig::default()));
     renew();
     assert!(is_ready(&node, &lease).await);
-    node.clock.stand_still(3_600);
+    node.clock.simulate_pause(3_600);
     renew();
     assert!(
         !is_ready(&node, &lease).await,
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -246,7 +246,7 @@
 
 fn node() -> Node {
     let mut view = View::default();
-    let mirror = view.heard.open("", Revision(0));
+    let mirror = view.key_revisions.add_source("", Revision(0));
     Node {
         view,
         mirror,
@@ -279,7 +279,7 @@
     fn release(&mut self) {
         self.owner = None;
         if let Some(watch) = self.own_watch.take() {
-            self.view.heard.close(watch);
+            self.view.key_revisions.remove_source(watch);
         }
     }
 }
@@ -344,7 +344,7 @@
         let need = TaskResources { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 2, need, estimate_ms: 100, ..Step::default() };
         self.jobs.insert(id);
-        self.write(keys::job(&pool(), id), Some(bytes(&sample::record(vec![step]))));
+        self.write(keys::job(&pool(), id), Some(bytes(&sample::job_record(vec![step]))));
     }
 
     fn some_job(&self, number: u8) -> Option<JobId> {
@@ -366,7 +366,8 @@
         };
         if let Some(record) = owner.handover_record(now) {
             self.handovers += 1;
-            self.silent_workers_at = self.write(keys::away(&pool_name()), Some(bytes(&record)));
+            self.silent_workers_at =
+                self.write(keys::silent_workers(&pool_name()), Some(bytes(&record)));
         }
         self.nodes[number].release();
         self.end_ownership();
@@ -390,7 +391,8 @@
         if self.holder.is_some_and(|(holder, _)| holder == token) {
             if let Some(record) = record {
                 self.handovers += 1;
-                self.silent_workers_at = self.write(keys::away(&pool_name()), Some(record));
+                self.silent_workers_at =
+                    self.write(keys::silent_workers(&pool_name()), Some(record));
             }
             self.end_ownership();
         }
@@ -418,7 +420,7 @@
         node.receive(changed.into_iter().filter(|change| change.key.starts_with(&prefix)));
         node.own_position = until.max(node.own_position);
         let at = Revision(node.own_position as u64);
-        node.view.heard.passed(watch, at);
+        node.view.key_revisions.note_progress(watch, at);
     }
 
     fn advance_mirror(&mut self, node: usize, changes: usize) {
@@ -438,8 +440,8 @@
         node.receive(changed);
         node.mirror_position = until;
         let at = Revision(until as u64);
-        node.view.known = node.view.known.max(at);
-        node.view.heard.passed(node.mirror, at);
+        node.view.known_revision = node.view.known_revision.max(at);
+        node.view.key_revisions.note_progress(node.mirror, at);
     }
 
     /// The present records of the first or of the other pages.
@@ -479,8 +481,8 @@
         node.keys = present;
         node.receive(changes);
         node.mirror_position = at;
-        node.view.known = node.view.known.max(revision);
-        node.view.heard.passed(node.mirror, revision);
+        node.view.known_revision = node.view.known_revision.max(revision);
+        node.view.key_revisions.note_progress(node.mirror, revision);
     }
 
     /// A node decides, as its control loop does.
@@ -754,7 +756,7 @@
             self.write(keys::roster(&name, worker), None);
         }
         self.silent_workers_at =
-            self.write(keys::away(&name), Some(bytes(&roster_write.silent_workers)));
+            self.write(keys::silent_workers(&name), Some(bytes(&roster_write.silent_workers)));
         self.nodes[number].silent_workers_at = self.silent_workers_at;
         let written_at = self.silent_workers_at;
         self.nodes[number].owner.as_mut().unwrap().note_roster_written(&roster_write, written_at);
@@ -897,7 +899,10 @@
             let is_exempt = self.cancelled.contains(id) || self.garbled.contains(id);
             assert!(is_exempt || state == JobState::Succeeded, "{id} at the end: {state:?}");
         }
-        assert!(self.nodes[1].view.heard.removals() == 0, "all removals must be forgotten");
+        assert!(
+            self.nodes[1].view.key_revisions.removal_count() == 0,
+            "all removals must be forgotten"
+        );
     }
 }
 
@@ -915,12 +920,12 @@
         Delta::Worker(report) if report.pool == pool() => Some(Event::Worker(report)),
         Delta::Worker(report) => Some(Event::OtherPool(report)),
         Delta::Unlisted(id) => Some(Event::Unlisted(id)),
-        Delta::Barred(id) => Some(Event::InvalidEntry(id)),
+        Delta::InvalidEntry(id) => Some(Event::InvalidEntry(id)),
         Delta::Owner(_) => {
             release_if_replaced(node);
             None
         }
-        Delta::Leave(_) | Delta::Config => None,
+        Delta::DrainMark(_) | Delta::Config => None,
     };
     if let Some((event, owner)) = event.zip(node.owner.as_mut()) {
         owner.handle(event, now, out);
@@ -937,7 +942,8 @@
 
 /// Starts an acquired ownership, once the view has reached its revision.
 fn take_over(node: &mut Node, now: Now, out: &mut Vec<Effect>) {
-    let Some((token, earlier)) = node.acquired.filter(|(token, _)| *token <= node.view.known.0)
+    let Some((token, earlier)) =
+        node.acquired.filter(|(token, _)| *token <= node.view.known_revision.0)
     else {
         return;
     };
@@ -950,14 +956,14 @@
     node.has_seen_end = false;
     out.clear();
     let mut owner = Owner::new(token, earlier, now.steady);
-    let silent_workers = node.view.away.get(&name).cloned();
+    let silent_workers = node.view.silent_workers.get(&name).cloned();
     node.silent_workers_at = silent_workers.as_ref().map(|at| at.revision).unwrap_or_default();
     let silent_workers = silent_workers.map(|at| at.value).unwrap_or_default();
     owner.inherit(node.view.roster(&name), &silent_workers, now, out);
     for at in node.view.workers.values() {
         owner.handle(Event::Worker(at.value.clone()), now, out);
     }
-    for id in node.view.barred.keys() {
+    for id in node.view.invalid_entries.keys() {
         owner.handle(Event::InvalidEntry(id.clone()), now, out);
     }
     for (id, known) in &node.view.jobs {
@@ -965,8 +971,8 @@
             owner.handle(Event::Job(stored), now, out);
         }
     }
-    let since = node.view.known;
-    node.own_watch = Some(node.view.heard.open(&keys::work(&name), since));
+    let since = node.view.known_revision;
+    node.own_watch = Some(node.view.key_revisions.add_source(&keys::work(&name), since));
     node.own_position = since.0 as usize;
     node.owner = Some(owner);
 }
--- a/src/scheduler/tests/terms.rs
+++ b/src/scheduler/tests/terms.rs
@@ -23,7 +23,7 @@
 /// A lease that was last renewed at 0, and an ownership acquired under it.
 fn acquired_at_start() -> (Arc<Lease>, Tenure) {
     let lease = Arc::<Lease>::default();
-    lease.renewed(7, at(0), TTL, at(0));
+    lease.note_renewed(7, at(0), TTL, at(0));
     let tenure = Tenure::new(&lease, 7, at(0));
     assert!(tenure.allows_orders(at(1_000)));
     (lease, tenure)
@@ -33,7 +33,7 @@
 fn a_renewal_after_the_grace_period_restores_no_ownership() {
     let (lease, tenure) = acquired_at_start();
     let later = LEASE_MS + GRACE_PERIOD_MS + 4_000;
-    lease.renewed(7, at(later), TTL, at(later));
+    lease.note_renewed(7, at(later), TTL, at(later));
     assert!(!tenure.allows_orders(at(later + 10)), "another node may have acquired it long ago");
     let reacquired = Tenure::new(&lease, 7, at(later + 10));
     assert!(reacquired.allows_orders(at(later + 20)), "what is acquired later holds");
@@ -42,7 +42,7 @@
 #[test]
 fn a_renewal_within_the_grace_period_allows_no_orders_beyond_it() {
     let (lease, tenure) = acquired_at_start();
-    lease.renewed(7, at(LEASE_MS + 1_000), TTL, at(LEASE_MS + 1_005));
+    lease.note_renewed(7, at(LEASE_MS + 1_000), TTL, at(LEASE_MS + 1_005));
     assert!(
         tenure.allows_orders(at(LEASE_MS + 1_010)),
         "most often the store was unavailable to all nodes"
@@ -54,7 +54,7 @@
 fn renewals_in_time_keep_an_ownership() {
     let (lease, tenure) = acquired_at_start();
     for step in 1..20 {
-        lease.renewed(7, at(step * 500), TTL, at(step * 500 + 5));
+        lease.note_renewed(7, at(step * 500), TTL, at(step * 500 + 5));
         assert!(tenure.allows_orders(at(step * 500 + 499)));
     }
 }
@@ -63,9 +63,9 @@
 #[test]
 fn an_ownership_that_the_store_denies_ends_despite_renewals() {
     let (lease, tenure) = acquired_at_start();
-    tenure.deny();
+    tenure.note_ended();
     assert!(!tenure.allows_orders(at(1_000)));
     assert!(!tenure.holds(at(1_000)));
-    lease.renewed(7, at(1_500), TTL, at(1_505));
+    lease.note_renewed(7, at(1_500), TTL, at(1_505));
     assert!(!tenure.allows_orders(at(1_600)));
 }
--- a/src/scheduler/tests/unsent.rs
+++ b/src/scheduler/tests/unsent.rs
@@ -19,7 +19,7 @@
     },
     scheduler::dispatch::{
         link::{Links, Outgoing},
-        wire::{self, Batch, Names},
+        wire::{self, Batch, WorkerTable},
     },
 };
 
@@ -84,7 +84,7 @@
             let _ = report.send(result);
         };
         let (sent, may_go) = (Steady::from_millis(0), Box::new(|| true));
-        let order = Outgoing { effect, sent, may_go, tell: Box::new(on_result) };
+        let order = Outgoing { effect, sent, may_send: may_go, on_result: Box::new(on_result) };
         self.links.send(self.delegate, vec![order]);
     }
 
@@ -104,7 +104,7 @@
 }
 
 /// The runs whose starts are in the next message; `None` once the link has ended.
-async fn read(link: &mut WebSocketStream<TcpStream>, names: &mut Names) -> Option<Vec<u32>> {
+async fn read(link: &mut WebSocketStream<TcpStream>, names: &mut WorkerTable) -> Option<Vec<u32>> {
     let Some(Ok(Message::Binary(bytes))) = link.next().await else {
         return None;
     };
@@ -123,7 +123,7 @@
     owner.send(start(1));
     owner.send(poll());
     let mut link = accept(&listener).await;
-    let mut names = Names::default();
+    let mut names = WorkerTable::default();
     let mut read_runs = read(&mut link, &mut names).await.unwrap();
     if read_runs.is_empty() {
         read_runs = read(&mut link, &mut names).await.unwrap();
@@ -155,7 +155,7 @@
     }
     owner.send(start(3));
     let mut link = accept(&listener).await;
-    assert_eq!(read(&mut link, &mut Names::default()).await, Some(vec![3]));
+    assert_eq!(read(&mut link, &mut WorkerTable::default()).await, Some(vec![3]));
 }
 
 /// The delegate is paused after the link was opened, is given up, and resumes.
@@ -164,7 +164,7 @@
     let (listener, mut owner) = delegate().await;
     owner.send(start(1));
     let mut link = accept(&listener).await;
-    let mut names = Names::default();
+    let mut names = WorkerTable::default();
     assert_eq!(read(&mut link, &mut names).await, Some(vec![1]));
     owner.send(start(2));
     owner.send(start(3));
@@ -188,7 +188,7 @@
         let (listener, mut owner) = delegate().await;
         owner.send(start(1));
         let mut link = accept(&listener).await;
-        let mut names = Names::default();
+        let mut names = WorkerTable::default();
         let mut runs = read(&mut link, &mut names).await.unwrap();
         let closing = tokio::spawn(async move {
             for _ in 0..attempt % 3 {
--- a/src/scheduler/tests/watches.rs
+++ b/src/scheduler/tests/watches.rs
@@ -155,7 +155,7 @@
         let need = TaskResources { cpu: Millicores(1_000), memory: Megabytes(100), gpus: 0 };
         let step = Step { count: 2, need, estimate_ms: 100, ..Step::default() };
         self.jobs.insert(id, step.clone());
-        self.write(keys::job(&pool(), id), Some(json(&sample::record(vec![step]))));
+        self.write(keys::job(&pool(), id), Some(json(&sample::job_record(vec![step]))));
     }
 
     /// Applies a change as a node does.
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -32,9 +32,9 @@
     scheduler::{
         keys::{self, Key},
         view::{
-            age::{Ages, Asked, Extent},
-            heard::{Heard, SourceId},
-            waiting::{Word, WordRecord},
+            age::{Ages, CallStart, Extent},
+            heard::{KeyRevisions, SourceId},
+            waiting::{WaitingRecord, WaitingReport},
         },
     },
 };
@@ -74,7 +74,7 @@
 
 /// The worker of a drained host, on which nothing runs any more.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct EmptyRecord {
+pub(crate) struct DrainedRecord {
     pub(crate) worker: Incarnation,
     /// The revision of the drain mark for which the host was drained.
     pub(crate) mark: Revision,
@@ -82,7 +82,7 @@
 
 /// When a host was last moved or maintained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct CalledRecord {
+pub(crate) struct HostCallRecord {
     /// The token of the fleet's owner that called it.
     pub(crate) token: u64,
     pub(crate) at: Time,
@@ -99,7 +99,7 @@
 
 /// A value with the revision at which it was written.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct At<T> {
+pub(crate) struct Versioned<T> {
     pub(crate) value: T,
     pub(crate) revision: Revision,
 }
@@ -107,8 +107,8 @@
 /// A job in the view, as far as its records are known.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct KnownJob {
-    pub(crate) record: Option<At<Arc<JobRecord>>>,
-    pub(crate) progress: Option<At<Arc<Progress>>>,
+    pub(crate) record: Option<Versioned<Arc<JobRecord>>>,
+    pub(crate) progress: Option<Versioned<Arc<Progress>>>,
     pub(crate) cancelled: bool,
     /// Whether the newest progress cannot be read; `progress` is then the previous one.
     is_unreadable: bool,
@@ -150,10 +150,10 @@
 }
 
 /// The state of a job by its records in the store; `None` if it was never accepted.
-pub(crate) fn standing(id: JobId, items: &[Item]) -> Option<JobState> {
+pub(crate) fn job_state(id: JobId, items: &[Item]) -> Option<JobState> {
     let find = |key: String| items.iter().find(|item| item.key == key);
     let progress = find(keys::progress(id));
-    let progress: Option<At<Progress>> =
+    let progress: Option<Versioned<Progress>> =
         progress.and_then(|item| read(&item.key, Some(&item.value), item.revision, &mut 0));
     let known = KnownJob {
         progress: progress.map(share),
@@ -171,11 +171,11 @@
     Cancelled(JobId),
     Owner(String),
     /// The drain mark of a host has changed.
-    Leave(HostId),
+    DrainMark(HostId),
     Worker(WorkerReport),
     Unlisted(WorkerId),
     /// The worker's entry is not its own, or cannot be read.
-    Barred(WorkerId),
+    InvalidEntry(WorkerId),
     Config,
 }
 
@@ -183,40 +183,40 @@
 #[derive(Default)]
 pub(crate) struct View {
     pub(crate) jobs: HashMap<JobId, KnownJob>,
-    pub(crate) owners: BTreeMap<String, At<OwnerRecord>>,
-    pub(crate) terms: BTreeMap<String, At<TermRecord>>,
-    pub(crate) nodes: BTreeMap<String, At<NodeRecord>>,
-    pub(crate) leaves: BTreeMap<HostId, At<HostAction>>,
-    pub(crate) empties: BTreeMap<HostId, At<EmptyRecord>>,
-    pub(crate) waves: BTreeMap<u64, At<WaveRecord>>,
+    pub(crate) owners: BTreeMap<String, Versioned<OwnerRecord>>,
+    pub(crate) terms: BTreeMap<String, Versioned<TermRecord>>,
+    pub(crate) nodes: BTreeMap<String, Versioned<NodeRecord>>,
+    pub(crate) drain_marks: BTreeMap<HostId, Versioned<HostAction>>,
+    pub(crate) drained_hosts: BTreeMap<HostId, Versioned<DrainedRecord>>,
+    pub(crate) waves: BTreeMap<u64, Versioned<WaveRecord>>,
     /// The usage of hosts, by pool.
-    pub(crate) usages: BTreeMap<String, At<HostUsage>>,
-    pub(crate) called: BTreeMap<HostId, At<CalledRecord>>,
+    pub(crate) usages: BTreeMap<String, Versioned<HostUsage>>,
+    pub(crate) host_calls: BTreeMap<HostId, Versioned<HostCallRecord>>,
     /// The workers that may run tasks of a pool, by pool and worker.
-    pub(crate) rosters: BTreeMap<(String, Incarnation), At<WorkerReport>>,
+    pub(crate) rosters: BTreeMap<(String, Incarnation), Versioned<WorkerReport>>,
     /// The silent workers on the rosters, by pool.
-    pub(crate) away: BTreeMap<String, At<SilentWorkers>>,
-    pub(crate) workers: BTreeMap<WorkerId, At<WorkerReport>>,
+    pub(crate) silent_workers: BTreeMap<String, Versioned<SilentWorkers>>,
+    pub(crate) workers: BTreeMap<WorkerId, Versioned<WorkerReport>>,
     /// Workers whose entry is invalid, with the last valid report.
-    pub(crate) barred: BTreeMap<WorkerId, Option<WorkerReport>>,
+    pub(crate) invalid_entries: BTreeMap<WorkerId, Option<WorkerReport>>,
     pub(crate) config: Option<Arc<QueueConfig>>,
-    pub(crate) upkeeps: BTreeMap<u64, At<Upkeep>>,
+    pub(crate) upkeeps: BTreeMap<u64, Versioned<Upkeep>>,
     /// The reports of how many jobs of each queue have not begun, by pool.
-    pub(crate) queued: BTreeMap<String, Word>,
+    pub(crate) waiting_reports: BTreeMap<String, WaitingReport>,
     /// When the call was sent whose answer is being applied.
     call_sent: Steady,
     /// The age of this view, by prefix.
     pub(crate) ages: Ages,
     /// The revision up to which the scheduler's own records are known.
-    pub(crate) known: Revision,
+    pub(crate) known_revision: Revision,
     /// The prefixes that have been read completely once.
     pub(crate) ready: BTreeSet<&'static str>,
     /// When a watch or a complete read was last answered, by prefix.
     answered: BTreeMap<&'static str, Steady>,
     /// The newest known revision of each key.
-    pub(crate) heard: Heard,
+    pub(crate) key_revisions: KeyRevisions,
     /// The number of records that could not be read, or were not their worker's own.
-    pub(crate) refused: u64,
+    pub(crate) refused_records: u64,
 }
 
 impl View {
@@ -242,7 +242,7 @@
     }
 
     /// Whether every prefix has been read once, which a node needs to own work.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.is_ready() && self.ready.contains(keys::ROOT) && self.ready.contains(WORKER_PREFIX)
     }
 
@@ -271,32 +271,32 @@
     /// Whether a worker is on the roster of another pool. No incarnation changes its pool, so its
     /// entry is not its own; and an owner that polled it would acknowledge the ends of runs of
     /// unknown jobs.
-    pub(crate) fn is_of_another(&self, name: &str, worker: &Incarnation) -> bool {
+    pub(crate) fn is_on_other_roster(&self, name: &str, worker: &Incarnation) -> bool {
         self.rosters.keys().any(|(pool, id)| id == worker && pool != name)
     }
 
     /// The workers on the rosters of all other pools.
-    pub(crate) fn rostered_by_others(&self, name: &str) -> HashSet<&Incarnation> {
+    pub(crate) fn on_other_rosters(&self, name: &str) -> HashSet<&Incarnation> {
         self.rosters.keys().filter(|(pool, _)| pool != name).map(|(_, id)| id).collect()
     }
 
     /// Applies an answer of a source: its changes and how far it reaches. Returns the changes to
     /// act on.
-    pub(crate) fn hear(
+    pub(crate) fn apply_answer(
         &mut self,
         (prefix, source): (&str, SourceId),
-        call: Asked,
+        call: CallStart,
         changes: Vec<Change>,
         extent: Extent,
     ) -> Vec<Delta> {
         let deltas = self.apply_part(call, changes);
-        self.heard.passed(source, extent.at());
-        self.ages.heard(prefix, call, extent);
+        self.key_revisions.note_progress(source, extent.at());
+        self.ages.note_answer(prefix, call, extent);
         deltas
     }
 
     /// Applies a part of the changes of an answer, before its last ones.
-    pub(crate) fn apply_part(&mut self, call: Asked, changes: Vec<Change>) -> Vec<Delta> {
+    pub(crate) fn apply_part(&mut self, call: CallStart, changes: Vec<Change>) -> Vec<Delta> {
         self.call_sent = call.sent;
         changes.into_iter().filter_map(|change| self.apply(change)).collect()
     }
@@ -307,7 +307,7 @@
         let is_worker = change.key.starts_with(records::WORKER_PREFIX);
         let is_operator = change.key == records::CONFIG_KEY || records::is_wave(&change.key);
         let is_relevant = own.is_some() || is_worker || is_operator;
-        if !is_relevant || !self.heard.is_newer(&change) {
+        if !is_relevant || !self.key_revisions.is_newer(&change) {
             return None;
         }
         match own {
@@ -324,7 +324,7 @@
     fn apply_upkeep(&mut self, change: &Change) {
         match change.value.as_deref().map(records::wave) {
             Some(Ok(upkeep)) => {
-                let at = At { value: upkeep, revision: change.revision };
+                let at = Versioned { value: upkeep, revision: change.revision };
                 self.upkeeps.insert(at.value.wave, at);
             }
             Some(Err(error)) => self.refuse(&change.key, &error),
@@ -335,7 +335,7 @@
     fn apply_own(&mut self, key: Key, change: Change) -> Option<Delta> {
         let Change { revision, value, key: text } = change;
         let value = value.as_ref();
-        let refused = &mut self.refused;
+        let refused = &mut self.refused_records;
         match key {
             Key::Id(_) => None,
             Key::Job(id) => {
@@ -363,7 +363,7 @@
             }
             Key::Owner(name) => {
                 // The key exists, and the next owner's write needs its revision as a condition.
-                let nobody = At { value: OwnerRecord::default(), revision };
+                let nobody = Versioned { value: OwnerRecord::default(), revision };
                 let owner = value.map(|_| read(&text, value, revision, refused).unwrap_or(nobody));
                 set(&mut self.owners, name.clone(), owner);
                 Some(Delta::Owner(name))
@@ -372,18 +372,18 @@
                 // As above. An unknown count must not be below the real one: the numbers of runs
                 // begin above it, and an owner without a predecessor waits for no worker.
                 let unreadable =
-                    At { value: TermRecord { count: UNREADABLE_TERM_COUNT }, revision };
+                    Versioned { value: TermRecord { count: UNREADABLE_TERM_COUNT }, revision };
                 let term =
                     value.map(|_| read(&text, value, revision, refused).unwrap_or(unreadable));
                 set(&mut self.terms, name, term);
                 None
             }
-            Key::Leave(host) => {
-                set(&mut self.leaves, host.clone(), read(&text, value, revision, refused));
-                Some(Delta::Leave(host))
+            Key::DrainMark(host) => {
+                set(&mut self.drain_marks, host.clone(), read(&text, value, revision, refused));
+                Some(Delta::DrainMark(host))
             }
-            Key::Empty(host) => {
-                set(&mut self.empties, host, read(&text, value, revision, refused));
+            Key::Drained(host) => {
+                set(&mut self.drained_hosts, host, read(&text, value, revision, refused));
                 None
             }
             Key::Wave(wave) => {
@@ -395,7 +395,7 @@
                 None
             }
             Key::Called(host) => {
-                set(&mut self.called, host, read(&text, value, revision, refused));
+                set(&mut self.host_calls, host, read(&text, value, revision, refused));
                 None
             }
             Key::Node(name) => {
@@ -405,10 +405,10 @@
             Key::Queued(name) => {
                 let heard = self.call_sent;
                 match read(&text, value, revision, refused) {
-                    Some(At { value: WordRecord { known, counts }, .. }) => {
-                        self.queued.insert(name, Word { counts, revision, known, heard })
-                    }
-                    None => self.queued.remove(&name),
+                    Some(Versioned { value: WaitingRecord { known, counts }, .. }) => self
+                        .waiting_reports
+                        .insert(name, WaitingReport { counts, revision, known, received: heard }),
+                    None => self.waiting_reports.remove(&name),
                 };
                 None
             }
@@ -422,8 +422,8 @@
                 set(&mut self.rosters, (name, worker), report);
                 None
             }
-            Key::Away(name) => {
-                set(&mut self.away, name, read(&text, value, revision, refused));
+            Key::SilentWorkers(name) => {
+                set(&mut self.silent_workers, name, read(&text, value, revision, refused));
                 None
             }
         }
@@ -447,27 +447,28 @@
             }
         };
         let Some(value) = &change.value else {
-            let was_invalid = self.barred.remove(&id).is_some();
+            let was_invalid = self.invalid_entries.remove(&id).is_some();
             let was_known = self.workers.remove(&id).is_some() || was_invalid;
             return was_known.then_some(Delta::Unlisted(id));
         };
         let before = self.workers.get(&id).map(|at| &at.value);
-        let before = before.or_else(|| self.barred.get(&id).and_then(Option::as_ref)).cloned();
+        let before =
+            before.or_else(|| self.invalid_entries.get(&id).and_then(Option::as_ref)).cloned();
         let report = records::worker(id.clone(), value).and_then(|report| {
             let Some(before) = &before else {
                 return Ok(report);
             };
             if before.id.born.is_some() && report.id.born.is_none() {
-                return Err(RecordError::Unborn);
+                return Err(RecordError::MissingStartTime);
             }
             // Only another incarnation may have another place.
             let has_moved = before.id == report.id && !before.has_same_place(&report);
-            if has_moved { Err(RecordError::Place) } else { Ok(report) }
+            if has_moved { Err(RecordError::PlaceChanged) } else { Ok(report) }
         });
         match report {
             Ok(report) => {
-                let at = At { value: report.clone(), revision: change.revision };
-                self.barred.remove(&id);
+                let at = Versioned { value: report.clone(), revision: change.revision };
+                self.invalid_entries.remove(&id);
                 let before = self.workers.insert(id, at);
                 // Repeated reads of the prefix and heartbeats mostly repeat what is known.
                 let has_changed = before.is_none_or(|before| before.value != report);
@@ -476,8 +477,8 @@
             Err(error) => {
                 self.refuse(&change.key, &error);
                 self.workers.remove(&id);
-                self.barred.insert(id.clone(), before);
-                Some(Delta::Barred(id))
+                self.invalid_entries.insert(id.clone(), before);
+                Some(Delta::InvalidEntry(id))
             }
         }
     }
@@ -485,7 +486,7 @@
     /// Logs and counts an invalid record, which another writer may have written.
     fn refuse(&mut self, key: &str, error: &dyn std::fmt::Display) {
         log::error!("record {key}: ignored: {error}");
-        self.refused += 1;
+        self.refused_records += 1;
     }
 
     fn apply_config(&mut self, change: &Change) -> Option<Delta> {
@@ -508,15 +509,15 @@
 }
 
 /// Sets the value of a record, or removes it if there is none.
-fn set<K: Ord, V>(map: &mut BTreeMap<K, At<V>>, key: K, value: Option<At<V>>) {
+fn set<K: Ord, V>(map: &mut BTreeMap<K, Versioned<V>>, key: K, value: Option<Versioned<V>>) {
     match value {
         Some(value) => map.insert(key, value),
         None => map.remove(&key),
     };
 }
 
-fn share<T>(at: At<T>) -> At<Arc<T>> {
-    At { value: Arc::new(at.value), revision: at.revision }
+fn share<T>(at: Versioned<T>) -> Versioned<Arc<T>> {
+    Versioned { value: Arc::new(at.value), revision: at.revision }
 }
 
 /// Reads one of the scheduler's records; `None`, logged and counted, if it cannot be read.
@@ -525,9 +526,9 @@
     value: Option<&Bytes>,
     revision: Revision,
     refused: &mut u64,
-) -> Option<At<T>> {
+) -> Option<Versioned<T>> {
     match serde_json::from_slice(value?) {
-        Ok(value) => Some(At { value, revision }),
+        Ok(value) => Some(Versioned { value, revision }),
         Err(error) => {
             log::error!("record {key}: ignored: {error}");
             *refused += 1;
@@ -544,11 +545,11 @@
     revision: Revision,
     refused: &mut u64,
     (name, worker): (&str, &Incarnation),
-) -> Option<At<WorkerReport>> {
+) -> Option<Versioned<WorkerReport>> {
     read(key, Some(value), revision, refused).or_else(|| {
         let pool = name.strip_prefix("pool-").unwrap_or(name);
         let placeholder = WorkerReport::placeholder(worker, pool);
         let placeholder = placeholder.inspect_err(|error| log::error!("record {key}: {error}"));
-        Some(At { value: placeholder.ok()?, revision })
+        Some(Versioned { value: placeholder.ok()?, revision })
     })
 }
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     model::unit::{Revision, Steady},
-    platform::kv::Heard,
+    platform::kv::WatchBatch,
 };
 
 /// The minimum time between two recorded moments, in milliseconds.
@@ -30,7 +30,7 @@
 /// The maximum age of the records from which a node counts waiting jobs or plans for the fleet, in
 /// milliseconds: answers to callers may be two seconds old. A view without failures is updated
 /// within 1.2 s, which leaves time for a slow store.
-pub(crate) const RECORDS_MS: u64 = 2_000;
+pub(crate) const MAX_RECORDS_AGE_MS: u64 = 2_000;
 
 /// The maximum age of the records by which a job is reported as not ended, in milliseconds: beyond
 /// that the store is read, as by nodes that do not mirror jobs.
@@ -38,12 +38,12 @@
 
 /// The maximum age of an owner's report of waiting jobs that is counted, in milliseconds: owners
 /// renew it each second, and it is received within another half.
-pub(crate) const WORD_MS: u64 = 2_000;
+pub(crate) const MAX_REPORT_AGE_MS: u64 = 2_000;
 
 /// The maximum age of the revision up to which an owner's report of waiting jobs is complete, in
 /// milliseconds: a job may take 3 s to be counted and answers to callers may be two seconds old,
 /// less the time to relay a request to another node.
-pub(crate) const COUNTED_MS: u64 = 3_500;
+pub(crate) const MAX_COUNTED_AGE_MS: u64 = 3_500;
 
 /// Data that a node has and that is too old for its purpose.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -65,7 +65,7 @@
 
 /// What was known when a call was sent.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Asked {
+pub(crate) struct CallStart {
     /// When it was sent.
     pub(crate) sent: Steady,
     /// The highest known revision of the store at that time.
@@ -79,21 +79,21 @@
     Changes(Revision),
     /// The same, but later changes may have been left out for their number: it gives no point in
     /// time.
-    Cut(Revision),
+    Truncated(Revision),
     /// Nothing has changed up to a revision, nor until a moment.
-    Quiet(Revision, Steady),
+    Unchanged(Revision, Steady),
 }
 
 impl Extent {
     /// How far the answer of a watch reaches that could wait for a change for `wait`.
     pub(crate) fn of_watch(
-        call: Asked,
+        call: CallStart,
         wait: Duration,
-        answer: &Heard,
+        answer: &WatchBatch,
         answered: Steady,
     ) -> Extent {
-        if answer.may_be_cut() {
-            return Extent::Cut(answer.at);
+        if answer.may_be_truncated() {
+            return Extent::Truncated(answer.at);
         }
         if !answer.changes.is_empty() {
             return Extent::Changes(answer.at);
@@ -101,13 +101,13 @@
         // An answer before the end of the wait shows that the wait was cut short.
         let wait_ms = wait.as_millis() as u64;
         let is_complete = wait_ms <= answered.since(call.sent);
-        Extent::Quiet(answer.at, if is_complete { call.sent.after(wait_ms) } else { call.sent })
+        Extent::Unchanged(answer.at, if is_complete { call.sent.after(wait_ms) } else { call.sent })
     }
 
     /// The revision up to which it has all changes.
     pub(crate) fn at(self) -> Revision {
         match self {
-            Extent::Changes(at) | Extent::Cut(at) | Extent::Quiet(at, _) => at,
+            Extent::Changes(at) | Extent::Truncated(at) | Extent::Unchanged(at, _) => at,
         }
     }
 }
@@ -131,12 +131,12 @@
 
 impl Ages {
     /// Describes a call that is sent now.
-    pub(crate) fn ask(&self, sent: Steady) -> Asked {
-        Asked { sent, newest: self.newest }
+    pub(crate) fn start_call(&self, sent: Steady) -> CallStart {
+        CallStart { sent, newest: self.newest }
     }
 
     /// Records the store's revision by its answer to a call sent at `sent`.
-    pub(crate) fn told(&mut self, sent: Steady, revision: Revision) {
+    pub(crate) fn note_revision(&mut self, sent: Steady, revision: Revision) {
         self.newest = self.newest.max(revision);
         if self.moments.back().is_some_and(|(last, _)| sent < last.after(MOMENT_INTERVAL_MS)) {
             return;
@@ -148,11 +148,11 @@
     }
 
     /// Records that the changes of an answer about a prefix were applied.
-    pub(crate) fn heard(&mut self, prefix: &str, call: Asked, answer: Extent) {
+    pub(crate) fn note_answer(&mut self, prefix: &str, call: CallStart, answer: Extent) {
         let (at, until) = match answer {
             Extent::Changes(at) => (at, (call.newest <= at).then_some(call.sent)),
-            Extent::Cut(at) => (at, None),
-            Extent::Quiet(at, until) => (at, Some(until)),
+            Extent::Truncated(at) => (at, None),
+            Extent::Unchanged(at, until) => (at, Some(until)),
         };
         self.newest = self.newest.max(at);
         let mut reached = self.reached.get(prefix).copied().unwrap_or_default();
@@ -163,14 +163,14 @@
     }
 
     /// Adds a prefix, with what is known of it from the shorter prefix `within`.
-    pub(crate) fn begin(&mut self, prefix: &str, within: &str) {
+    pub(crate) fn add_prefix(&mut self, prefix: &str, within: &str) {
         let as_of = self.as_of(within);
         let at = self.reached.get(within).map(|reached| reached.at).unwrap_or_default();
         self.reached.insert(prefix.into(), Reached { at, as_of });
     }
 
     /// Removes a prefix that is no longer watched.
-    pub(crate) fn end(&mut self, prefix: &str) {
+    pub(crate) fn remove_prefix(&mut self, prefix: &str) {
         self.reached.remove(prefix);
     }
 
@@ -181,13 +181,13 @@
     }
 
     /// How long ago that was, in milliseconds.
-    pub(crate) fn of(&self, prefix: &str, now: Steady) -> Option<u64> {
+    pub(crate) fn age_ms(&self, prefix: &str, now: Steady) -> Option<u64> {
         Some(now.since(self.as_of(prefix)?))
     }
 
     /// Checks that the view of a prefix is at most `max_ms` old.
     pub(crate) fn check(&self, prefix: &str, max_ms: u64, now: Steady) -> Result<(), StaleData> {
-        match self.of(prefix, now) {
+        match self.age_ms(prefix, now) {
             Some(age) if age <= max_ms => Ok(()),
             age_ms => Err(StaleData { what: prefix.to_owned(), age_ms }),
         }
@@ -206,7 +206,7 @@
         now: Steady,
     ) -> Result<(), StaleData> {
         match self.last_moment(at).map(|moment| now.since(moment)) {
-            Some(age) if age <= COUNTED_MS => Ok(()),
+            Some(age) if age <= MAX_COUNTED_AGE_MS => Ok(()),
             age_ms => Err(StaleData { what: what.to_owned(), age_ms }),
         }
     }
--- a/src/scheduler/view/heard.rs
+++ b/src/scheduler/view/heard.rs
@@ -26,7 +26,7 @@
 
 /// The newest known revision of each key.
 #[derive(Debug, Default)]
-pub(crate) struct Heard {
+pub(crate) struct KeyRevisions {
     newest: HashMap<Box<str>, Revision>,
     /// Removed keys, by the revision of the removal. A key that was written again since may still
     /// be among them.
@@ -35,7 +35,7 @@
     next_source: u64,
 }
 
-impl Heard {
+impl KeyRevisions {
     /// Whether a change is newer than what is known of its key; it counts as known from then on.
     pub(crate) fn is_newer(&mut self, change: &Change) -> bool {
         let (key, revision) = (change.key.as_str(), change.revision);
@@ -53,7 +53,7 @@
     }
 
     /// Adds a source of changes after a revision. It must be added before its first call.
-    pub(crate) fn open(&mut self, prefix: &str, at: Revision) -> SourceId {
+    pub(crate) fn add_source(&mut self, prefix: &str, at: Revision) -> SourceId {
         let id = SourceId(self.next_source);
         self.next_source += 1;
         self.sources.insert(id, Source { prefix: prefix.to_owned(), at });
@@ -61,7 +61,7 @@
     }
 
     /// Records that a source has reported all changes up to a revision.
-    pub(crate) fn passed(&mut self, id: SourceId, at: Revision) {
+    pub(crate) fn note_progress(&mut self, id: SourceId, at: Revision) {
         if let Some(source) = self.sources.get_mut(&id) {
             source.at = source.at.max(at);
         }
@@ -69,14 +69,14 @@
     }
 
     /// Removes a source.
-    pub(crate) fn close(&mut self, id: SourceId) {
+    pub(crate) fn remove_source(&mut self, id: SourceId) {
         self.sources.remove(&id);
         self.forget();
     }
 
     /// The number of removals that are still kept.
     #[cfg(test)]
-    pub(crate) fn removals(&self) -> usize {
+    pub(crate) fn removal_count(&self) -> usize {
         self.removed.len()
     }
 
