--- a/src/scheduler/view/waiting.rs
+++ b/src/scheduler/view/waiting.rs
@@ -15,14 +15,14 @@
         keys::{self, ALL, ROOT},
         view::{
             KnownJob, View,
-            age::{RECORDS_MS, StaleData, WORD_MS},
+            age::{MAX_RECORDS_AGE_MS, MAX_REPORT_AGE_MS, StaleData},
         },
     },
 };
 
 /// The record of an owner's report of how many jobs of each queue have not begun.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct WordRecord {
+pub(crate) struct WaitingRecord {
     /// The revision of the store up to which the owner knew its jobs. No queue has an empty name:
     /// earlier versions, which read the record as counts by queue, do not write this revision.
     #[serde(rename = "", default, skip_serializing_if = "Option::is_none")]
@@ -33,7 +33,7 @@
 
 /// The last report of a pool's owner of how many jobs of each queue have not begun.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Word {
+pub(crate) struct WaitingReport {
     pub(crate) counts: BTreeMap<String, usize>,
     /// The revision of the record.
     pub(crate) revision: Revision,
@@ -41,12 +41,12 @@
     pub(crate) known: Option<Revision>,
     /// When the call was sent whose answer had it. It may have been written one pause of that watch
     /// before.
-    pub(crate) heard: Steady,
+    pub(crate) received: Steady,
 }
 
 /// The number of waiting jobs, and by what they were counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Counted {
+pub(crate) struct WaitingCount {
     pub(crate) jobs: usize,
     pub(crate) by: &'static str,
 }
@@ -54,9 +54,9 @@
 impl View {
     /// Counts the jobs of a queue none of whose tasks has begun: from their records, or else from
     /// the reports of the pools' owners.
-    pub(crate) fn pending(&self, queue: &Queue, now: Steady) -> Result<Counted, StaleData> {
-        if self.is_whole() && self.ages.is_within(ROOT, RECORDS_MS, now) {
-            return Ok(Counted { jobs: self.count(&queue.name), by: "records" });
+    pub(crate) fn pending(&self, queue: &Queue, now: Steady) -> Result<WaitingCount, StaleData> {
+        if self.is_complete() && self.ages.is_within(ROOT, MAX_RECORDS_AGE_MS, now) {
+            return Ok(WaitingCount { jobs: self.count(&queue.name), by: "records" });
         }
         self.add_up(queue, now)
     }
@@ -71,23 +71,23 @@
     }
 
     /// Adds up the owners' reports: of the queue's pool, and of the pools that it led to before.
-    fn add_up(&self, queue: &Queue, now: Steady) -> Result<Counted, StaleData> {
-        self.ages.check(ALL, RECORDS_MS, now)?;
+    fn add_up(&self, queue: &Queue, now: Steady) -> Result<WaitingCount, StaleData> {
+        self.ages.check(ALL, MAX_RECORDS_AGE_MS, now)?;
         let own = keys::pool(&queue.pool);
-        if !self.queued.contains_key(&own) {
+        if !self.waiting_reports.contains_key(&own) {
             return Err(StaleData {
                 what: format!("the report of {own} on waiting jobs"),
                 age_ms: None,
             });
         }
         let mut jobs = 0;
-        for (name, report) in &self.queued {
+        for (name, report) in &self.waiting_reports {
             let counted = report.counts.get(&queue.name);
             if counted.is_none() && *name != own {
                 continue;
             }
-            let age = now.since(report.heard);
-            if WORD_MS < age {
+            let age = now.since(report.received);
+            if MAX_REPORT_AGE_MS < age {
                 return Err(StaleData {
                     what: format!("the report of {name} on waiting jobs"),
                     age_ms: Some(age),
@@ -102,6 +102,6 @@
             }
             jobs += counted.copied().unwrap_or_default();
         }
-        Ok(Counted { jobs, by: "words" })
+        Ok(WaitingCount { jobs, by: "words" })
     }
 }
--- a/src/tests/sample.rs
+++ b/src/tests/sample.rs
@@ -7,7 +7,7 @@
 
 /// A job of `pool`, accepted at one million milliseconds, to run once, in time if it ends within
 /// twice its work plus 600 ms.
-pub(crate) fn record(steps: Vec<Step>) -> JobRecord {
+pub(crate) fn job_record(steps: Vec<Step>) -> JobRecord {
     JobRecord {
         queue: "q".to_owned(),
         pool: "pool".parse().unwrap(),
