--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,4 +1,5 @@
-//! Experiments: policies over drawn failures, the path of a request, and the cost of control.
+//! Experiments: policies under random failures, the path of a request, and the cost of the control
+//! plane.
 
 mod bound;
 mod export;
@@ -20,41 +21,41 @@
 pub(crate) use export::Export;
 pub(crate) use waves::POLICIES;
 
-/// How an experiment is run.
+/// Options of the `measure` command.
 pub(crate) struct Options {
     pub(crate) experiment: Experiment,
     pub(crate) export: Export,
 }
 
-/// What is measured.
+/// The experiment to run.
 pub(crate) enum Experiment {
-    /// Waves under policies, over seeds.
+    /// Waves under several policies, for several seeds.
     Waves { preset: String, policies: Vec<String>, seeds: Vec<u64> },
-    /// Calls through a node against calls straight to the endpoint.
+    /// Calls through a node, compared with direct calls to the endpoint.
     Path { callers: u32, requests: u32 },
-    /// What control costs a node.
+    /// Cost of the control plane of a node.
     Node,
-    /// What it costs to take in what watches tell of.
+    /// Cost of applying the changes that the store's watches return.
     Mirror,
-    /// What an owner's decisions cost.
+    /// Cost of the decisions of a pool's owner.
     Owner,
-    /// What a decision of the fleet's owner costs.
+    /// Cost of a plan of the fleet owner.
     Fleet,
-    /// The choice of endpoints against baselines.
+    /// Choice of endpoints, compared with baselines.
     Route,
 }
 
-/// Seeds that are run when none is named.
-const SEEDS: std::ops::RangeInclusive<u64> = 1..=10;
+/// Seeds used if none is given.
+const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=10;
 
-/// Runs an experiment, prints its figures and writes them where they are asked for.
+/// Runs an experiment, prints its figures and writes the requested exports.
 pub(crate) fn run(options: Options) -> Result<(), Error> {
     let figures = match options.experiment {
         Experiment::Waves { preset, .. } if preset == "target" => target::measure(),
         Experiment::Waves { preset, policies, seeds } => {
-            let seeds = if seeds.is_empty() { SEEDS.collect() } else { seeds };
-            let all = || POLICIES.map(str::to_owned).to_vec();
-            let policies = if policies.is_empty() { all() } else { policies };
+            let seeds = if seeds.is_empty() { DEFAULT_SEEDS.collect() } else { seeds };
+            let all_policies = || POLICIES.map(str::to_owned).to_vec();
+            let policies = if policies.is_empty() { all_policies() } else { policies };
             waves::measure(&preset, &policies, &seeds)?
         }
         Experiment::Path { callers, requests } => path::measure(callers, requests)?,
@@ -68,7 +69,7 @@
     options.export.write(&figures)
 }
 
-/// A table of figures, with what they mean.
+/// A table of figures, with notes that explain them.
 pub(crate) struct Figures {
     pub(crate) title: String,
     pub(crate) heading: Vec<&'static str>,
@@ -76,5 +77,5 @@
     pub(crate) notes: Vec<String>,
 }
 
-/// The file to which an export goes, if any.
-pub(crate) type Target = Option<PathBuf>;
+/// Path of an export, if requested.
+pub(crate) type ExportPath = Option<PathBuf>;
--- a/src/measure/bound.rs
+++ b/src/measure/bound.rs
@@ -1,11 +1,11 @@
-//! Lower bounds for a wave over all hosts of a fleet: what no policy can be better than.
+//! Lower bounds for a wave over all hosts of a fleet, under any policy.
 //!
-//! A host is out for one cycle at the least: its tasks' successors start, it becomes quiet, and it
-//! reboots. Whatever is out, the rest must hold the whole load; so no more hosts are out at one
-//! time than have their whole capacity free. A policy that holds back a buffer `B` has hosts out
-//! that carried `B` at the most, so that all of the load takes `load / B` cycles to pass through.
-//! Every task stands on a host that is done, so each moves once at the least. The buffer takes in
-//! the worst rack, which carries an equal part of the load at the least.
+//! A host is out for at least one cycle: its tasks' successors start, it becomes quiet, and it
+//! reboots. The other hosts must carry the whole load, so the hosts that are out at one time have
+//! no more capacity than the fleet has free. With a buffer `B`, the hosts that are out at one time
+//! carried at most `B`, so moving the whole load takes at least `load / B` cycles. In the end every
+//! task is on a host that is done, so each has moved at least once. The buffer must hold the load
+//! of the most loaded rack, which is at least an equal share of the whole load.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,10 +14,10 @@
     model::{fleet::Fleet, id::PoolId},
 };
 
-/// What no policy can be better than.
+/// Lower bounds of a wave.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Bound {
-    /// Roll-out time when as many hosts are out as capacity allows at all.
+    /// Roll-out time with as many hosts out as capacity allows.
     pub(crate) seconds: f64,
     pub(crate) moves: u32,
     /// Spare capacity, in millicores.
@@ -45,12 +45,12 @@
     }
 }
 
-/// The least time that a host is out.
+/// The minimum time that a host is out.
 pub(crate) fn cycle(rules: &Rules) -> Duration {
     rules.expected.start + rules.expected.quiet + rules.expected.reboot
 }
 
-/// The bounds for a wave over all hosts of all pools, which go on side by side.
+/// The bounds for a wave over all hosts of all pools, which progress in parallel.
 pub(crate) fn of(fleet: &Fleet, rules: &Rules) -> Bound {
     let mut bound = Bound { seconds: 0.0, moves: 0, buffer: 0 };
     for pool in fleet.config.pools.keys() {
@@ -58,9 +58,9 @@
         if load.hosts == 0 {
             continue;
         }
-        let each = load.capacity / load.hosts;
-        let most = ((load.capacity - load.used) / each.max(1)).max(1);
-        let rounds = load.hosts.div_ceil(most) as f64;
+        let host_capacity = load.capacity / load.hosts;
+        let max_out = ((load.capacity - load.used) / host_capacity.max(1)).max(1);
+        let rounds = load.hosts.div_ceil(max_out) as f64;
         bound.seconds = bound.seconds.max(rounds * cycle(rules).as_secs_f64());
         bound.moves += load.tasks;
         bound.buffer += load.used.div_ceil(load.racks.max(1));
@@ -68,7 +68,7 @@
     bound
 }
 
-/// The least roll-out time of one pool for a policy that holds back so much buffer there.
+/// The minimum roll-out time of one pool with the given buffer, in seconds.
 pub(crate) fn seconds_with(fleet: &Fleet, pool: &PoolId, buffer: u64, rules: &Rules) -> f64 {
     let load = load(fleet, pool);
     let cycles = (load.used as f64 / buffer.max(1) as f64).max(1.0);
--- a/src/measure/export.rs
+++ b/src/measure/export.rs
@@ -6,32 +6,32 @@
 
 use crate::{
     error::Error,
-    measure::{Figures, Target},
+    measure::{ExportPath, Figures},
     operator::show,
 };
 
-/// Where figures are written besides the terminal.
+/// Files to which figures are written in addition to the terminal.
 pub(crate) struct Export {
-    pub(crate) json: Target,
-    pub(crate) markdown: Target,
+    pub(crate) json: ExportPath,
+    pub(crate) markdown: ExportPath,
 }
 
 impl Export {
-    /// Writes figures where they are asked for.
+    /// Writes the figures to the requested files.
     pub(crate) fn write(&self, figures: &Figures) -> Result<(), Error> {
         write(&self.json, || figures.json())?;
         write(&self.markdown, || figures.markdown())
     }
 }
 
-fn write(target: &Target, text: impl FnOnce() -> String) -> Result<(), Error> {
-    let Some(path) = target else { return Ok(()) };
+fn write(output: &ExportPath, text: impl FnOnce() -> String) -> Result<(), Error> {
+    let Some(path) = output else { return Ok(()) };
     let step = || format!("write {}", path.display());
     std::fs::write(path, text()).map_err(|error| Error::system(step(), error))
 }
 
 impl Figures {
-    /// The figures for a terminal.
+    /// Formats the figures for a terminal.
     pub(crate) fn text(&self) -> String {
         let mut table = Table::new();
         table.load_style(NOTHING);
--- a/src/measure/mirror.rs
+++ b/src/measure/mirror.rs
@@ -1,6 +1,6 @@
-//! What it costs a node to keep its view like the store: processor time of each change that a watch
-//! tells of, stage by stage, for a mix of records like that of a large deployment, and how long the
-//! view is held by one answer.
+//! Cost of keeping a node's view up to date with the store: processor time of each change from a
+//! watch, by stage, for a mix of records like that of a large deployment, and how long one answer
+//! locks the view.
 
 mod mix;
 
@@ -36,31 +36,31 @@
     settings::scheduler::parse,
 };
 
-/// Jobs that have not ended, for each row.
-const OPEN: [usize; 3] = [300, 1_000, 3_000];
+/// Open jobs, for each row.
+const OPEN_JOBS: [usize; 3] = [300, 1_000, 3_000];
 
-/// Jobs that are handed in a second.
-const JOBS: f64 = 160.0;
+/// Jobs submitted per second.
+const JOBS_PER_SECOND: f64 = 160.0;
 
-/// Answers of the watch a second, and how many are taken in for each row.
-const ANSWERS: usize = 10;
-const PLAYED: usize = 10 * ANSWERS;
+/// Answers of the watch per second, and how many are applied for each row.
+const ANSWERS_PER_SECOND: usize = 10;
+const ANSWERS_PER_ROW: usize = 10 * ANSWERS_PER_SECOND;
 
-/// The share of a core that the node has, for what it carries.
-const CORES: [f64; 2] = [0.5, 0.12];
+/// Shares of a core for which the sustainable rate of jobs is computed.
+const CORE_SHARES: [f64; 2] = [0.5, 0.12];
 
-/// What nobody listens at: no call is made.
-const NOWHERE: &str = "127.0.0.1:1";
+/// An address on which nothing listens: the experiment makes no calls.
+const UNUSED_ADDRESS: &str = "127.0.0.1:1";
 
-/// The lease under which pools are owned.
-const LEASE: i64 = 1;
+/// The lease under which the node owns pools.
+const LEASE_ID: i64 = 1;
 
-/// Who the node is.
+/// Role of the node.
 #[derive(Clone, Copy)]
 enum Role {
-    /// It hears of everything, and owns nothing.
+    /// Applies all changes, and owns nothing.
     Replica,
-    /// It owns a pool with half of the workers.
+    /// Owns a pool with half of the workers.
     Owner,
 }
 
@@ -71,29 +71,32 @@
     let _entered = runtime.enter();
     let (mut rows, mut kinds) = (Vec::new(), Vec::new());
     for role in [Role::Replica, Role::Owner] {
-        for open in OPEN {
-            let (row, notes) = Trial::new(role, open).play();
+        for open in OPEN_JOBS {
+            let (row, notes) = Case::new(role, open).run();
             rows.push(row);
-            if matches!(role, Role::Owner) && open == OPEN[1] {
+            if matches!(role, Role::Owner) && open == OPEN_JOBS[1] {
                 kinds = notes;
             }
         }
     }
     let mut notes = vec![
         format!(
-            "{JOBS} jobs a second, 1,100 workers, 600 hosts that change pools each 5 s; {ANSWERS} \
-             answers a second, {} s.",
-            PLAYED / ANSWERS
+            "{JOBS_PER_SECOND} jobs per second, 1,100 workers, 600 hosts that change pools every \
+             5 s; {ANSWERS_PER_SECOND} answers per second, {} s.",
+            ANSWERS_PER_ROW / ANSWERS_PER_SECOND
         ),
-        "Parse: the answer's JSON and base64. Apply: into the view, under its lock. React: what an \
-         owner's loop makes of it. Carried: jobs a second with which one answer follows the other, \
-         and nothing else is done. Hold: the longest time that one answer holds the view. Take up: \
-         from a pool that was won to its first orders, which holds the view as well."
+        "Parse: the answer's JSON and base64. Apply: update of the view, under its lock. React: \
+         processing by the control loop. Carried: the rate of jobs at which the node applies \
+         answers without a pause, and does nothing else. Hold: the longest time for which one \
+         answer locks the view. Demand: computing the demand of pools, with the view locked. Take \
+         up: from the acquisition of a pool to its first orders, which locks the view as well."
             .to_owned(),
     ];
     notes.extend(kinds);
     Ok(Figures {
-        title: format!("Taking in what watches tell of, {JOBS} jobs a second, one core, one run"),
+        title: format!(
+            "Applying changes from watches, {JOBS_PER_SECOND} jobs per second, one core, one run"
+        ),
         heading: vec![
             "node",
             "open jobs",
@@ -113,7 +116,7 @@
     })
 }
 
-/// What a kind of record has cost.
+/// Cost of the changes of one kind.
 #[derive(Default, Clone, Copy)]
 struct Cost {
     changes: usize,
@@ -122,51 +125,54 @@
     react: Duration,
 }
 
-struct Trial {
+struct Case {
     role: Role,
     open: usize,
     node: Arc<Node>,
     lease: Arc<Lease>,
-    drive: ControlLoop,
+    control_loop: ControlLoop,
     mix: Mix,
-    /// How long it took to take up a pool, in milliseconds.
-    taken_up: Option<f64>,
+    /// Time from the acquisition of a pool to its first orders, in milliseconds.
+    acquisition_ms: Option<f64>,
 }
 
-impl Trial {
-    fn new(role: Role, open: usize) -> Trial {
+impl Case {
+    fn new(role: Role, open: usize) -> Case {
         let settings = json!({
             "node": "one", "zone": "hall-a",
-            "listen": { "callers": NOWHERE, "readiness": NOWHERE, "metrics": NOWHERE },
-            "platform": { "store": NOWHERE, "hosts": NOWHERE },
+            "listen": {
+                "callers": UNUSED_ADDRESS, "readiness": UNUSED_ADDRESS, "metrics": UNUSED_ADDRESS,
+            },
+            "platform": { "store": UNUSED_ADDRESS, "hosts": UNUSED_ADDRESS },
         });
-        let settings = parse("settings", &settings.to_string()).expect("settings that are right");
-        let kv = Kv::new(NOWHERE, Duration::from_millis(LEASE_MS), |_, _, _| {});
+        let settings = parse("settings", &settings.to_string()).expect("settings are valid");
+        let kv = Kv::new(UNUSED_ADDRESS, Duration::from_millis(LEASE_MS), |_, _, _| {});
         let node = node(settings, kv, Arc::new(Metrics::new()), accept::queue().0);
         let lease = Arc::new(Lease::default());
-        let (to, _) = mpsc::unbounded_channel();
-        let drive = ControlLoop::new(node.clone(), lease.clone(), WorkerClient::new(), to);
-        let mix = Mix::new(open, JOBS / ANSWERS as f64);
-        let mut trial = Trial { role, open, node, lease, drive, mix, taken_up: None };
-        trial.renew();
-        for (_, changes) in trial.mix.begin() {
+        let (inputs, _) = mpsc::unbounded_channel();
+        let control_loop =
+            ControlLoop::new(node.clone(), lease.clone(), WorkerClient::new(), inputs);
+        let mix = Mix::new(open, JOBS_PER_SECOND / ANSWERS_PER_SECOND as f64);
+        let mut case = Case { role, open, node, lease, control_loop, mix, acquisition_ms: None };
+        case.renew_lease();
+        for (_, changes) in case.mix.initial_records() {
             for change in changes {
-                trial.node.view().apply(change);
+                case.node.view().apply(change);
             }
         }
         if matches!(role, Role::Owner) {
-            trial.own(&keys::pool(&mix::pool(0)));
+            case.acquire_pool(&keys::pool(&mix::pool(0)));
         }
-        trial
+        case
     }
 
-    fn renew(&self) {
+    fn renew_lease(&self) {
         let now = self.node.now().steady;
-        self.lease.note_renewed(LEASE, now, Duration::from_millis(LEASE_MS), now);
+        self.lease.note_renewed(LEASE_ID, now, Duration::from_millis(LEASE_MS), now);
     }
 
-    /// The node wins a pool and takes it up.
-    fn own(&mut self, name: &str) {
+    /// The node acquires a pool and makes its first decisions there.
+    fn acquire_pool(&mut self, name: &str) {
         let token = self.mix.revision();
         let record = bytes(&OwnerRecord { node: "one".to_owned(), life: 1 });
         let (key, revision) = (keys::owner(name), Revision(token));
@@ -174,32 +180,32 @@
         view.apply(Change { key, revision, value: Some(record.into()) });
         view.known_revision = revision;
         drop(view);
-        let tenure = Tenure::new(&self.lease, LEASE, self.node.now().steady);
+        let tenure = Tenure::new(&self.lease, LEASE_ID, self.node.now().steady);
         let won = Some(Ownership::new(token, 0, tenure));
-        self.drive.handle(Input::Acquired { name: name.to_owned(), won });
+        self.control_loop.handle(Input::Acquired { name: name.to_owned(), won });
         let began = Instant::now();
-        self.drive.tick();
-        self.taken_up = Some(began.elapsed().as_secs_f64() * 1e3);
+        self.control_loop.tick();
+        self.acquisition_ms = Some(began.elapsed().as_secs_f64() * 1e3);
     }
 
-    fn play(mut self) -> (Vec<String>, Vec<String>) {
+    fn run(mut self) -> (Vec<String>, Vec<String>) {
         let mut costs = [Cost::default(); KINDS.len()];
-        let (mut parse, mut hold, mut wire) = (Duration::ZERO, Duration::ZERO, 0);
-        for _ in 0..PLAYED {
-            self.renew();
-            let mut held = Duration::ZERO;
-            for (kind, changes) in self.mix.answer() {
+        let (mut parse, mut max_lock_time, mut wire_bytes) = (Duration::ZERO, Duration::ZERO, 0);
+        for _ in 0..ANSWERS_PER_ROW {
+            self.renew_lease();
+            let mut lock_time = Duration::ZERO;
+            for (kind, changes) in self.mix.next_answer() {
                 let body = mix::body(&changes, self.mix.revision());
                 let began = Instant::now();
-                let heard = kv::read_changes(&body).expect("what was written is read");
+                let batch = kv::read_changes(&body).expect("generated answer is valid");
                 parse += began.elapsed();
-                wire += body.len();
+                wire_bytes += body.len();
                 let cost = &mut costs[kind as usize];
-                cost.changes += heard.changes.len();
+                cost.changes += batch.changes.len();
                 cost.bytes += body.len();
-                held += self.take_in(heard.changes, cost);
+                lock_time += self.apply_changes(batch.changes, cost);
             }
-            hold = hold.max(held);
+            max_lock_time = max_lock_time.max(lock_time);
         }
         let total = costs.iter().fold(Cost::default(), |sum, cost| Cost {
             changes: sum.changes + cost.changes,
@@ -207,11 +213,14 @@
             apply: sum.apply + cost.apply,
             react: sum.react + cost.react,
         });
-        let seconds = PLAYED as f64 / ANSWERS as f64;
-        let each = |spent: Duration| spent.as_secs_f64() * 1e6 / total.changes as f64;
-        let one = each(parse) + each(total.apply) + each(total.react);
-        let a_job = total.changes as f64 / (seconds * JOBS);
-        let carried = CORES.map(|share| format!("{:.0}", share * 1e6 / one / a_job));
+        let seconds = ANSWERS_PER_ROW as f64 / ANSWERS_PER_SECOND as f64;
+        let micros_per_change = |spent: Duration| spent.as_secs_f64() * 1e6 / total.changes as f64;
+        let total_micros = micros_per_change(parse)
+            + micros_per_change(total.apply)
+            + micros_per_change(total.react);
+        let changes_per_job = total.changes as f64 / (seconds * JOBS_PER_SECOND);
+        let job_rates =
+            CORE_SHARES.map(|share| format!("{:.0}", share * 1e6 / total_micros / changes_per_job));
         let row = vec![
             match self.role {
                 Role::Replica => "replica".to_owned(),
@@ -219,38 +228,38 @@
             },
             self.open.to_string(),
             format!("{:.0}", total.changes as f64 / seconds),
-            format!("{:.0}", wire as f64 / 1000.0 / seconds),
-            format!("{:.2}", each(parse)),
-            format!("{:.2}", each(total.apply)),
-            format!("{:.2}", each(total.react)),
-            format!("{:.0}", 1e6 / one),
-            carried.join(", "),
-            format!("{:.2}", hold.as_secs_f64() * 1e3),
-            format!("{:.2}", self.demand()),
-            self.taken_up.map_or("-".to_owned(), |took| format!("{took:.1}")),
+            format!("{:.0}", wire_bytes as f64 / 1000.0 / seconds),
+            format!("{:.2}", micros_per_change(parse)),
+            format!("{:.2}", micros_per_change(total.apply)),
+            format!("{:.2}", micros_per_change(total.react)),
+            format!("{:.0}", 1e6 / total_micros),
+            job_rates.join(", "),
+            format!("{:.2}", max_lock_time.as_secs_f64() * 1e3),
+            format!("{:.2}", self.demand_ms()),
+            self.acquisition_ms.map_or("-".to_owned(), |took| format!("{took:.1}")),
         ];
-        let notes = KINDS.into_iter().map(|kind| told(kind, &costs[kind as usize], seconds));
+        let notes = KINDS.into_iter().map(|kind| kind_note(kind, &costs[kind as usize], seconds));
         (row, notes.collect())
     }
 
-    /// Takes in changes as the mirror does; how long that held the view.
-    fn take_in(&mut self, changes: Vec<Change>, cost: &mut Cost) -> Duration {
+    /// Applies changes as the mirror does, and returns for how long that locked the view.
+    fn apply_changes(&mut self, changes: Vec<Change>, cost: &mut Cost) -> Duration {
         let began = Instant::now();
         let mut view = self.node.view();
         let deltas: Vec<_> = changes.into_iter().filter_map(|change| view.apply(change)).collect();
         drop(view);
-        let held = began.elapsed();
-        cost.apply += held;
+        let lock_time = began.elapsed();
+        cost.apply += lock_time;
         let began = Instant::now();
         if !deltas.is_empty() {
-            self.drive.handle(Input::Deltas(deltas));
+            self.control_loop.handle(Input::Deltas(deltas));
         }
         cost.react += began.elapsed();
-        held
+        lock_time
     }
 
-    /// How long it takes to count what pools ask for, in milliseconds.
-    fn demand(&self) -> f64 {
+    /// Time to compute the demand of pools, in milliseconds.
+    fn demand_ms(&self) -> f64 {
         let view = self.node.view();
         let began = Instant::now();
         let config = view.config.clone().unwrap_or_default();
@@ -259,11 +268,12 @@
     }
 }
 
-fn told(kind: Kind, cost: &Cost, seconds: f64) -> String {
+fn kind_note(kind: Kind, cost: &Cost, seconds: f64) -> String {
     let each = |figure: f64| figure / cost.changes.max(1) as f64;
     format!(
-        "Owner, {} open: {kind:?}: {:.0} a second, {:.0} bytes, apply {:.2} us, react {:.2} us.",
-        OPEN[1],
+        "Owner, {} open jobs: {kind:?}: {:.0} per second, {:.0} bytes, apply {:.2} us, react {:.2} \
+         us.",
+        OPEN_JOBS[1],
         cost.changes as f64 / seconds,
         each(cost.bytes as f64),
         each(cost.apply.as_secs_f64() * 1e6),
--- a/src/measure/node.rs
+++ b/src/measure/node.rs
@@ -1,42 +1,43 @@
-//! What control costs a node, as the fleet grows.
+//! Cost of the control plane of one node, by the size of the fleet, the number of nodes and the
+//! rate of configuration changes.
 
 use std::time::{Duration, Instant};
 
 use crate::{
     demo::{self, nodes::Fleet},
     error::Error,
-    measure::{Figures, path, sample, target::resident},
+    measure::{Figures, path, sample, target::resident_bytes},
     model::unit::PerSecond,
     operator::{client::Client, message::Rows},
     preset::{self, Preset},
 };
 
-/// One fleet that is measured.
+/// One measured fleet.
 struct Point {
     hosts: u32,
     nodes: u32,
-    /// Changes of the configuration a second.
+    /// Configuration changes per second.
     changes: f64,
 }
 
-/// What it cost.
+/// Cost of the control plane of one node.
 struct Cost {
-    /// Share of a core that one node uses, in hundredths.
+    /// Share of a core that one node uses, in percent.
     cpu: f64,
-    /// Bytes a second that one node's control sends and receives.
+    /// Bytes per second that the control plane of one node sends and receives.
     bytes: f64,
-    /// Memory of one node's share of the process, as the growth when the nodes were started.
+    /// Memory of one node, in MB: its share of the growth of the process when the nodes start.
     memory: f64,
     reads: f64,
     writes: f64,
-    /// How long changes took to be in force on every node; the longest, in seconds.
+    /// The longest time until a change was in force on every node, in seconds.
     in_force: f64,
 }
 
-/// How long each fleet is measured, after it has become quiet.
-const SPAN: Duration = Duration::from_secs(8);
-/// How long a fleet is given to become quiet.
-const SETTLE: Duration = Duration::from_secs(3);
+/// How long each fleet is measured after it has settled.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(8);
+/// How long a fleet is given to settle.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 const POINTS: [Point; 8] = [
     Point { hosts: 50, nodes: 6, changes: 0.0 },
@@ -49,12 +50,12 @@
     Point { hosts: 50, nodes: 6, changes: 4.0 },
 ];
 
-/// Measures every point, and draws lines through them.
+/// Measures every point, and fits lines to them.
 pub(crate) fn measure() -> Result<Figures, Error> {
     let mut rows = Vec::new();
     let mut measured = Vec::new();
     for point in &POINTS {
-        let cost = at(point)?;
+        let cost = measure_point(point)?;
         rows.push(vec![
             point.hosts.to_string(),
             point.nodes.to_string(),
@@ -69,7 +70,10 @@
         measured.push((point, cost));
     }
     Ok(Figures {
-        title: format!("Control of one node, measured for {} s each", SPAN.as_secs()),
+        title: format!(
+            "Control plane of one node, measured for {} s each",
+            MEASUREMENT_TIME.as_secs()
+        ),
         heading: vec![
             "hosts",
             "nodes",
@@ -88,22 +92,25 @@
 
 fn slopes(measured: &[(&Point, Cost)]) -> Vec<String> {
     type Axis = fn(&Point) -> f64;
-    type Chosen = fn(&Point) -> bool;
-    let axes: [(&str, Axis, Chosen); 3] = [
+    type Filter = fn(&Point) -> bool;
+    let axes: [(&str, Axis, Filter); 3] = [
         ("host", |p| f64::from(p.hosts), |p| p.nodes == 6 && p.changes == 0.0),
         ("node", |p| f64::from(p.nodes), |p| p.hosts == 50 && p.changes == 0.0),
-        ("change a second", |p| p.changes, |p| p.hosts == 50 && p.nodes == 6),
+        ("change per second", |p| p.changes, |p| p.hosts == 50 && p.nodes == 6),
     ];
     let mut notes = Vec::new();
-    for (name, axis, chosen) in axes {
-        let points: Vec<_> = measured.iter().filter(|(point, _)| chosen(point)).collect();
+    for (name, axis, is_included) in axes {
+        let points: Vec<_> = measured.iter().filter(|(point, _)| is_included(point)).collect();
         let through = |figure: &dyn Fn(&Cost) -> f64| {
             let points: Vec<_> = points.iter().map(|(p, cost)| (axis(p), figure(cost))).collect();
-            let line = sample::line(&points);
-            format!("{:.4} ({:.2} at none, off by {:.2})", line.slope, line.at_zero, line.off)
+            let line = sample::fit_line(&points);
+            format!(
+                "{:.4} (intercept {:.2}, residuals up to {:.2})",
+                line.slope, line.intercept, line.max_residual
+            )
         };
         notes.push(format!(
-            "For each {name}: CPU % {}; bytes/s {}; memory MB {}; store reads/s {}; writes/s {}.",
+            "Per {name}: CPU % {}; bytes/s {}; memory MB {}; store reads/s {}; writes/s {}.",
             through(&|c| c.cpu),
             through(&|c| c.bytes),
             through(&|c| c.memory),
@@ -114,7 +121,7 @@
     notes
 }
 
-fn at(point: &Point) -> Result<Cost, Error> {
+fn measure_point(point: &Point) -> Result<Cost, Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|error| Error::system("start threads", error))?;
     let cost = runtime.block_on(run(point));
@@ -124,17 +131,17 @@
 
 async fn run(point: &Point) -> Result<Cost, Error> {
     let preset = Preset { zones: 4, rack_size: 4, ..preset::target(point.hosts) };
-    let before = resident();
+    let before = resident_bytes();
     let fleet = Fleet::start(&preset, point.nodes).await?;
     let client = fleet.client(0);
     demo::apply_config(&client, &preset.config).await?;
     demo::wait_until_ready(&client, &preset.config).await?;
-    tokio::time::sleep(SETTLE).await;
-    let memory = resident().saturating_sub(before) as f64 / f64::from(1 << 20);
+    tokio::time::sleep(SETTLE_TIME).await;
+    let memory = resident_bytes().saturating_sub(before) as f64 / f64::from(1 << 20);
     let (cpu, calls, bytes) = (path::node_cpu(), fleet.platform.counts(), fleet.traffic());
     let began = Instant::now();
-    let in_force = change(&client, &preset, point.changes).await?;
-    tokio::time::sleep(SPAN.saturating_sub(began.elapsed())).await;
+    let in_force = change_config(&client, &preset, point.changes).await?;
+    tokio::time::sleep(MEASUREMENT_TIME.saturating_sub(began.elapsed())).await;
     let span = began.elapsed().as_secs_f64();
     let nodes = f64::from(point.nodes);
     let after = fleet.platform.counts();
@@ -154,13 +161,13 @@
     })
 }
 
-/// Changes the configuration so many times a second; returns the longest time until a change was
-/// in force on every node.
-async fn change(client: &Client, preset: &Preset, rate: f64) -> Result<f64, Error> {
+/// Changes the configuration `rate` times per second; returns the longest time, in seconds, until a
+/// change was in force on every node.
+async fn change_config(client: &Client, preset: &Preset, rate: f64) -> Result<f64, Error> {
     if rate == 0.0 {
         return Ok(0.0);
     }
-    let count = (SPAN.as_secs_f64() * rate) as u32;
+    let count = (MEASUREMENT_TIME.as_secs_f64() * rate) as u32;
     let mut tick = tokio::time::interval(Duration::from_secs_f64(1.0 / rate));
     let mut config = preset.config.clone();
     for number in 0..count {
--- a/src/measure/path.rs
+++ b/src/measure/path.rs
@@ -1,4 +1,5 @@
-//! The path of a request: calls through one node against the same calls straight to an endpoint.
+//! The path of a request: calls through one node, compared with the same calls made directly to an
+//! endpoint.
 
 use std::{
     sync::{
@@ -14,7 +15,7 @@
     demo::{self, nodes::Fleet},
     entry::headers,
     error::Error,
-    measure::{Figures, target::resident},
+    measure::{Figures, target::resident_bytes},
     model::{
         config::{Config, FailureDomain, Pool, Resources, Service, Team},
         request::Class,
@@ -25,20 +26,20 @@
     standin::endpoint,
 };
 
-/// Bytes of an answer in the second part.
-const LARGE: u32 = 64 * 1024;
+/// Size of an answer in the last two parts, in bytes.
+const LARGE_ANSWER_BYTES: u32 = 64 * 1024;
 
-/// What one part came to.
+/// Measurements of one part.
 struct Part {
     name: &'static str,
     latency: Histogram<u64>,
     took: Duration,
     failed: u32,
-    /// Processor time of the node's threads.
+    /// Processor time of the node's threads during the calls.
     cpu: Duration,
 }
 
-/// Times the calls.
+/// Measures the latency of the calls.
 pub(crate) fn measure(callers: u32, requests: u32) -> Result<Figures, Error> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     let runtime = runtime.map_err(|error| Error::system("start threads", error))?;
@@ -59,21 +60,36 @@
         connections: 4096,
         work: Duration::ZERO,
     };
-    let straight = endpoint::start(&options, Arc::default()).await;
-    let straight = straight.map_err(|error| Error::system("listen on loopback", error))?;
-    let direct = format!("http://{}/work", straight.address);
-    let through = format!("http://{}/echo/work", fleet.nodes[0].callers);
-    let before = resident();
-    // One after the other, so that neither disturbs the other; the first round warms both up.
-    call("", &direct, 1, requests / 10, 0).await;
-    call("", &through, 1, requests / 10, 0).await;
+    let direct_endpoint = endpoint::start(&options, Arc::default()).await;
+    let direct_endpoint =
+        direct_endpoint.map_err(|error| Error::system("listen on loopback", error))?;
+    let direct_url = format!("http://{}/work", direct_endpoint.address);
+    let node_url = format!("http://{}/echo/work", fleet.nodes[0].callers);
+    let before = resident_bytes();
+    // In sequence, so that the parts do not disturb each other; the first calls warm up both paths.
+    run_calls("", &direct_url, 1, requests / 10, 0).await;
+    run_calls("", &node_url, 1, requests / 10, 0).await;
     let parts = [
-        call("straight, 1 caller", &direct, 1, requests, 0).await,
-        call("through a node, 1 caller", &through, 1, requests, 0).await,
-        call("straight, many callers, 64 KB", &direct, callers, requests, LARGE).await,
-        call("through a node, many callers, 64 KB", &through, callers, requests, LARGE).await,
+        run_calls("straight, 1 caller", &direct_url, 1, requests, 0).await,
+        run_calls("through a node, 1 caller", &node_url, 1, requests, 0).await,
+        run_calls(
+            "straight, many callers, 64 KB",
+            &direct_url,
+            callers,
+            requests,
+            LARGE_ANSWER_BYTES,
+        )
+        .await,
+        run_calls(
+            "through a node, many callers, 64 KB",
+            &node_url,
+            callers,
+            requests,
+            LARGE_ANSWER_BYTES,
+        )
+        .await,
     ];
-    let grown = resident().saturating_sub(before);
+    let grown = resident_bytes().saturating_sub(before);
     Ok(figures(&parts, callers, requests, grown))
 }
 
@@ -96,13 +112,13 @@
         rows: rows.collect(),
         notes: vec![
             format!(
-                "Added at the median by the node, one caller: {:.3} ms.",
+                "Increase of the median latency by the node, one caller: {:.3} ms.",
                 median(&parts[1]) - median(&parts[0])
             ),
             format!(
                 "Memory of the whole process, with callers, endpoints and stand-ins: {:.0} MB, \
-                 grown by {:.0} MB during the calls. The node's own is less.",
-                resident() as f64 / f64::from(1 << 20),
+                 {:.0} MB of which were added during the calls. The node itself uses less.",
+                resident_bytes() as f64 / f64::from(1 << 20),
                 grown as f64 / f64::from(1 << 20)
             ),
         ],
@@ -112,11 +128,13 @@
 fn preset() -> Preset {
     let id = "only";
     let mut config = Config::default();
-    config.pools.insert(id.parse().expect("an identifier"), Pool { hosts: 4 });
-    config.teams.insert(id.parse().expect("an identifier"), Team { rate: PerSecond(1_000_000) });
+    config.pools.insert(id.parse().expect("identifier is valid"), Pool { hosts: 4 });
+    config
+        .teams
+        .insert(id.parse().expect("identifier is valid"), Team { rate: PerSecond(1_000_000) });
     let service = Service {
-        pool: id.parse().expect("an identifier"),
-        team: id.parse().expect("an identifier"),
+        pool: id.parse().expect("identifier is valid"),
+        team: id.parse().expect("identifier is valid"),
         class: Class::Normal,
         tasks: 4,
         need: Resources { cores: Millicores(1000), memory: Megabytes(1024), accelerators: 0 },
@@ -127,7 +145,7 @@
         once: false,
         surge: true,
     };
-    config.services.insert("echo".parse().expect("an identifier"), service);
+    config.services.insert("echo".parse().expect("identifier is valid"), service);
     Preset {
         name: "path",
         config,
@@ -139,18 +157,18 @@
     }
 }
 
-async fn call(name: &'static str, url: &str, callers: u32, requests: u32, bytes: u32) -> Part {
-    let left = Arc::new(AtomicU32::new(requests));
+async fn run_calls(name: &'static str, url: &str, callers: u32, requests: u32, bytes: u32) -> Part {
+    let remaining = Arc::new(AtomicU32::new(requests));
     let client = reqwest::Client::builder().tcp_nodelay(true).build();
-    let client = client.expect("a client without TLS needs nothing of the system");
+    let client = client.expect("HTTP client without TLS can be built");
     let (began, cpu) = (Instant::now(), node_cpu());
     let tasks: Vec<_> = (0..callers.max(1))
         .map(|caller| {
-            let (client, url, left) = (client.clone(), url.to_owned(), left.clone());
-            tokio::spawn(async move { one(&client, &url, caller, bytes, &left).await })
+            let (client, url, remaining) = (client.clone(), url.to_owned(), remaining.clone());
+            tokio::spawn(async move { run_caller(&client, &url, caller, bytes, &remaining).await })
         })
         .collect();
-    let mut latency = Histogram::new(3).expect("three digits are allowed");
+    let mut latency = Histogram::new(3).expect("three significant digits are valid");
     let mut failed = 0;
     for task in tasks {
         let Ok((own, own_failed)) = task.await else { continue };
@@ -160,16 +178,17 @@
     Part { name, latency, took: began.elapsed(), failed, cpu: node_cpu().saturating_sub(cpu) }
 }
 
-async fn one(
+async fn run_caller(
     client: &reqwest::Client,
     url: &str,
     caller: u32,
     bytes: u32,
-    left: &AtomicU32,
+    remaining: &AtomicU32,
 ) -> (Histogram<u64>, u32) {
-    let mut latency = Histogram::new(3).expect("three digits are allowed");
+    let mut latency = Histogram::new(3).expect("three significant digits are valid");
     let mut failed = 0;
-    while left.fetch_update(Ordering::AcqRel, Ordering::Acquire, |n| n.checked_sub(1)).is_ok() {
+    while remaining.fetch_update(Ordering::AcqRel, Ordering::Acquire, |n| n.checked_sub(1)).is_ok()
+    {
         let id = format!("{caller}-{}", latency.len());
         let began = Instant::now();
         let sent = client
@@ -180,23 +199,23 @@
             .header("x-answer-bytes", bytes.to_string())
             .send()
             .await;
-        let whole = match sent {
+        let is_complete = match sent {
             Ok(answer) => {
                 let body = answer.bytes().await;
                 body.is_ok_and(|body| endpoint::is_answer_to(&body, &id))
             }
             Err(_) => false,
         };
-        failed += u32::from(!whole);
+        failed += u32::from(!is_complete);
         let _ = latency.record(began.elapsed().as_micros() as u64);
     }
     (latency, failed)
 }
 
-/// Processor time of all threads that nodes run on.
+/// Processor time of all threads of nodes.
 pub(crate) fn node_cpu() -> Duration {
-    /// Clock ticks a second, as the kernel reports processor time.
-    const TICKS: u64 = 100;
+    /// Clock ticks per second, the unit in which the kernel reports processor time.
+    const TICKS_PER_SECOND: u64 = 100;
     let Ok(threads) = std::fs::read_dir("/proc/self/task") else { return Duration::ZERO };
     let mut ticks = 0;
     for thread in threads.flatten() {
@@ -206,9 +225,9 @@
             continue;
         }
         let fields: Vec<&str> = rest.split_whitespace().collect();
-        // After the name: the 12th and 13th fields are time in user and system mode.
+        // After the name, the 12th and 13th fields are the time in user and system mode.
         let count = |at: usize| fields.get(at).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
         ticks += count(11) + count(12);
     }
-    Duration::from_millis(ticks * 1000 / TICKS)
+    Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
--- a/src/measure/shape.rs
+++ b/src/measure/shape.rs
@@ -1,4 +1,4 @@
-//! Fleets of a shape, as they stand when everything runs: where experiments begin.
+//! Fleets in which every task is placed and ready, as the initial state of experiments and tests.
 
 use crate::{
     decide::{plan, pools, repair, rules::Rules, wave},
@@ -14,10 +14,10 @@
     standin::worker,
 };
 
-/// When experiments begin. Any moment would do.
+/// The start time of experiments; any value would do.
 pub(crate) const BEGIN: Time = Time::from_millis(1_000_000_000_000);
 
-/// A fleet of a shape in which every task is placed and ready.
+/// Builds the fleet of a preset, with every task placed and ready.
 pub(crate) fn build(preset: &Preset, rules: &Rules) -> Fleet {
     let mut fleet = Fleet::default();
     fleet.config = preset.config.clone();
@@ -47,7 +47,7 @@
 }
 
 fn op() -> OpId {
-    "shape".parse().expect("the text is an identifier")
+    "shape".parse().expect("identifier is valid")
 }
 
 fn report(preset: &Preset, number: u32) -> HostReport {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Places the tasks of a service, and has them be ready.
+/// Places the tasks of a service, and reports them as ready.
 fn place(fleet: &mut Fleet, id: &ServiceId, rules: &Rules) {
     let repair = repair::repair(fleet, id, BEGIN, rules);
     let record = wave::change_placement(fleet, id, &op(), |placement| {
@@ -75,13 +75,13 @@
     make_ready(fleet, id);
 }
 
-/// Has every start of a service's tasks be ready, and no others.
+/// Makes the hosts report exactly the assigned tasks and successors of a service, all ready.
 pub(crate) fn make_ready(fleet: &mut Fleet, id: &ServiceId) {
-    let placed = fleet.placements.get(id).cloned().unwrap_or_default();
+    let placement = fleet.placements.get(id).cloned().unwrap_or_default();
     fleet.reports.values_mut().for_each(|r| r.tasks.retain(|task| task.service != *id));
-    let tasks = placed.tasks.iter().enumerate();
+    let tasks = placement.tasks.iter().enumerate();
     let tasks = tasks.filter_map(|(index, assigned)| Some((index, assigned.as_ref()?)));
-    let successors = placed.successors.iter().map(|(index, s)| (*index as usize, &s.to));
+    let successors = placement.successors.iter().map(|(index, s)| (*index as usize, &s.to));
     for (index, assigned) in tasks.chain(successors) {
         let Some(report) = fleet.reports.get_mut(&assigned.host) else { continue };
         report.tasks.push(TaskReport {
@@ -95,7 +95,7 @@
     }
 }
 
-/// The plan of a rotation: every host of the fleet is drained.
+/// Proposes the plan of a rotation, which drains every host of the fleet.
 pub(crate) fn rotation(fleet: &Fleet, rules: &Rules) -> Plan {
     let intent = Intent {
         action: Action::Drain,
@@ -104,6 +104,6 @@
         reason: "rotation".to_owned(),
         by: "measure".to_owned(),
     };
-    let id = "p-1".parse().expect("the text is an identifier");
+    let id = "p-1".parse().expect("identifier is valid");
     plan::propose(fleet, id, op(), intent, BEGIN, rules)
 }
--- a/src/measure/target.rs
+++ b/src/measure/target.rs
@@ -1,4 +1,4 @@
-//! Planning at the size of two years from now: how time and memory grow with the fleet.
+//! Planning at the size expected in two years: how time and memory grow with the fleet.
 
 use std::time::{Duration, Instant};
 
@@ -22,10 +22,10 @@
     preset,
 };
 
-/// Fleets that are planned.
+/// Sizes of the planned fleets, in hosts.
 const SIZES: [u32; 4] = [50, 500, 2_000, 6_800];
-/// Events after which a decision is timed.
-const EVENTS: usize = 400;
+/// Maximum number of host failures for which the decisions are timed.
+const MAX_FAILURES: usize = 400;
 
 /// Plans a rotation of all hosts, and times single decisions.
 pub(crate) fn measure() -> Figures {
@@ -45,19 +45,19 @@
         ],
         rows,
         notes: vec![format!(
-            "Plan: the whole rotation with its cost, each pool rehearsed with several bounds. \
-                 Decision: repair of a failed host's services and the next steps of its pool, \
-                 over {EVENTS} hosts. View: growth of the process's memory when the fleet is \
-                 built."
+            "Plan: the whole rotation with its cost, each pool simulated with several limits on \
+                 the hosts out. Decision: repair of a failed host's services and the next steps of \
+                 its pool, over {MAX_FAILURES} hosts. View: growth of the process's memory when \
+                 the fleet is built."
         )],
     }
 }
 
 fn row(hosts: u32) -> Vec<String> {
     let rules = Rules { weights: preset::target(hosts).weights(), ..Rules::default() };
-    let before = resident();
+    let before = resident_bytes();
     let fleet = shape::build(&preset::target(hosts), &rules);
-    let size = resident().saturating_sub(before);
+    let view_bytes = resident_bytes().saturating_sub(before);
     let began = Instant::now();
     let plan = shape::rotation(&fleet, &rules);
     let planned = began.elapsed();
@@ -72,19 +72,19 @@
         format!("{:.1}", plan.cost.seconds as f64 / 3600.0),
         plan.cost.moves.to_string(),
         format!("{:.0}", sample::median(&micros)),
-        format!("{:.0}", sample::greatest(&micros)),
-        format!("{:.1}", size as f64 / f64::from(1 << 20)),
+        format!("{:.0}", sample::maximum(&micros)),
+        format!("{:.1}", view_bytes as f64 / f64::from(1 << 20)),
     ]
 }
 
-/// Fails one host after the other, and times what follows from each.
+/// Fails one host after the other, and times the decisions that follow.
 fn decisions(mut fleet: Fleet, plan: &Plan, rules: &Rules) -> Vec<Duration> {
     let mut running = plan.clone();
     running.state = PlanState::Running;
     fleet.put(Record::Plan(running.id.clone(), Box::new(running.clone())), Revision(2));
-    let step = (fleet.hosts.len() / EVENTS).max(1);
-    let hosts: Vec<HostId> = fleet.hosts.keys().step_by(step).take(EVENTS).cloned().collect();
-    let never = |_: &HostId, _: Epoch| false;
+    let step = (fleet.hosts.len() / MAX_FAILURES).max(1);
+    let hosts: Vec<HostId> = fleet.hosts.keys().step_by(step).take(MAX_FAILURES).cloned().collect();
+    let never_quiet = |_: &HostId, _: Epoch| false;
     let mut took = Vec::new();
     for host in hosts {
         if let Some(report) = fleet.reports.get_mut(&host) {
@@ -94,9 +94,9 @@
         for task in fleet.tasks_on(&host) {
             std::hint::black_box(repair::repair(&fleet, &task.service, BEGIN, rules));
         }
-        let outlook = WaveContext { fleet: &fleet, is_quiet: &never, now: BEGIN, rules };
+        let context = WaveContext { fleet: &fleet, is_quiet: &never_quiet, now: BEGIN, rules };
         let pool = &fleet.hosts[&host].pool;
-        std::hint::black_box(wave::advance(&outlook, &running, pool));
+        std::hint::black_box(wave::advance(&context, &running, pool));
         took.push(began.elapsed());
         if let Some(report) = fleet.reports.get_mut(&host) {
             report.live = true;
@@ -105,10 +105,10 @@
     took
 }
 
-/// Memory that the process holds, in bytes.
-pub(crate) fn resident() -> u64 {
-    const PAGE: u64 = 4096;
+/// Resident memory of the process, in bytes.
+pub(crate) fn resident_bytes() -> u64 {
+    const PAGE_BYTES: u64 = 4096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|text| text.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
--- a/src/measure/waves.rs
+++ b/src/measure/waves.rs
@@ -1,4 +1,5 @@
-//! Waves over a whole fleet, under our policy and simple ones, with the same drawn failures.
+//! Waves over a whole fleet, under the built-in policy and simple ones, with the same random
+//! failures.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -27,21 +28,21 @@
 /// Policies that are compared.
 pub(crate) const POLICIES: [&str; 4] = ["ours", "one-at-a-time", "rack-by-rack", "random"];
 
-/// Hosts that fail by themselves in a wave, as a share of all.
-const FAILING: f64 = 0.06;
-/// How long a failed host is gone.
-const REPAIRED_AFTER: Duration = Duration::from_secs(1200);
-/// A wave that takes longer counts as one that did not end.
-const LONGEST: Duration = Duration::from_secs(7 * 86_400);
+/// Share of the hosts that fail individually during a wave.
+const FAILING_SHARE: f64 = 0.06;
+/// Time from the failure of a host until it is back.
+const REPAIR_TIME: Duration = Duration::from_secs(1200);
+/// A wave that takes longer counts as unfinished.
+const MAX_WAVE_TIME: Duration = Duration::from_secs(7 * 86_400);
 
-/// What one wave came to, over all pools.
+/// Result of one wave, over all pools.
 #[derive(Debug, Clone, Default)]
 struct Outcome {
     seconds: f64,
-    /// The least time that capacity allows at all.
-    capacity: f64,
-    /// The least time for the buffer that was held back.
-    least: f64,
+    /// Lower bound of the roll-out time that capacity allows, in seconds.
+    capacity_bound: f64,
+    /// Lower bound of the roll-out time with the buffer that was held back, in seconds.
+    buffer_bound: f64,
     moves: u32,
     repairs: u32,
     tasks: u32,
@@ -53,7 +54,7 @@
     decisions: Vec<f64>,
 }
 
-/// A failure of a host, with the time from the start of the wave.
+/// A failure of a host, and the time from the start of the wave until it.
 struct Failure {
     host: HostId,
     after: Duration,
@@ -62,22 +63,22 @@
 /// Runs the waves.
 pub(crate) fn measure(name: &str, policies: &[String], seeds: &[u64]) -> Result<Figures, Error> {
     let preset = preset::by_name(name)
-        .ok_or_else(|| Error::Usage(format!("--preset: there is no {name}")))?;
+        .ok_or_else(|| Error::Usage(format!("--preset: there is no preset `{name}`")))?;
     let rules = Rules { weights: preset.weights(), ..Rules::default() };
     let fleet = shape::build(&preset, &rules);
-    let least = bound::of(&fleet, &rules);
-    let mut rows = vec![bound_row(&least)];
-    let mut failed = Vec::new();
-    let chosen = choices(&planned(&fleet, "ours", 0, &rules));
+    let lower_bound = bound::of(&fleet, &rules);
+    let mut rows = vec![bound_row(&lower_bound)];
+    let mut unfinished = Vec::new();
+    let choices = choice_notes(&running_plan(&fleet, "ours", 0, &rules));
     for policy in policies {
         let runs: Vec<Outcome> =
             seeds.iter().map(|seed| run(&preset, &fleet, policy, *seed, &rules)).collect();
-        failed.extend(unfinished(policy, seeds, &runs));
+        unfinished.extend(unfinished_notes(policy, seeds, &runs));
         rows.push(row(policy, &runs));
     }
     Ok(Figures {
         title: format!(
-            "Waves over all {} hosts of {name}, {} seeds, medians (greatest in brackets)",
+            "Waves over all {} hosts of {name}, {} seeds, medians (maximum in parentheses)",
             preset.hosts,
             seeds.len()
         ),
@@ -95,12 +96,12 @@
             "decision us",
         ],
         rows,
-        notes: notes(&rules).into_iter().chain(chosen).chain(failed).collect(),
+        notes: notes(&rules).into_iter().chain(choices).chain(unfinished).collect(),
     })
 }
 
-/// What our policy weighed, and chose, for each pool.
-fn choices(plan: &Plan) -> Vec<String> {
+/// The candidates that the built-in policy compared for each pool, and its choice.
+fn choice_notes(plan: &Plan) -> Vec<String> {
     let line = |(pool, part): (&PoolId, &PoolPlan)| {
         let trades = part.trades.iter().map(|trade| {
             format!(
@@ -122,78 +123,78 @@
     vec![
         format!(
             "A start takes {}, a leave {}, a reboot {}. In each wave {:.0}% of the hosts and one \
-             rack fail at drawn times, and come back after {}.",
+             rack fail at random times, and come back after {}.",
             humantime::format_duration(rules.expected.start),
             humantime::format_duration(rules.expected.quiet),
             humantime::format_duration(rules.expected.reboot),
-            FAILING * 100.0,
-            humantime::format_duration(REPAIRED_AFTER),
+            FAILING_SHARE * 100.0,
+            humantime::format_duration(REPAIR_TIME),
         ),
-        "Voluntary breaches: hosts that left although a service that they carried could not have \
-         survived its worst failure domain then. Moments below budget: looks at which a service \
-         was below its budget through failures."
+        "Voluntary breaches: hosts that left although one of their services could not have \
+         survived the loss of its largest failure domain then. Moments below budget: observations \
+         of a service that was below its budget because of failures."
             .to_owned(),
     ]
 }
 
-fn bound_row(least: &bound::Bound) -> Vec<String> {
+fn bound_row(lower_bound: &bound::Bound) -> Vec<String> {
     let mut row = vec![
         "lower bound".to_owned(),
-        format!("{:.0}", least.seconds),
+        format!("{:.0}", lower_bound.seconds),
         "1.00".to_owned(),
         String::new(),
         "1.00".to_owned(),
         String::new(),
-        format!("{}", least.buffer / 1000),
+        format!("{}", lower_bound.buffer / 1000),
     ];
     row.resize(11, String::new());
     row
 }
 
-fn unfinished(policy: &str, seeds: &[u64], runs: &[Outcome]) -> Vec<String> {
-    let failed = seeds.iter().zip(runs).filter(|(_, run)| !run.finished);
-    failed.map(|(seed, _)| format!("NOT FINISHED: {policy}, seed {seed}")).collect()
+fn unfinished_notes(policy: &str, seeds: &[u64], runs: &[Outcome]) -> Vec<String> {
+    let unfinished = seeds.iter().zip(runs).filter(|(_, run)| !run.finished);
+    unfinished.map(|(seed, _)| format!("NOT FINISHED: {policy}, seed {seed}")).collect()
 }
 
 fn row(policy: &str, runs: &[Outcome]) -> Vec<String> {
-    let of = |figure: &dyn Fn(&Outcome) -> f64| -> (f64, f64) {
+    let summary = |figure: &dyn Fn(&Outcome) -> f64| -> (f64, f64) {
         let numbers: Vec<f64> = runs.iter().map(figure).collect();
-        (sample::median(&numbers), sample::greatest(&numbers))
+        (sample::median(&numbers), sample::maximum(&numbers))
     };
-    let shown = |(median, greatest): (f64, f64), digits: usize| {
-        format!("{median:.digits$} ({greatest:.digits$})")
+    let format_summary = |(median, maximum): (f64, f64), digits: usize| {
+        format!("{median:.digits$} ({maximum:.digits$})")
     };
     let total = |figure: &dyn Fn(&Outcome) -> u32| runs.iter().map(figure).sum::<u32>().to_string();
     let decisions: Vec<f64> = runs.iter().flat_map(|run| run.decisions.iter().copied()).collect();
     let cores = |millicores: u64| millicores as f64 / 1000.0;
     vec![
         policy.to_owned(),
-        shown(of(&|run| run.seconds), 0),
-        shown(of(&|run| run.seconds / run.capacity), 2),
-        shown(of(&|run| run.seconds / run.least), 2),
-        shown(of(&|run| f64::from(run.moves) / f64::from(run.tasks.max(1))), 2),
-        shown(of(&|run| f64::from(run.repairs)), 0),
-        shown(of(&|run| cores(run.shared_buffer)), 0),
-        shown(of(&|run| cores(run.separate_buffer)), 0),
+        format_summary(summary(&|run| run.seconds), 0),
+        format_summary(summary(&|run| run.seconds / run.capacity_bound), 2),
+        format_summary(summary(&|run| run.seconds / run.buffer_bound), 2),
+        format_summary(summary(&|run| f64::from(run.moves) / f64::from(run.tasks.max(1))), 2),
+        format_summary(summary(&|run| f64::from(run.repairs)), 0),
+        format_summary(summary(&|run| cores(run.shared_buffer)), 0),
+        format_summary(summary(&|run| cores(run.separate_buffer)), 0),
         total(&|run| run.voluntary),
         total(&|run| run.breaches),
-        format!("{:.0} ({:.0})", sample::median(&decisions), sample::greatest(&decisions)),
+        format!("{:.0} ({:.0})", sample::median(&decisions), sample::maximum(&decisions)),
     ]
 }
 
 fn run(preset: &Preset, fleet: &Fleet, policy: &str, seed: u64, rules: &Rules) -> Outcome {
-    let plan = planned(fleet, policy, seed, rules);
-    let failures = draw(preset, fleet, seed, rules);
+    let plan = running_plan(fleet, policy, seed, rules);
+    let failures = draw_failures(preset, fleet, seed, rules);
     let mut outcome = Outcome { finished: true, ..Outcome::default() };
-    outcome.capacity = bound::of(fleet, rules).seconds;
+    outcome.capacity_bound = bound::of(fleet, rules).seconds;
     for pool in plan.pools.keys() {
-        let mut rehearsal = Simulation::new(fleet, &plan, pool, rules, BEGIN);
+        let mut simulation = Simulation::new(fleet, &plan, pool, rules, BEGIN);
         for failure in failures.iter().filter(|f| fleet.hosts[&f.host].pool == *pool) {
-            rehearsal.schedule(failure.after, Event::Fail(failure.host.clone()));
-            let back = failure.after + REPAIRED_AFTER;
-            rehearsal.schedule(back, Event::Recover(failure.host.clone()));
+            simulation.schedule(failure.after, Event::Fail(failure.host.clone()));
+            let recovery = failure.after + REPAIR_TIME;
+            simulation.schedule(recovery, Event::Recover(failure.host.clone()));
         }
-        let report = rehearsal.run(LONGEST);
+        let report = simulation.run(MAX_WAVE_TIME);
         outcome.add(fleet, pool, &report, rules);
     }
     outcome
@@ -201,9 +202,9 @@
 
 impl Outcome {
     fn add(&mut self, fleet: &Fleet, pool: &PoolId, report: &Report, rules: &Rules) {
-        let least = bound::seconds_with(fleet, pool, report.shared_buffer, rules);
+        let buffer_bound = bound::seconds_with(fleet, pool, report.shared_buffer, rules);
         self.seconds = self.seconds.max(report.seconds as f64);
-        self.least = self.least.max(least);
+        self.buffer_bound = self.buffer_bound.max(buffer_bound);
         self.moves += report.moves;
         self.repairs += report.repairs;
         self.tasks += fleet.hosts_of(pool).map(|h| fleet.tasks_on(h).len() as u32).sum::<u32>();
@@ -216,8 +217,8 @@
     }
 }
 
-/// A running plan for all hosts, ordered and bounded by a policy.
-fn planned(fleet: &Fleet, policy: &str, seed: u64, rules: &Rules) -> Plan {
+/// A running plan for all hosts, with the batches and limits of a policy.
+fn running_plan(fleet: &Fleet, policy: &str, seed: u64, rules: &Rules) -> Plan {
     let mut plan = shape::rotation(fleet, rules);
     plan.state = PlanState::Running;
     for (pool, part) in &mut plan.pools {
@@ -232,12 +233,13 @@
     plan
 }
 
-/// Failures of single hosts and of one rack, all within the time that our wave takes.
-fn draw(preset: &Preset, fleet: &Fleet, seed: u64, rules: &Rules) -> Vec<Failure> {
+/// Draws failures of single hosts and of one rack, all within the time that a wave takes under the
+/// built-in policy.
+fn draw_failures(preset: &Preset, fleet: &Fleet, seed: u64, rules: &Rules) -> Vec<Failure> {
     let mut rng = Pcg64::seed_from_u64(seed);
     let span = bound::cycle(rules) * 3;
     let hosts: Vec<&HostId> = fleet.hosts.keys().collect();
-    let count = (f64::from(preset.hosts) * FAILING).ceil() as usize;
+    let count = (f64::from(preset.hosts) * FAILING_SHARE).ceil() as usize;
     let mut failures: BTreeMap<HostId, Duration> = BTreeMap::new();
     for host in hosts.into_iter().sample(&mut rng, count) {
         failures.insert(host.clone(), span.mul_f64(rng.random::<f64>()));
