--- a/src/jobs/tests/plan_cost.rs
+++ b/src/jobs/tests/plan_cost.rs
@@ -6,13 +6,13 @@
 //! times per second, on a node with half a core. Its view fell behind, and pools were sized for the
 //! demand of 6 to 9 s before.
 
-use crate::measure::fleet::play;
+use crate::measure::fleet::run_plans;
 
 /// The number of visits of hosts and marks in the last of several plans, with a tenth of the hosts
 /// marked.
 fn visits(hosts: usize) -> usize {
     let mut visits = 0;
-    play(hosts, hosts / 10, 4, |fleet, snapshot, now| {
+    run_plans(hosts, hosts / 10, 4, |fleet, snapshot, now| {
         fleet.take_visits();
         fleet.plan(snapshot, now);
         visits = fleet.take_visits();
--- a/src/measure/fleet.rs
+++ b/src/measure/fleet.rs
@@ -56,7 +56,7 @@
         .flat_map(|hosts| MARKED_PERCENT.iter().map(|marked| (*hosts, *marked, POOLS_WITH_WORK)));
     let rows = cases.chain([TARGET_SIZE]).map(|(hosts, percent, pools)| {
         let mut durations: Vec<Duration> = Vec::new();
-        play(hosts, hosts * percent / 100, pools, |fleet, snapshot, now| {
+        run_plans(hosts, hosts * percent / 100, pools, |fleet, snapshot, now| {
             let began = Instant::now();
             fleet.plan(snapshot, now);
             durations.push(began.elapsed());
@@ -131,7 +131,7 @@
 
 /// Calls `run_plan` for each of a row's plans, during a wave over half of the hosts: `marked` hosts
 /// are marked for draining and already empty, and `with_work` pools have work.
-pub(crate) fn play(
+pub(crate) fn run_plans(
     hosts: usize,
     marked: usize,
     with_work: usize,
