--- a/src/decide.rs
+++ b/src/decide.rs
@@ -8,12 +8,12 @@
 pub(crate) mod place;
 pub(crate) mod plan;
 pub(crate) mod pools;
-pub(crate) mod rehearse;
 pub(crate) mod rendezvous;
 pub(crate) mod repair;
 pub(crate) mod route;
 pub(crate) mod rules;
 pub(crate) mod share;
+pub(crate) mod simulate;
 pub(crate) mod wave;
 
 #[cfg(test)]
--- a/src/decide/plan.rs
+++ b/src/decide/plan.rs
@@ -11,8 +11,8 @@
 use crate::{
     decide::{
         order, place,
-        rehearse::{Report, Simulation},
         rules::Rules,
+        simulate::{Report, Simulation},
     },
     model::{
         fleet::Fleet,
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -7,10 +7,9 @@
 
 use crate::{
     decide::{
-        budget, plan,
-        rehearse::Simulation,
-        repair,
+        budget, plan, repair,
         rules::Rules,
+        simulate::Simulation,
         wave::{self, Step, WaveContext},
     },
     measure::shape::{self, BEGIN},
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -9,7 +9,7 @@
 //! host is stored in its own record; the plan's record is written only when the plan's state
 //! changes.
 
-mod scene;
+mod capacity;
 mod step;
 
 use std::{
@@ -23,7 +23,7 @@
         place::NoHost,
         repair::Moves,
         rules::Rules,
-        wave::scene::RoundCapacity,
+        wave::capacity::RoundCapacity,
     },
     model::{
         fleet::Fleet,
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -17,10 +17,10 @@
         share::PeerDemand,
     },
     entry::{
+        claims::ClaimError,
         forward::{self, Answer, Attempt, MemoryLimits, Outgoing},
         gate::{Bound, Gate, InFlight},
         headers::{self, RequestOptions},
-        once::ClaimError,
         routes::{self, Slot},
     },
     http::{self, BodyError},
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -11,17 +11,17 @@
 //!   workers may run which tasks is persisted before that changes.
 
 pub(crate) mod balance;
+pub(crate) mod delegates;
 pub(crate) mod event;
 pub(crate) mod fleet;
-pub(crate) mod gone;
 pub(crate) mod handover;
-pub(crate) mod helpers;
 pub(crate) mod job;
-pub(crate) mod losses;
+pub(crate) mod message_loss;
 pub(crate) mod owner;
 pub(crate) mod place;
 pub(crate) mod roster;
-pub(crate) mod saves;
+pub(crate) mod run_end;
+pub(crate) mod save_queue;
 pub(crate) mod urgency;
 pub(crate) mod worker;
 
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::{
-    jobs::{event::StoredJob, gone::PreviousRun},
+    jobs::{event::StoredJob, run_end::PreviousRun},
     model::{
         id::Incarnation,
         job::{
--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -1,27 +1,27 @@
 //! The owner of one pool's jobs.
 
-mod advise;
 mod answers;
 mod crashes;
 mod ends;
-mod held;
+mod held_back;
 mod incarnations;
-mod looks;
-mod pace;
 mod plan;
+mod polls;
 mod roster;
-mod shown;
+mod status;
+mod throttle;
+mod tickets;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 use crate::{
     jobs::{
         event::{Effect, Event, ProgressWrite, StoredJob},
-        gone::{Counts, PreviousRun, RunEnd},
         job::{Job, JobEnd, Phase, RUNS_PER_OWNER},
-        losses::MessageLoss,
+        message_loss::MessageLoss,
         roster::{Holding, Roster},
-        saves::SaveQueue,
+        run_end::{Counts, PreviousRun, RunEnd},
+        save_queue::SaveQueue,
         urgency::Durations,
         worker::{
             EXPIRY_DELAY_MS, LostRun, RestartFence, SLOWEST_CLOCK_PERCENT, WORKER_LEASE_MS, Worker,
@@ -37,7 +37,7 @@
 
 #[cfg(test)]
 pub(crate) use roster::UNCONFIRMED_ADDED;
-pub(crate) use shown::{DrainedHost, HostUsage};
+pub(crate) use status::{DrainedHost, HostUsage};
 
 /// Duration of a node's lease, in milliseconds: a node that does not renew it keeps what it owns
 /// for this long. Three renewals fit.
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -3,8 +3,8 @@
 use super::{Owner, UNSENT_RETRY_MS};
 use crate::{
     jobs::{
-        gone::RunEnd,
         job::{Phase, RUNS_PER_OWNER},
+        run_end::RunEnd,
         worker::RestartFence,
     },
     model::{
--- a/src/jobs/owner/ends.rs
+++ b/src/jobs/owner/ends.rs
@@ -2,7 +2,7 @@
 
 use super::{Owner, acknowledge};
 use crate::{
-    jobs::{event::Effect, gone::RunEnd, job::Run},
+    jobs::{event::Effect, job::Run, run_end::RunEnd},
     model::{
         id::Incarnation,
         job::{JobId, JobState, TaskId},
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -11,9 +11,9 @@
 use super::Owner;
 use crate::{
     jobs::{
-        gone::RunEnd,
         job::{Phase, Run},
         roster::Holding,
+        run_end::RunEnd,
         worker::{RestartFence, Worker},
     },
     model::{
--- a/src/jobs/owner/looks.rs
+++ b/src/jobs/owner/polls.rs
@@ -9,8 +9,8 @@
 use crate::{
     jobs::{
         event::Effect,
-        gone::{RunEnd, UnexpectedRun},
         job::{Job, Phase, Run},
+        run_end::{RunEnd, UnexpectedRun},
         worker::{
             EXPIRY_DELAY_MS, LostRun, MAX_ORDER_DELAY_MS, POLL_TIMEOUT_MS, SHORT_POLL_TIMEOUT_MS,
             Worker,
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -1,24 +1,24 @@
 //! Tests of a pool's owner, driven event by event.
 
+mod acknowledgements;
 mod balance;
-mod cold;
 mod crashes;
-mod cut;
+mod delegates;
 mod fleet;
+mod foreign_entries;
 mod fuzz;
-mod gone;
 mod handover;
-mod helpers;
 mod incarnations;
-mod late;
-mod looks;
-mod places;
+mod late_timers;
 mod plan_cost;
+mod polls;
 mod refusals;
-mod rooms;
+mod resizing;
+mod restart_counts;
 mod roster;
+mod truncated_ends;
 mod unlisted;
-mod waiting;
+mod waiting_jobs;
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -27,7 +27,7 @@
         event::{Effect, Event, StoredJob},
         owner::Owner,
         roster::{RosterWrite, SilentWorkers},
-        saves::SaveQueue,
+        save_queue::SaveQueue,
         worker::WORKER_LEASE_MS,
     },
     model::{
--- a/src/jobs/tests/crashes.rs
+++ b/src/jobs/tests/crashes.rs
@@ -4,7 +4,7 @@
 //! all other runs there. A run that ends with its worker lists no end, and only listed ends counted
 //! as attempts.
 
-mod announced;
+mod isolated_retries;
 mod many;
 mod pool;
 
--- a/src/jobs/tests/helpers.rs
+++ b/src/jobs/tests/delegates.rs
@@ -4,7 +4,7 @@
 
 use super::worker_id;
 use crate::{
-    jobs::helpers::{Delegates, can_call_directly},
+    jobs::delegates::{Delegates, can_call_directly},
     model::{id::Incarnation, unit::Millicores},
 };
 
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -60,7 +60,7 @@
 
     /// Lets the view show a mark.
     fn show_mark(&mut self, host: HostId, action: HostAction) {
-        self.marks.insert(host, DrainMark { action: action, revision: self.view_revision });
+        self.marks.insert(host, DrainMark { action, revision: self.view_revision });
     }
 
     fn snapshot(&self) -> FleetSnapshot<'_> {
--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -3,7 +3,7 @@
 //! are disconnected from some owners only; responses of the store are lost. The oracle checks the
 //! runs that workers actually execute and shares no code with the decisions.
 
-mod wire;
+mod network;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -192,7 +192,7 @@
     /// How late workers end their runs once their lease has expired, in milliseconds.
     expiry_lag: u64,
     /// Answers that no owner has handled yet.
-    answers: Vec<wire::PendingAnswer>,
+    answers: Vec<network::PendingAnswer>,
     incarnations: u32,
     jobs: BTreeMap<JobId, StoredJob>,
     cancelled: BTreeMap<JobId, u64>,
--- a/src/jobs/tests/gone.rs
+++ b/src/jobs/tests/restart_counts.rs
@@ -5,7 +5,7 @@
 use crate::{
     jobs::{
         event::Event,
-        gone::{Counts, RunEnd, UnexpectedRun},
+        run_end::{Counts, RunEnd, UnexpectedRun},
     },
     model::{
         id::Incarnation,
@@ -103,7 +103,7 @@
 
 #[test]
 fn the_run_before_is_logged_with_its_worker_and_age() {
-    let previous = crate::jobs::gone::PreviousRun {
+    let previous = crate::jobs::run_end::PreviousRun {
         worker: worker_id("w3"),
         run: 2,
         reason: RunEnd::Lapsed,
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -9,8 +9,8 @@
 mod owner;
 mod path;
 mod route;
-mod sample;
 pub(crate) mod shape;
+mod stats;
 mod target;
 mod waves;
 
--- a/src/measure/fleet.rs
+++ b/src/measure/fleet.rs
@@ -18,7 +18,7 @@
         worker::{HostPhase, ListedHost, Upkeep},
     },
     platform::kv::Change,
-    scheduler::{demand::Demands, drive::json, keys, view::View},
+    scheduler::{control_loop::json, demand::Demands, keys, view::View},
 };
 
 /// Sizes of the fleet, in hosts.
--- a/src/measure/mirror.rs
+++ b/src/measure/mirror.rs
@@ -22,12 +22,12 @@
     model::unit::{Revision, Time},
     platform::{
         kv::{self, Change, Kv},
-        runner::WorkerClient,
+        worker_client::WorkerClient,
     },
     scheduler::{
-        Node, accept, demand,
-        drive::{ControlLoop, Input, Ownership, json as bytes},
-        keys,
+        Node, accept,
+        control_loop::{ControlLoop, Input, Ownership, json as bytes},
+        demand, keys,
         lease::{Lease, Tenure},
         metrics::Metrics,
         node,
--- a/src/measure/mirror/mix.rs
+++ b/src/measure/mirror/mix.rs
@@ -18,7 +18,7 @@
     },
     platform::{kv::Change, records::WORKER_PREFIX},
     scheduler::{
-        drive::json as bytes,
+        control_loop::json as bytes,
         keys,
         view::{DrainedRecord, HostCallRecord},
     },
--- a/src/measure/node.rs
+++ b/src/measure/node.rs
@@ -6,7 +6,7 @@
 use crate::{
     demo::{self, nodes::Fleet},
     error::Error,
-    measure::{Figures, path, sample, target::resident_bytes},
+    measure::{Figures, path, stats, target::resident_bytes},
     model::unit::PerSecond,
     operator::{client::Client, message::Rows},
     preset::{self, Preset},
@@ -103,7 +103,7 @@
         let points: Vec<_> = measured.iter().filter(|(point, _)| is_included(point)).collect();
         let through = |figure: &dyn Fn(&Cost) -> f64| {
             let points: Vec<_> = points.iter().map(|(p, cost)| (axis(p), figure(cost))).collect();
-            let line = sample::fit_line(&points);
+            let line = stats::fit_line(&points);
             format!(
                 "{:.4} (intercept {:.2}, residuals up to {:.2})",
                 line.slope, line.intercept, line.max_residual
--- a/src/measure/route.rs
+++ b/src/measure/route.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     decide::route::{self, Load},
-    measure::{Figures, sample},
+    measure::{Figures, stats},
     model::unit::Time,
 };
 
@@ -110,7 +110,7 @@
         let runs: Vec<Outcome> = SEEDS.map(|seed| run(policy, seed)).collect();
         let summary = |figure: fn(&Outcome) -> f64, digits: usize| {
             let numbers: Vec<f64> = runs.iter().map(figure).collect();
-            let (median, maximum) = (sample::median(&numbers), sample::maximum(&numbers));
+            let (median, maximum) = (stats::median(&numbers), stats::maximum(&numbers));
             format!("{median:.digits$} ({maximum:.digits$})")
         };
         vec![
--- a/src/measure/target.rs
+++ b/src/measure/target.rs
@@ -9,8 +9,9 @@
         wave::{self, WaveContext},
     },
     measure::{
-        Figures, sample,
+        Figures,
         shape::{self, BEGIN},
+        stats,
     },
     model::{
         fleet::Fleet,
@@ -71,8 +72,8 @@
         format!("{:.2}", planned.as_secs_f64()),
         format!("{:.1}", plan.cost.seconds as f64 / 3600.0),
         plan.cost.moves.to_string(),
-        format!("{:.0}", sample::median(&micros)),
-        format!("{:.0}", sample::maximum(&micros)),
+        format!("{:.0}", stats::median(&micros)),
+        format!("{:.0}", stats::maximum(&micros)),
         format!("{:.1}", view_bytes as f64 / f64::from(1 << 20)),
     ]
 }
--- a/src/measure/waves.rs
+++ b/src/measure/waves.rs
@@ -9,13 +9,14 @@
 use crate::{
     decide::{
         baseline,
-        rehearse::{Event, Report, Simulation},
         rules::Rules,
+        simulate::{Event, Report, Simulation},
     },
     error::Error,
     measure::{
-        Figures, bound, sample,
+        Figures, bound,
         shape::{self, BEGIN},
+        stats,
     },
     model::{
         fleet::Fleet,
@@ -159,7 +160,7 @@
 fn row(policy: &str, runs: &[Outcome]) -> Vec<String> {
     let summary = |figure: &dyn Fn(&Outcome) -> f64| -> (f64, f64) {
         let numbers: Vec<f64> = runs.iter().map(figure).collect();
-        (sample::median(&numbers), sample::maximum(&numbers))
+        (stats::median(&numbers), stats::maximum(&numbers))
     };
     let format_summary = |(median, maximum): (f64, f64), digits: usize| {
         format!("{median:.digits$} ({maximum:.digits$})")
@@ -178,7 +179,7 @@
         format_summary(summary(&|run| cores(run.separate_buffer)), 0),
         total(&|run| run.voluntary),
         total(&|run| run.breaches),
-        format!("{:.0} ({:.0})", sample::median(&decisions), sample::maximum(&decisions)),
+        format!("{:.0} ({:.0})", stats::median(&decisions), stats::maximum(&decisions)),
     ]
 }
 
--- a/src/node.rs
+++ b/src/node.rs
@@ -2,17 +2,17 @@
 
 pub(crate) mod assign;
 pub(crate) mod control;
-pub(crate) mod drive;
 pub(crate) mod hosts;
 pub(crate) mod members;
 pub(crate) mod metrics;
-pub(crate) mod pace;
 pub(crate) mod peers;
+pub(crate) mod plans;
 pub(crate) mod run;
 pub(crate) mod sync;
 pub(crate) mod traffic;
 pub(crate) mod view;
 pub(crate) mod write;
+pub(crate) mod write_limiter;
 
 #[cfg(test)]
 mod tests;
@@ -27,9 +27,11 @@
 
 use crate::{
     decide::rendezvous,
-    entry::{gate::Gates, once::ClaimWriters, routes::Routes},
+    entry::{claims::ClaimWriters, gate::Gates, routes::Routes},
     model::{id::NodeId, unit::Time},
-    node::{metrics::Metrics, pace::WriteLimiter, peers::Peers, traffic::Traffic, view::View},
+    node::{
+        metrics::Metrics, peers::Peers, traffic::Traffic, view::View, write_limiter::WriteLimiter,
+    },
     platform::store::Store,
     settings::node::NodeSettings,
 };
--- a/src/node/control.rs
+++ b/src/node/control.rs
@@ -22,7 +22,7 @@
         unit::{Epoch, Revision, Time},
     },
     node::{
-        Node, drive,
+        Node, plans,
         view::View,
         write::{self, WriteResult},
     },
@@ -84,7 +84,7 @@
 async fn run_round(node: &Arc<Node>, now: Time) -> Result<(), StoreError> {
     join_pools(node, now).await?;
     repair_placements(node, now).await?;
-    drive::advance(node, now).await?;
+    plans::advance(node, now).await?;
     fold_changes(node).await
 }
 
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -10,12 +10,14 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    entry::{forward::MemoryLimits, gate::Gates, once::ClaimWriters, routes::Routes, serve::Entry},
+    entry::{
+        claims::ClaimWriters, forward::MemoryLimits, gate::Gates, routes::Routes, serve::Entry,
+    },
     http,
     model::unit::Time,
     node::{
-        Node, assign, control, hosts, members, metrics::Metrics, pace::WriteLimiter, peers,
-        peers::Peers, sync, traffic::Traffic, view::View,
+        Node, assign, control, hosts, members, metrics::Metrics, peers, peers::Peers, sync,
+        traffic::Traffic, view::View, write_limiter::WriteLimiter,
     },
     operator::api,
     platform::store::Store,
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -2,16 +2,16 @@
 //! not used elsewhere.
 
 pub(crate) mod advice;
+mod call_limits;
 pub(crate) mod caller;
 pub(crate) mod connections;
 pub(crate) mod hosts;
 pub(crate) mod kv;
-mod lines;
 pub(crate) mod machines;
 pub(crate) mod records;
-pub(crate) mod runner;
 pub(crate) mod store;
 pub(crate) mod worker;
+pub(crate) mod worker_client;
 
 #[cfg(test)]
 mod tests;
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the platform's clients over real sockets, and of the parsing of the platform's answers.
 
-mod peer;
-mod silence;
+mod scripted_server;
+mod silent_connections;
 mod sockets;
 
 use serde_json::json;
--- a/src/platform/tests/silence.rs
+++ b/src/platform/tests/silent_connections.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     model::{order::Addressee, unit::Revision, worker::OrderResult},
-    platform::{kv::Kv, machines::HostClient, runner::WorkerClient},
+    platform::{kv::Kv, machines::HostClient, worker_client::WorkerClient},
 };
 
 /// Timeout of the calls, longer than any answered call takes on a busy machine.
--- a/src/platform/tests/sockets.rs
+++ b/src/platform/tests/sockets.rs
@@ -5,7 +5,7 @@
 
 use tokio::net::TcpListener;
 
-use super::peer::{Action, ScriptedServer};
+use super::scripted_server::{Action, ScriptedServer};
 use crate::{
     model::{
         order::{Addressee, Start},
@@ -14,8 +14,8 @@
     },
     platform::{
         kv::{CommitResult, Kv, Txn},
-        runner::WorkerClient,
         store::StoreError,
+        worker_client::WorkerClient,
     },
 };
 
--- a/src/platform/runner.rs
+++ b/src/platform/worker_client.rs
@@ -14,8 +14,8 @@
         worker::{EndedRun, OrderResult, PollResponse, PresentRun, Refusal, RunOutcome},
     },
     platform::{
+        call_limits::{CallLimits, MAX_CALLS_PER_WORKER},
         connections::{ConnectionsByAddress, FullResponse},
-        lines::{CallLimits, MAX_CALLS_PER_WORKER},
         store::chain,
     },
 };
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -5,18 +5,18 @@
 pub(crate) mod accept;
 pub(crate) mod api;
 pub(crate) mod clock;
+pub(crate) mod control_loop;
 pub(crate) mod demand;
 pub(crate) mod dispatch;
-pub(crate) mod drive;
 pub(crate) mod fleet;
 pub(crate) mod keys;
-pub(crate) mod lateness;
 pub(crate) mod lease;
 pub(crate) mod metrics;
 pub(crate) mod mirror;
 pub(crate) mod relay;
 pub(crate) mod run;
 pub(crate) mod view;
+pub(crate) mod view_age;
 
 #[cfg(test)]
 mod tests;
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -20,8 +20,8 @@
     platform::{
         caller::{self, PendingAnswer},
         kv::{CommitResult, Txn},
-        runner::WorkerClient,
         store::StoreError,
+        worker_client::WorkerClient,
     },
     scheduler::{
         Node,
--- a/src/scheduler/drive.rs
+++ b/src/scheduler/control_loop.rs
@@ -1,16 +1,16 @@
 //! The control loop of a node: delivers events to the owners of pools and executes their effects.
 
-mod behind;
+mod acquire;
 mod input;
-mod keep;
-mod news;
+mod order_counts;
 mod orders;
-mod reach;
-mod tally;
-mod tell;
+mod persist;
+mod publish;
+mod stale_view;
 #[cfg(test)]
 mod tests;
-mod word;
+mod updates;
+mod waiting_report;
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -28,9 +28,9 @@
 
 use crate::{
     jobs::{
+        delegates::Delegates,
         event::Event,
         fleet::FleetOwner,
-        helpers::Delegates,
         owner::{DrainedHost, HostUsage, Owner},
     },
     model::{
@@ -38,7 +38,7 @@
         unit::{Now, Revision, Steady},
         worker::WorkerReport,
     },
-    platform::{advice::AdviceClient, machines::HostClient, runner::WorkerClient},
+    platform::{advice::AdviceClient, machines::HostClient, worker_client::WorkerClient},
     scheduler::{
         Node,
         demand::Demands,
@@ -50,9 +50,9 @@
     },
 };
 
-use behind::StaleView;
 pub(crate) use input::{Input, OverwriteResult, Ownership, ProgressResult};
-use word::ReportState;
+use stale_view::StaleView;
+use waiting_report::ReportState;
 
 /// Interval between iterations when there is no input.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
@@ -84,7 +84,7 @@
     /// Nodes that make the calls to its workers.
     delegates: Delegates,
     /// Counts of its orders to workers.
-    order_counts: Arc<tally::OrderCounts>,
+    order_counts: Arc<order_counts::OrderCounts>,
     /// Ends the owner's own watch when dropped.
     _watch_guard: DropGuard,
     /// Number of progress writes in flight.
@@ -456,7 +456,7 @@
                 owner.handle(Event::Job(stored), now, &mut out);
             }
         }
-        owner.set_draining(news::drain_marks(&view, &pool));
+        owner.set_draining(updates::drain_marks(&view, &pool));
         // The owner has received all jobs up to its token, and the write that won the token was
         // sent at the time returned by `confirmed`.
         let report_revision =
--- a/src/scheduler/drive/reach.rs
+++ b/src/scheduler/control_loop/acquire.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{
-    ControlLoop, Input, OwnedPool, Ownership, Vacancy, behind::STALE_ACQUIRE_DELAY_MS, json,
+    ControlLoop, Input, OwnedPool, Ownership, Vacancy, json, stale_view::STALE_ACQUIRE_DELAY_MS,
 };
 use crate::{
     jobs::balance::{self, Capacity},
--- a/src/scheduler/drive/orders.rs
+++ b/src/scheduler/control_loop/orders.rs
@@ -4,12 +4,12 @@
 
 use super::{
     ControlLoop, Input,
-    tally::{CallingNode, PendingOrder},
+    order_counts::{CallingNode, PendingOrder},
 };
 use crate::{
     jobs::{
+        delegates,
         event::{Effect, Event},
-        helpers,
     },
     model::{id::Incarnation, order::AdviceResult, unit::Steady, worker::OrderResult},
     scheduler::{
@@ -167,7 +167,7 @@
         let cpu = self.node.settings.cpu;
         let worker_count = self.owned.values().map(|owned| owned.owner.worker_count()).sum();
         for (name, owned) in &mut self.owned {
-            if helpers::can_call_directly(worker_count, cpu) {
+            if delegates::can_call_directly(worker_count, cpu) {
                 owned.delegates.clear();
                 continue;
             }
--- a/src/scheduler/drive/tell.rs
+++ b/src/scheduler/control_loop/publish.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{ControlLoop, Input, OverwriteResult, json, keep::commit, word::Counts};
+use super::{ControlLoop, Input, OverwriteResult, json, persist::commit, waiting_report::Counts};
 use crate::{
     jobs::{event::Event, owner::DrainedHost},
     model::unit::{Now, Revision, Steady},
--- a/src/scheduler/drive/tests.rs
+++ b/src/scheduler/control_loop/tests.rs
@@ -2,9 +2,9 @@
 //! view lags. An ownership won under a lease that the store has ended must be dropped, whatever
 //! lease the node holds by then.
 
-mod behind;
 mod load;
-mod words;
+mod stale_view;
+mod waiting_report;
 
 use std::{cell::Cell, collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -23,8 +23,8 @@
     platform::{
         kv::{Change, Kv},
         records::OPERATOR_PREFIX,
-        runner::WorkerClient,
         store::LeaseId,
+        worker_client::WorkerClient,
     },
     scheduler::{
         Node, accept, keys,
--- a/src/scheduler/drive/tests/load.rs
+++ b/src/scheduler/control_loop/tests/load.rs
@@ -7,7 +7,7 @@
     model::unit::Revision,
     platform::kv::Change,
     scheduler::{
-        drive::{Input, json, news::MARKS_CHECKED, pause_after, tests::World},
+        control_loop::{Input, json, pause_after, tests::World, updates::MARKS_CHECKED},
         keys,
     },
 };
--- a/src/scheduler/drive/tests/behind.rs
+++ b/src/scheduler/control_loop/tests/stale_view.rs
@@ -14,7 +14,7 @@
     },
     platform::records::{OPERATOR_PREFIX, WORKER_PREFIX},
     scheduler::{
-        drive::{Input, OverwriteResult, json as bytes},
+        control_loop::{Input, OverwriteResult, json as bytes},
         keys,
         view::age::{MAX_RECORDS_AGE_MS, MAX_REPORT_AGE_MS},
     },
--- a/src/scheduler/drive/tests/words.rs
+++ b/src/scheduler/control_loop/tests/waiting_report.rs
@@ -13,7 +13,7 @@
     },
     platform::kv::Change,
     scheduler::{
-        drive::{Input, OverwriteResult, OwnedPool},
+        control_loop::{Input, OverwriteResult, OwnedPool},
         keys,
         view::{OwnerRecord, age::MAX_RECORDS_AGE_MS},
     },
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -4,7 +4,7 @@
 use crate::{
     jobs::event::{Effect, Event},
     model::{unit::Steady, worker::OrderResult},
-    platform::runner::WorkerClient,
+    platform::worker_client::WorkerClient,
 };
 
 /// Makes the call of one order and returns its result. Requests for advice are not orders to
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -27,7 +27,7 @@
 use crate::{
     jobs::event::{Effect, Event},
     model::{unit::Steady, worker::OrderResult},
-    platform::runner::{ORDER_TIMEOUT, POLL_ALLOWANCE},
+    platform::worker_client::{ORDER_TIMEOUT, POLL_ALLOWANCE},
 };
 
 /// How long a link may take to open. Two crossings between zones take some 6 ms.
--- a/src/scheduler/dispatch/serve.rs
+++ b/src/scheduler/dispatch/serve.rs
@@ -27,7 +27,7 @@
     call::call,
     wire::{self, Answer, Answers, Batch, WorkerTable},
 };
-use crate::{http, platform::runner::WorkerClient};
+use crate::{http, platform::worker_client::WorkerClient};
 
 /// How long the first answer waits for others, so that they share a message: with ends of some
 /// twelve workers, each message and each wake-up of its reader serves several.
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -22,8 +22,8 @@
         records,
     },
     scheduler::{
+        control_loop::{ControlLoop, Input, OwnedFleet, SUMMARY_MS, json},
         demand::Demands,
-        drive::{ControlLoop, Input, OwnedFleet, SUMMARY_MS, json},
         keys,
         view::{HostCallRecord, Versioned, View, WaveRecord},
     },
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -17,7 +17,7 @@
         kv::{CommitResult, Txn},
         store::LeaseId,
     },
-    scheduler::{Node, drive::json, keys, view::NodeRecord},
+    scheduler::{Node, control_loop::json, keys, view::NodeRecord},
 };
 
 /// How long the ownership of a node that does not renew its lease lasts.
--- a/src/scheduler/metrics.rs
+++ b/src/scheduler/metrics.rs
@@ -18,7 +18,7 @@
     registry::Registry,
 };
 
-use crate::{http, jobs::gone::Counts, logging};
+use crate::{http, jobs::run_end::Counts, logging};
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StoreCallLabels {
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -15,12 +15,12 @@
     },
     scheduler::{
         Node,
-        drive::Input,
+        control_loop::Input,
         keys::{self, ROOT},
         view::{
             Delta,
             age::{CallStart, Extent},
-            heard::SourceId,
+            key_revisions::SourceId,
         },
     },
 };
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -15,16 +15,16 @@
 use crate::{
     error::Error,
     http,
-    platform::{kv::Kv, runner::WorkerClient},
+    platform::{kv::Kv, worker_client::WorkerClient},
     scheduler::{
         Node, accept,
         api::{Api, Readiness},
-        drive::{ControlLoop, Input},
-        lateness,
+        control_loop::{ControlLoop, Input},
         lease::{self, Lease},
         metrics::{Metrics, Page},
         mirror, node,
         relay::Relay,
+        view_age,
     },
     settings::scheduler::{self, SchedulerSettings},
 };
@@ -86,7 +86,7 @@
     tokio::spawn(http::serve(readiness, 64, probe, http::Stop::default()));
     tokio::spawn(http::serve(metrics_listener, 16, Page(metrics), http::Stop::default()));
     tokio::spawn(summarize(node.clone()));
-    tokio::spawn(lateness::watch(node.clone()));
+    tokio::spawn(view_age::watch(node.clone()));
     tokio::spawn(reload(node.clone(), path));
     shutdown.await?;
     log::info!("node {}: shutting down", node.settings.node);
--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -1,24 +1,24 @@
 //! Tests of a node's view of the store, its lease and ownerships, and the orders it sends.
 
-mod age;
-mod behind;
+mod catch_up;
 mod clock;
-mod cold;
 mod demand;
-mod foreign;
 mod incarnations;
-mod lease;
+mod lagging_watches;
+mod lease_fuzz;
+mod link_failures;
 mod links;
-mod moments;
-mod news;
-mod orders;
+mod order_wire;
+mod out_of_order;
+mod overwritten;
 mod ownership;
-mod plans;
+mod ownership_gaps;
+mod plan_interval;
 mod readiness;
+mod renewal_gaps;
+mod stale_view;
 mod takeovers;
-mod terms;
-mod unsent;
-mod watches;
+mod view_age;
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
         unit::Revision,
     },
     platform::kv::Change,
-    scheduler::{drive::json, keys, view::View},
+    scheduler::{control_loop::json, keys, view::View},
 };
 
 /// How long a test waits for a condition. No test passes or fails by time otherwise.
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -14,8 +14,8 @@
     },
     platform::kv::Change,
     scheduler::{
+        control_loop::json,
         demand::{self, Demands},
-        drive::json,
         keys,
         view::View,
     },
--- a/src/scheduler/tests/incarnations.rs
+++ b/src/scheduler/tests/incarnations.rs
@@ -14,7 +14,7 @@
     },
     platform::kv::Change,
     scheduler::{
-        drive::json as bytes,
+        control_loop::json as bytes,
         keys::{self, Key},
         view::{Delta, View},
     },
--- a/src/scheduler/tests/watches.rs
+++ b/src/scheduler/tests/lagging_watches.rs
@@ -20,7 +20,7 @@
     },
     platform::kv::Change,
     scheduler::{
-        drive::json,
+        control_loop::json,
         keys,
         view::{Delta, View},
     },
--- a/src/scheduler/tests/links.rs
+++ b/src/scheduler/tests/links.rs
@@ -18,7 +18,7 @@
         unit::Steady,
         worker::OrderResult,
     },
-    platform::runner::WorkerClient,
+    platform::worker_client::WorkerClient,
     scheduler::{
         dispatch::{
             link::{Links, Outgoing},
--- a/src/scheduler/tests/foreign.rs
+++ b/src/scheduler/tests/overwritten.rs
@@ -8,7 +8,7 @@
     model::{id::Incarnation, job::JobState, unit::Revision},
     platform::kv::Change,
     scheduler::{
-        drive::json as bytes,
+        control_loop::json as bytes,
         keys,
         view::{Delta, View},
     },
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -27,12 +27,12 @@
     },
     platform::{
         kv::{Kv, Txn},
-        runner::WorkerClient,
         store::LeaseId,
+        worker_client::WorkerClient,
     },
     scheduler::{
         Node, accept,
-        drive::{ControlLoop, json},
+        control_loop::{ControlLoop, json},
         keys,
         lease::{self, Lease},
         metrics::Metrics,
--- a/src/scheduler/tests/cold.rs
+++ b/src/scheduler/tests/ownership_gaps.rs
@@ -8,7 +8,7 @@
     model::unit::{Revision, Steady},
     platform::kv::Change,
     scheduler::{
-        drive::json,
+        control_loop::json,
         keys,
         lease::{Lease, Tenure},
         view::View,
--- a/src/scheduler/tests/age.rs
+++ b/src/scheduler/tests/stale_view.rs
@@ -32,7 +32,7 @@
     scheduler::{
         Node, accept,
         api::Api,
-        drive::json,
+        control_loop::json,
         keys,
         lease::Lease,
         metrics::Metrics,
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -27,9 +27,9 @@
     },
     platform::kv::Change,
     scheduler::{
-        drive::json as bytes,
+        control_loop::json as bytes,
         keys,
-        view::{Delta, OwnerRecord, View, heard::SourceId},
+        view::{Delta, OwnerRecord, View, key_revisions::SourceId},
     },
     tests::{fuzz, sample},
 };
--- a/src/scheduler/tests/moments.rs
+++ b/src/scheduler/tests/view_age.rs
@@ -11,13 +11,13 @@
     },
     platform::kv::{Change, WatchBatch},
     scheduler::{
-        drive::json as bytes,
+        control_loop::json as bytes,
         keys::{self, ALL, ROOT},
-        lateness::{AgeMonitor, Transition},
         view::{
             View,
             age::{Ages, Extent, MAX_RECORDS_AGE_MS, MAX_REPORT_AGE_MS},
         },
+        view_age::{AgeMonitor, Transition},
     },
 };
 
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -4,7 +4,7 @@
 //! counted and not used, and is never taken as evidence that nothing runs.
 
 pub(crate) mod age;
-pub(crate) mod heard;
+pub(crate) mod key_revisions;
 pub(crate) mod waiting;
 
 use std::{
@@ -33,7 +33,7 @@
         keys::{self, Key},
         view::{
             age::{Ages, CallStart, Extent},
-            heard::{KeyRevisions, SourceId},
+            key_revisions::{KeyRevisions, SourceId},
             waiting::{WaitingRecord, WaitingReport},
         },
     },
--- a/src/standin/site.rs
+++ b/src/standin/site.rs
@@ -3,13 +3,13 @@
 //! counts starts, ends and double runs of tasks.
 
 mod hosts;
-mod life;
+mod incarnation;
 mod log;
 mod store;
 #[cfg(test)]
 mod tests;
-mod trouble;
 mod worker;
+mod worker_faults;
 
 use std::{
     collections::BTreeMap,
@@ -194,7 +194,7 @@
     for number in 0..options.workers {
         let (listener, address) = http::listen("127.0.0.1:0").await?;
         let pool = worker::pool(number % options.pools.max(1));
-        let start_time = options.keep_ids.then(life::unix_ms);
+        let start_time = options.keep_ids.then(incarnation::unix_ms);
         let worker = Worker::new(number, pool, &address.to_string(), options.work, start_time);
         site.state().workers.push(worker);
         let endpoint = worker::WorkerApi { site: site.clone(), number: number as usize };
@@ -251,7 +251,7 @@
             "/faults" => self.set_faults(&mut request).await,
             "/unheard" => self.set_dropped(&mut request).await,
             "/heard" => http::json(StatusCode::OK, &self.site.state().received()),
-            "/trouble" => trouble::set(&self.site, &mut request).await,
+            "/trouble" => worker_faults::set(&self.site, &mut request).await,
             "/log" => self.log(&request),
             "/put" => self.put(&mut request).await,
             "/counted" => http::json(StatusCode::OK, &self.site.state().counted),
--- a/src/standin/site/worker.rs
+++ b/src/standin/site/worker.rs
@@ -12,9 +12,9 @@
 
 use super::{
     Counted, LOST_ANSWER_DELAY, MAX_BODY_BYTES, Site,
-    life::{Clock, Phase},
+    incarnation::{Clock, Phase},
     log::{Kind, Log},
-    trouble::WorkerFaults,
+    worker_faults::WorkerFaults,
 };
 use crate::http;
 
