--- a/src/jobs/fleet.rs
+++ b/src/jobs/fleet.rs
@@ -86,7 +86,7 @@
     pub(crate) cpu: u64,
     /// The same for jobs that cannot.
     pub(crate) late_cpu: u64,
-    /// Number of hosts over which its lasting tasks must be spread.
+    /// Number of hosts over which its long-running tasks must be spread.
     pub(crate) spread: usize,
     /// Whether some of the tasks end by themselves.
     pub(crate) finite: bool,
@@ -144,7 +144,7 @@
     /// Hosts with a light load, as last published by their pools' owners: within each pool, the
     /// least loaded first.
     pub(crate) light: &'a [HostId],
-    /// Hosts with a higher load and no lasting task: within each pool, the least loaded first.
+    /// Hosts with a higher load and no long-running task: within each pool, the least loaded first.
     pub(crate) busy: &'a [HostId],
     /// Hosts that an earlier owner has called so recently that this one must not call them yet.
     pub(crate) recently_called: &'a BTreeSet<HostId>,
--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -49,7 +49,7 @@
     Light,
     /// Also hosts with a higher load, since work is waiting that can still end in time.
     Busy,
-    /// Any host, since lasting tasks need them.
+    /// Any host, since long-running tasks need them.
     Any,
 }
 
@@ -70,7 +70,7 @@
     Idle,
     Light(usize),
     Busy(usize),
-    /// Some of its tasks are lasting, or its load is not known.
+    /// Some of its tasks are long-running, or its load is not known.
     Lasting,
 }
 
@@ -101,7 +101,7 @@
 /// The numbers of hosts that a pool requests. Each includes the one before.
 #[derive(Debug, Clone)]
 pub(super) struct HostRequest {
-    /// Over which lasting tasks are spread.
+    /// Over which long-running tasks are spread.
     pub(super) spread: usize,
     /// For the present work that can still end in time.
     pub(super) needed: usize,
@@ -266,13 +266,13 @@
         }
     }
 
-    /// Hosts over which a pool's lasting tasks can be spread while one of the hosts is drained.
+    /// Hosts over which a pool's long-running tasks can be spread while one of the hosts is drained.
     pub(super) fn floor(&self, demand: &Demand) -> usize {
         demand.spread + 1
     }
 
     /// The number of hosts for each pool: what it wants. If there are not enough, hosts for
-    /// spreading lasting tasks come first, then those needed for present work that can still end in
+    /// spreading long-running tasks come first, then those needed for present work that can still end in
     /// time, then those for forecast work, then those for late work. Within each class, hosts go
     /// one by one to the pool with the fewest, so that a pool with a large request does not take
     /// the hosts of pools that need few.
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -220,7 +220,7 @@
 
 impl Job {
     pub(crate) fn new(stored: StoredJob, first_run: u32) -> Job {
-        let StoredJob { id, record, progress, progress_revision: saved_at, cancelled, .. } = stored;
+        let StoredJob { id, record, progress, progress_revision, cancelled, .. } = stored;
         let mut job = Job {
             id,
             state: JobState::Queued,
@@ -232,7 +232,7 @@
             wait_logs: 0,
             version: 0,
             durable_version: 0,
-            progress_revision: saved_at,
+            progress_revision,
             record,
         };
         for time in 0..job.record.occurrences() {
@@ -253,7 +253,7 @@
     fn restore(&mut self, progress: &Progress) {
         self.state = progress.state;
         self.ended = progress.ended;
-        for (name, note) in &progress.steps {
+        for (name, step_progress) in &progress.steps {
             let key = name.split_once('.').and_then(|(time, step)| {
                 Some((time.parse::<u32>().ok()?, step.parse::<u32>().ok()?))
             });
@@ -261,17 +261,17 @@
                 log::warn!("job {}: stored progress contains unknown step `{name}`", self.id);
                 continue;
             };
-            for (index, note) in &note.tasks {
+            for (index, task_progress) in &step_progress.tasks {
                 if let Some(task) = step.tasks.get_mut(*index as usize) {
-                    task.run = task.run.max(note.run);
-                    task.failed = note.failed.clone();
-                    task.checkpoint = note.checkpoint.clone();
-                    task.crashed = note.crashed.clone();
-                    task.unconfirmed_crashes = note.unconfirmed_crashes.clone();
+                    task.run = task.run.max(task_progress.run);
+                    task.failed = task_progress.failed.clone();
+                    task.checkpoint = task_progress.checkpoint.clone();
+                    task.crashed = task_progress.crashed.clone();
+                    task.unconfirmed_crashes = task_progress.unconfirmed_crashes.clone();
                     task.suspect = task.lost_workers() != 0;
                 }
             }
-            for index in &note.done {
+            for index in &step_progress.done {
                 if let Some(task) = step.tasks.get_mut(*index as usize)
                     && !task.done
                 {
@@ -289,9 +289,9 @@
             return progress;
         }
         for ((time, number), step) in &self.steps {
-            let note = step_note(step, self.step(*number));
-            if note != StepProgress::default() {
-                progress.steps.insert(format!("{time}.{number}"), note);
+            let step_progress = step_progress(step, self.step(*number));
+            if step_progress != StepProgress::default() {
+                progress.steps.insert(format!("{time}.{number}"), step_progress);
             }
         }
         progress
@@ -416,26 +416,26 @@
     }
 }
 
-fn step_note(tasks: &StepTasks, step: &Step) -> StepProgress {
-    let mut note = StepProgress::default();
+fn step_progress(tasks: &StepTasks, step: &Step) -> StepProgress {
+    let mut progress = StepProgress::default();
     for (index, task) in tasks.tasks.iter().enumerate() {
         if task.done {
-            note.done.push(index as u32);
+            progress.done.push(index as u32);
             continue;
         }
-        // Failures and checkpoints of lasting tasks are not persisted.
+        // Failures and checkpoints of long-running tasks are not persisted.
         let has_results =
             !step.long_running && (!task.failed.is_empty() || !task.checkpoint.is_empty());
         if has_results || task.lost_workers() != 0 {
-            let persisted = TaskProgress {
+            let task_progress = TaskProgress {
                 run: task.run,
                 failed: task.failed.clone(),
                 checkpoint: task.checkpoint.clone(),
                 crashed: task.crashed.clone(),
                 unconfirmed_crashes: task.unconfirmed_crashes.clone(),
             };
-            note.tasks.insert(index as u32, persisted);
+            progress.tasks.insert(index as u32, task_progress);
         }
     }
-    note
+    progress
 }
--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -259,10 +259,10 @@
     /// the writes: until then, none of these jobs is returned again.
     pub(crate) fn take_saves(&mut self, limit: usize) -> Vec<ProgressWrite> {
         let jobs = self.save_queue.take(limit);
-        jobs.into_iter().filter_map(|id| self.save_of(id)).collect()
+        jobs.into_iter().filter_map(|id| self.progress_write(id)).collect()
     }
 
-    fn save_of(&mut self, id: JobId) -> Option<ProgressWrite> {
+    fn progress_write(&mut self, id: JobId) -> Option<ProgressWrite> {
         let Some(job) = self.jobs.get(&id).filter(|job| job.is_dirty()) else {
             self.save_queue.finish(id);
             return None;
@@ -281,20 +281,20 @@
     /// Records that progress is durable at a revision; returns the ends of jobs that it contains.
     pub(crate) fn note_saved(
         &mut self,
-        saves: &[ProgressWrite],
+        writes: &[ProgressWrite],
         revision: Revision,
     ) -> Vec<JobEnd> {
         let mut ends = Vec::new();
-        for save in saves {
-            if let Some(job) = self.jobs.get_mut(&save.job) {
-                job.durable_version = job.durable_version.max(save.version);
+        for write in writes {
+            if let Some(job) = self.jobs.get_mut(&write.job) {
+                job.durable_version = job.durable_version.max(write.version);
                 job.progress_revision = revision;
                 if !job.is_dirty() {
                     ends.extend(job.how_ended());
                 }
             }
         }
-        self.requeue_unsaved(saves);
+        self.requeue_unsaved(writes);
         for worker in self.workers.values_mut() {
             acknowledge(worker, &self.jobs);
         }
@@ -303,16 +303,16 @@
     }
 
     /// Records that progress was not written, or not for certain.
-    pub(crate) fn note_save_failed(&mut self, saves: &[ProgressWrite]) {
-        self.requeue_unsaved(saves);
+    pub(crate) fn note_save_failed(&mut self, writes: &[ProgressWrite]) {
+        self.requeue_unsaved(writes);
     }
 
     /// Queues those again whose durable state is out of date.
-    fn requeue_unsaved(&mut self, saves: &[ProgressWrite]) {
-        for save in saves {
-            self.save_queue.finish(save.job);
-            if let Some(job) = self.jobs.get(&save.job).filter(|job| job.is_dirty()) {
-                self.save_queue.add(save.job, job.state.is_final());
+    fn requeue_unsaved(&mut self, writes: &[ProgressWrite]) {
+        for write in writes {
+            self.save_queue.finish(write.job);
+            if let Some(job) = self.jobs.get(&write.job).filter(|job| job.is_dirty()) {
+                self.save_queue.add(write.job, job.state.is_final());
             }
         }
     }
@@ -331,14 +331,14 @@
             let durable = job.state.is_final() && !job.is_dirty();
             let is_over = durable || job.cancelled;
             let mut tasks = job.steps.values().flat_map(|step| &step.tasks);
-            let kept = !is_over || tasks.any(|task| !task.runs.is_empty());
-            if !kept {
+            let retained = !is_over || tasks.any(|task| !task.runs.is_empty());
+            if !retained {
                 ended.insert(*id);
                 if durable {
                     finished.insert(*id);
                 }
             }
-            kept
+            retained
         });
     }
 
@@ -447,21 +447,21 @@
         &mut self,
         task: TaskId,
         at: &Incarnation,
-        why: RunEnd,
+        reason: RunEnd,
         now: Steady,
     ) -> Option<crate::jobs::job::Run> {
         let job = self.jobs.get_mut(&task.of.job)?;
         let charge = job.step(task.of.step).charge();
         let entry = job.task_mut(task.of, task.index)?;
-        let place = entry.runs.iter().position(|task_run| task_run.worker == *at)?;
-        let task_run = entry.runs.remove(place);
-        if !matches!(why, RunEnd::Lapsed | RunEnd::WorkerTerminated)
+        let index = entry.runs.iter().position(|task_run| task_run.worker == *at)?;
+        let task_run = entry.runs.remove(index);
+        if !matches!(reason, RunEnd::Lapsed | RunEnd::WorkerTerminated)
             && entry.isolated_worker.is_some()
         {
             self.withdraw_isolated_retry(task);
         }
         let entry = self.task_mut(task)?;
-        let previous = PreviousRun { worker: at.clone(), run: task_run.run, reason: why, at: now };
+        let previous = PreviousRun { worker: at.clone(), run: task_run.run, reason, at: now };
         entry.previous = Some(Box::new(previous));
         if let Some(worker) = self.workers.get_mut(at) {
             worker.release(task, &charge);
@@ -526,11 +526,11 @@
     }
 
     /// Removes a worker that has certainly ended, and with it all that ran there.
-    fn remove_ended_worker(&mut self, id: &Incarnation, why: &str, now: Steady) {
+    fn remove_ended_worker(&mut self, id: &Incarnation, reason: &str, now: Steady) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        log::info!("worker {id}: ended: {why}; {} runs lost with it", worker.runs.len());
+        log::info!("worker {id}: ended: {reason}; {} runs lost with it", worker.runs.len());
         for LostRun { task, .. } in self.note_worker_loss(id, now) {
             self.remove_run(task, id, RunEnd::WorkerTerminated, now);
         }
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -64,7 +64,7 @@
                     worker.urgent_poll = true;
                 }
             }
-            OrderResult::Refused { why, .. } => self.start_refused(at, task, why, now),
+            OrderResult::Refused { why: refusal, .. } => self.start_refused(at, task, refusal, now),
             OrderResult::Unsent => {
                 self.remove_run(task, at, RunEnd::Unsent, now);
                 if let Some(entry) = self.task_mut(task) {
@@ -74,30 +74,30 @@
         }
     }
 
-    fn start_refused(&mut self, at: &Incarnation, task: TaskId, why: Refusal, now: Steady) {
-        log::info!("job {}: task {task} at {at}: refused: {why:?}", task.of.job);
-        match why {
+    fn start_refused(&mut self, at: &Incarnation, task: TaskId, refusal: Refusal, now: Steady) {
+        log::info!("job {}: task {task} at {at}: refused: {refusal:?}", task.of.job);
+        match refusal {
             // It has, or had, a run of the task with this number or a higher one: the next poll
             // shows which.
             Refusal::Old => self.poll_for_run(at, task, now),
             _ => {
-                self.remove_run(task, at, RunEnd::Refused(why), now);
+                self.remove_run(task, at, RunEnd::Refused(refusal), now);
             }
         }
         if let Some(job) = self.jobs.get_mut(&task.of.job) {
             if let Some(tasks) = job.steps.get_mut(&(task.of.occurrence, task.of.step))
-                && why == Refusal::Ticket
+                && refusal == Refusal::Ticket
             {
                 tasks.tickets.remove(at);
             }
             if let Some(entry) = job.task_mut(task.of, task.index) {
                 entry.not_before = now.after(REFUSED_PAUSE_MS);
-                if why == Refusal::Old {
+                if refusal == Refusal::Old {
                     entry.run += RUNS_PER_OWNER / 10;
                 }
             }
         }
-        match why {
+        match refusal {
             Refusal::Fenced => self.deposed = true,
             Refusal::OtherLife => self.remove_ended_worker(
                 at,
@@ -166,8 +166,8 @@
             }
             // Nothing was done, and a start on its way may still begin: the next poll stops it
             // again.
-            OrderResult::Refused { why, .. } => {
-                log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
+            OrderResult::Refused { why: refusal, .. } => {
+                log::info!("job {}: task {task} at {at}: stop refused: {refusal:?}", task.of.job);
             }
             OrderResult::Unknown | OrderResult::Unsent => {}
         }
--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -1,8 +1,8 @@
 //! Tasks that crash the workers that start them.
 //!
-//! A run that dies with its worker lists no end. So the lost workers are counted here and persisted
-//! with the job, across changes of owner. A worker takes all its runs with it, and most of them are
-//! not the cause. So only a task whose run had just begun is a suspect. Its next run is an isolated
+//! No worker lists the end of a run that was lost with its worker. So the lost workers are counted
+//! here and persisted with the job, across changes of owner. All runs of a worker are lost with it,
+//! and most of them are not the cause. So only a task whose run had just begun is a suspect. Its next run is an isolated
 //! retry: nothing else begins beside it until it is stable. If that worker is lost as well, the
 //! task is the cause.
 
@@ -27,8 +27,8 @@
 /// retry.
 const GIVE_UP_CRASHES: usize = 2;
 
-/// A run that was seen to go on for this long, in milliseconds, has shown that its task does not
-/// crash the workers that start it.
+/// A task with a run that was observed for this long, in milliseconds, does not crash the workers
+/// that start it.
 const CLEARED_MS: u64 = 10_000;
 
 /// Delay of a task whose run was lost with a worker a second time, in milliseconds: by then it is
@@ -47,8 +47,8 @@
         let new = lost.iter().filter(|lost| lost.observed_ms < STABLE_MS).count();
         lost.iter_mut().for_each(|lost| lost.sole_suspect &= new == 1);
         // If some had only begun, those that were stable are not the cause. Where many tasks crash
-        // their workers, each takes up to eighteen others with it, and a sound long-running task is
-        // lost with four such workers within seconds.
+        // their workers, up to eighteen other runs are lost with each, and a sound
+        // long-running task loses four such workers within seconds.
         lost.iter_mut().for_each(|lost| lost.cleared = new != 0 && STABLE_MS <= lost.observed_ms);
         for lost in lost.iter().filter(|lost| lost.observed_ms < STABLE_MS) {
             self.count_worker_loss(id, lost, false, now);
@@ -122,7 +122,7 @@
         if planned {
             lost.clear();
         }
-        // What an earlier owner has persisted of a worker that has not answered this one.
+        // The tasks that an earlier owner persisted for a worker that has not answered this one.
         if let (false, Some(Holding::Only(tasks))) = (worker.reported_all, persisted) {
             lost.extend(tasks.into_iter().map(LostRun::unobserved));
         }
@@ -163,9 +163,9 @@
 
     /// Counts a worker that was lost with a run, once; as crashed if `certain`.
     fn count_worker_loss(&mut self, id: &Incarnation, lost: &LostRun, certain: bool, now: Steady) {
-        let LostRun { task, run, observed_ms: lived, cleared, .. } = *lost;
+        let LostRun { task, run, observed_ms, cleared, .. } = *lost;
         let is_open = self.jobs.get(&task.of.job).is_some_and(|job| job.is_open());
-        if !is_open || cleared || CLEARED_MS <= lived {
+        if !is_open || cleared || CLEARED_MS <= observed_ms {
             return;
         }
         let mut so_far = (0, 0);
@@ -174,14 +174,14 @@
                 return false;
             }
             // A worker with an isolated retry counts as unconfirmed already.
-            let on_trial = entry.isolated_worker.take_if(|at| at == id).is_some();
+            let is_isolated = entry.isolated_worker.take_if(|at| at == id).is_some();
             if certain {
                 entry.unconfirmed_crashes.remove(id);
                 entry.crashed.insert(id.clone());
-            } else if !entry.unconfirmed_crashes.insert(id.clone()) && !on_trial {
+            } else if !entry.unconfirmed_crashes.insert(id.clone()) && !is_isolated {
                 return false;
             }
-            entry.suspect |= lived < STABLE_MS;
+            entry.suspect |= observed_ms < STABLE_MS;
             if GIVE_UP_CRASHES <= entry.lost_workers() && !entry.unconfirmed_crashes.is_empty() {
                 entry.not_before = entry.not_before.max(now.after(SECOND_LOSS_PAUSE_MS));
             }
@@ -192,10 +192,10 @@
             return;
         }
         self.counts.crashes += u64::from(certain);
-        let how = if certain { "crashed" } else { "lost" };
+        let status = if certain { "crashed" } else { "lost" };
         let (crashed, unconfirmed) = so_far;
         log::info!(
-            "job {}: task {task} run {run} at {id}: worker {how} under it after {lived} ms: \
+            "job {}: task {task} run {run} at {id}: worker {status} under it after {observed_ms} ms: \
              {crashed} crashed, {unconfirmed} unconfirmed",
             task.of.job
         );
@@ -212,7 +212,7 @@
     }
 
     /// Ends the jobs of tasks that crash their workers: they can never be done, and each further
-    /// start costs all that runs beside it.
+    /// start ends all runs beside it.
     pub(super) fn give_up_crashing(&mut self, now: Now, out: &mut Vec<Effect>) {
         let jobs = &self.jobs;
         let entry = |task: &TaskId| {
@@ -268,9 +268,9 @@
         let (step, tasks) =
             (job.step(task.of.step), job.steps.get(&(task.of.occurrence, task.of.step))?);
         let ticketed = job.record.advice.is_some();
-        let scene = self.scene(now);
+        let placer = self.task_placer(now);
         let takes = |worker: &Worker| {
-            worker.isolated_task == Some(task) && scene.can_run(worker, step, tasks, ticketed)
+            worker.isolated_task == Some(task) && placer.can_run(worker, step, tasks, ticketed)
         };
         if self.workers.get(&at).is_some_and(takes) {
             return Some(at);
@@ -280,7 +280,7 @@
     }
 
     /// Persists that a suspect task is about to start at a worker, so that a later owner takes
-    /// account of that worker's loss, and keeps other starts away. Returns whether the start must
+    /// account of that worker's loss, and prevents other starts there. Returns whether the start must
     /// wait until that is durable, or until all runs there are stable. The first start after a
     /// single loss does not wait for the write: most such losses are not caused by the task.
     pub(super) fn announce_isolated_retry(
@@ -331,24 +331,24 @@
 
     /// Records that a worker was not lost with the isolated retry there, or that there is none.
     pub(super) fn withdraw_isolated_retry(&mut self, task: TaskId) {
-        let mut trial_at = None;
+        let mut isolated_worker = None;
         self.change_worker_losses(task, |entry| {
-            trial_at = entry.isolated_worker.take();
-            trial_at.as_ref().is_some_and(|at| entry.unconfirmed_crashes.remove(at))
+            isolated_worker = entry.isolated_worker.take();
+            isolated_worker.as_ref().is_some_and(|at| entry.unconfirmed_crashes.remove(at))
         });
-        if let Some(worker) = trial_at.and_then(|at| self.workers.get_mut(&at)) {
-            worker.isolated_task.take_if(|trial| *trial == task);
+        if let Some(worker) = isolated_worker.and_then(|at| self.workers.get_mut(&at)) {
+            worker.isolated_task.take_if(|isolated| *isolated == task);
         }
     }
 
-    /// Records that a run goes on.
+    /// Records that a run continues.
     pub(super) fn note_run_alive(&mut self, id: &Incarnation, task: TaskId, now: Steady) {
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         worker.note_begun(task, now);
-        let lived = worker.observed_ms(task);
-        if self.crash_suspects.is_empty() || lived < STABLE_MS {
+        let observed_ms = worker.observed_ms(task);
+        if self.crash_suspects.is_empty() || observed_ms < STABLE_MS {
             return;
         }
         let Some(entry) = self.task_mut(task) else {
@@ -356,14 +356,14 @@
         };
         entry.suspect = false;
         let task_run = entry.runs.iter_mut().find(|task_run| task_run.worker == *id);
-        let on_trial = task_run.is_some_and(|task_run| std::mem::take(&mut task_run.isolated));
-        if on_trial {
+        let was_isolated = task_run.is_some_and(|task_run| std::mem::take(&mut task_run.isolated));
+        if was_isolated {
             log::info!("job {}: task {task} at {id}: no longer on trial", task.of.job);
             self.withdraw_isolated_retry(task);
         }
-        // The task was suspected of crashing its workers, and has not: the earlier losses had other
-        // causes.
-        if on_trial || CLEARED_MS <= lived {
+        // The task was suspected of crashing its workers but has not crashed this one: the earlier
+        // losses had other causes.
+        if was_isolated || CLEARED_MS <= observed_ms {
             self.change_worker_losses(task, |entry| {
                 let is_new = entry.lost_workers() != 0;
                 entry.crashed.clear();
@@ -381,7 +381,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.lost_runs.clear();
         }
-        // Persisted by versions that did not learn when workers start.
+        // Persisted by versions that did not record when workers started.
         let without_start = Incarnation::new(id.worker.clone(), None);
         for task in self.crash_suspects.clone() {
             self.change_worker_losses(task, |entry| {
--- a/src/jobs/owner/ends.rs
+++ b/src/jobs/owner/ends.rs
@@ -11,8 +11,8 @@
     },
 };
 
-/// A job that has failed at more workers than this is at fault itself: its failures say nothing
-/// about the worker.
+/// A job that has failed at more workers than this is at fault itself: its failures are not
+/// counted against the worker.
 const JOB_FAULT_WORKERS: usize = 2;
 
 impl Owner {
@@ -72,10 +72,10 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> u64 {
-        let EndedRun { task, run, how, checkpoint: saved, .. } = end;
+        let EndedRun { task, run, how: outcome, checkpoint, .. } = end;
         let is_current = self.run_mut(task, id).is_some_and(|task_run| task_run.run == run);
         let task_run = if is_current {
-            self.remove_run(task, id, RunEnd::Ended(how), now.steady)
+            self.remove_run(task, id, RunEnd::Ended(outcome), now.steady)
         } else {
             None
         };
@@ -86,21 +86,21 @@
             let step = job.step(task.of.step);
             (step.long_running, step.gang)
         };
-        if long_running || !matches!(how, RunOutcome::Done) {
-            log::info!("job {}: task {task} run {run} at {id}: {}", job.id, how.as_str());
+        if long_running || !matches!(outcome, RunOutcome::Done) {
+            log::info!("job {}: task {task} run {run} at {id}: {}", job.id, outcome.as_str());
         }
         let before = job.version;
-        // Only what has begun is listed as ended.
+        // Workers list only ends of runs that have begun.
         job.begin();
         if let Some(entry) = job.task_mut(task.of, task.index) {
             entry.run = entry.run.max(run);
-            let newer = !saved.is_empty() && entry.checkpoint != saved;
+            let newer = !checkpoint.is_empty() && entry.checkpoint != checkpoint;
             if newer && !entry.done {
-                entry.checkpoint = saved;
+                entry.checkpoint = checkpoint;
                 job.bump_version();
             }
         }
-        match how {
+        match outcome {
             RunOutcome::Done if long_running => {}
             RunOutcome::Done => self.task_done(id, task, gang, task_run.as_ref(), now, out),
             RunOutcome::Failed => self.task_failed(id, task, run, now, out),
@@ -118,7 +118,7 @@
             return version;
         }
         // Another end with the same result may have been counted, and not be durable yet.
-        let counts = matches!(how, RunOutcome::Done | RunOutcome::Failed) && !long_running;
+        let counts = matches!(outcome, RunOutcome::Done | RunOutcome::Failed) && !long_running;
         if counts { version } else { 0 }
     }
 
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -1,4 +1,4 @@
-//! What starts where, and what is stopped on hosts that are being drained.
+//! Decides which tasks start on which workers, and which runs are stopped on hosts that are being drained.
 
 use std::collections::BTreeSet;
 
@@ -104,9 +104,9 @@
         }
     }
 
-    pub(super) fn scene(&self, now: Steady) -> TaskPlacer<'_> {
-        let (workers, emptying) = (&self.workers, &self.draining);
-        TaskPlacer { workers, draining: emptying, reserved: &self.reserved, now }
+    pub(super) fn task_placer(&self, now: Steady) -> TaskPlacer<'_> {
+        let (workers, draining) = (&self.workers, &self.draining);
+        TaskPlacer { workers, draining, reserved: &self.reserved, now }
     }
 
     fn step_tasks_mut(&mut self, of: StepId) -> Option<&mut StepTasks> {
@@ -146,7 +146,8 @@
         let Some(tasks) = tasks.filter(|_| step.long_running) else {
             return;
         };
-        let worker = self.scene(now).worker_to_reserve(step, tasks).map(|w| w.report.id.clone());
+        let worker =
+            self.task_placer(now).worker_to_reserve(step, tasks).map(|w| w.report.id.clone());
         self.reserved.extend(worker);
     }
 
@@ -168,9 +169,9 @@
         let Some(tasks) = job.steps.get(&(of.occurrence, of.step)).filter(|_| !first) else {
             return;
         };
-        let (workers, emptying) = (&self.workers, &self.draining);
-        let scene = TaskPlacer { workers, draining: emptying, reserved: &self.reserved, now };
-        let refusals = scene.refusals(&step, tasks, ticketed);
+        let (workers, draining) = (&self.workers, &self.draining);
+        let placer = TaskPlacer { workers, draining, reserved: &self.reserved, now };
+        let refusals = placer.refusals(&step, tasks, ticketed);
         log::info!("job {}: step {of} waits: {refusals:?}", of.job);
     }
 
@@ -188,8 +189,8 @@
         };
         let waits = |(index, task): (usize, &crate::jobs::job::Task)| {
             let index = index as u32;
-            // For a run that was taken over its place is known, but not how often its task has
-            // failed.
+            // If a run was taken over, the location of its task is known, but not how often the task
+            // has failed.
             let known = task.location_known && !job.may_have_failed(of, index);
             let certain = known || !unconfirmed.covers(&TaskId { of, index });
             let may = task.not_before <= now && certain && job.may_start(task);
@@ -241,9 +242,9 @@
         let job = self.jobs.get(&of.job)?;
         let tasks = job.steps.get(&(of.occurrence, of.step))?;
         let task = tasks.tasks.get(index as usize)?;
-        let scene = self.scene(now);
+        let placer = self.task_placer(now);
         let ticketed = job.record.advice.is_some();
-        let worker = scene.worker_for(job.step(of.step), tasks, task, ticketed, rack)?;
+        let worker = placer.worker_for(job.step(of.step), tasks, task, ticketed, rack)?;
         Some(worker.report.id.clone())
     }
 
@@ -316,14 +317,14 @@
             return;
         };
         let run = tasks.tasks.iter().map(|task| task.run).max().unwrap_or_default();
-        let saved =
+        let checkpoint =
             tasks.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
         for task in &mut tasks.tasks {
             task.run = run;
-            task.checkpoint = saved.clone();
+            task.checkpoint = checkpoint.clone();
         }
         for (index, worker) in places {
-            self.start_run(of, index, &worker, Some(saved.clone()), now, out);
+            self.start_run(of, index, &worker, Some(checkpoint.clone()), now, out);
         }
     }
 
@@ -332,7 +333,7 @@
         of: StepId,
         index: u32,
         id: &Incarnation,
-        saved: Option<String>,
+        gang_checkpoint: Option<String>,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -356,12 +357,10 @@
         entry.run += 1;
         entry.location_known = true;
         let previous = entry.previous.take();
-        let (run, checkpoint) = (entry.run, saved.unwrap_or_else(|| entry.checkpoint.clone()));
-        let trial = entry.suspect;
-        entry.runs.push(Run {
-            isolated: trial,
-            ..Run::new(id.clone(), run, Phase::Starting, now.steady)
-        });
+        let (run, checkpoint) =
+            (entry.run, gang_checkpoint.unwrap_or_else(|| entry.checkpoint.clone()));
+        let isolated = entry.suspect;
+        entry.runs.push(Run { isolated, ..Run::new(id.clone(), run, Phase::Starting, now.steady) });
         let task = TaskId { of, index };
         worker.occupy(task, run, &charge);
         if entry.suspect {
@@ -375,11 +374,11 @@
             );
         }
         match &previous {
-            Some(before) => {
-                *self.counts.restarts.entry(before.reason.word()).or_default() += 1;
-                let before = before.describe(now.steady);
+            Some(previous) => {
+                *self.counts.restarts.entry(previous.reason.as_str()).or_default() += 1;
+                let previous = previous.describe(now.steady);
                 log::info!(
-                    "job {}: task {task} run {run} at {id}: started again by token {token}: {before}",
+                    "job {}: task {task} run {run} at {id}: started again by token {token}: {previous}",
                     of.job
                 );
             }
@@ -440,8 +439,8 @@
             // Tasks with checkpoints resume where they were; others, and those that are nearly
             // done, run to their end.
             let estimate = self.durations.expect(&job.record.queue, step.estimate_ms);
-            let left = estimate * u64::from(100 - task_run.percent.min(100)) / 100;
-            return step.checkpoints && MOVE_MIN_REMAINING_MS < left;
+            let remaining_ms = estimate * u64::from(100 - task_run.percent.min(100)) / 100;
+            return step.checkpoints && MOVE_MIN_REMAINING_MS < remaining_ms;
         }
         if worker.report.leaves_ms.is_some() || step.max_unavailable == 0 {
             return true;
--- a/src/jobs/owner/polls.rs
+++ b/src/jobs/owner/polls.rs
@@ -239,7 +239,7 @@
         now: Steady,
         out: &mut Vec<Effect>,
     ) {
-        let PresentRun { task, run, checkpoint: saved, percent, gauge } = found;
+        let PresentRun { task, run, checkpoint, percent, gauge } = found;
         self.note_begun(task.of.job);
         let unexpected = self.why_unexpected(id, task);
         let job = task.of.job;
@@ -267,10 +267,10 @@
                 }
                 _ => {}
             }
-            if !saved.is_empty()
+            if !checkpoint.is_empty()
                 && let Some(entry) = self.task_mut(task)
             {
-                entry.checkpoint = saved;
+                entry.checkpoint = checkpoint;
             }
             self.note_run_alive(id, task, now);
             if let Some(unexpected) = unexpected {
@@ -281,8 +281,8 @@
             }
             return;
         }
-        let other = self.run_mut(task, id).map(|_| UnexpectedRun::OtherRun);
-        if let Some(unexpected) = unexpected.or(other) {
+        let other_run = self.run_mut(task, id).map(|_| UnexpectedRun::OtherRun);
+        if let Some(unexpected) = unexpected.or(other_run) {
             self.log_unexpected_run(id, task, run, unexpected);
             self.send_stop(id, task, run, out);
             return;
@@ -316,8 +316,8 @@
         run: u32,
         unexpected: UnexpectedRun,
     ) {
-        *self.counts.unexpected_runs.entry(unexpected.word()).or_default() += 1;
-        let (job, token, why) = (task.of.job, self.token, unexpected.word());
+        *self.counts.unexpected_runs.entry(unexpected.as_str()).or_default() += 1;
+        let (job, token, reason) = (task.of.job, self.token, unexpected.as_str());
         let entry = self.jobs.get(&job).and_then(|job| job.task(task.of, task.index));
         let others = entry.iter().flat_map(|entry| &entry.runs);
         let others: Vec<String> =
@@ -326,7 +326,7 @@
             if unexpected == UnexpectedRun::NoJob { log::Level::Info } else { log::Level::Warn };
         log::log!(
             level,
-            "job {job}: task {task} run {run} at {id}: stopped by token {token}: {why} {others:?}"
+            "job {job}: task {task} run {run} at {id}: stopped by token {token}: {reason} {others:?}"
         );
     }
 
--- a/src/jobs/owner/roster.rs
+++ b/src/jobs/owner/roster.rs
@@ -1,5 +1,5 @@
-//! What a later owner must know of the workers, and what earlier owners have persisted for this
-//! one.
+//! The records about workers that this owner persists for the next one, and those that earlier
+//! owners have persisted for this one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -57,12 +57,13 @@
     pub(crate) fn inherit(
         &mut self,
         workers: Vec<WorkerReport>,
-        away: &SilentWorkers,
+        silent_workers: &SilentWorkers,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
-        self.roster = Roster::inherited(&workers, away);
-        let record = away.handover.as_ref().and_then(|record| record.for_owner(self.earlier));
+        self.roster = Roster::inherited(&workers, silent_workers);
+        let record =
+            silent_workers.handover.as_ref().and_then(|record| record.for_owner(self.earlier));
         self.handed_over = record.cloned();
         for report in workers {
             let id = report.id.clone();
@@ -138,19 +139,19 @@
     pub(crate) fn roster_note(&mut self, limit: usize) -> Option<RosterWrite> {
         let holdings = self.holdings();
         let workers = &self.workers;
-        let note =
+        let write =
             self.roster.next_write(holdings, limit, |id| workers.get(id).map(|w| &w.report))?;
         for worker in self.workers.values_mut() {
-            worker.rostered &= note.allows_work(&worker.report.id);
+            worker.rostered &= write.allows_work(&worker.report.id);
         }
-        Some(note)
+        Some(write)
     }
 
     /// Records that the roster was persisted by the write with this revision.
-    pub(crate) fn note_roster_written(&mut self, note: &RosterWrite, revision: Revision) {
-        self.roster.confirm_write(note);
+    pub(crate) fn note_roster_written(&mut self, write: &RosterWrite, revision: Revision) {
+        self.roster.confirm_write(write);
         for worker in self.workers.values_mut() {
-            worker.rostered = note.allows_work(&worker.report.id);
+            worker.rostered = write.allows_work(&worker.report.id);
             worker.assign_fencing_token(revision);
         }
     }
@@ -183,13 +184,13 @@
         self.unblocking_logged = true;
         let polled = self.workers.values().filter(|worker| worker.has_reported).count();
         let (workers, token) = (self.workers.len(), self.token);
-        let rest = if self.fenced_until <= now {
+        let reason = if self.fenced_until <= now {
             "all other runs have expired"
         } else {
             "no other worker may run any"
         };
         log::info!(
-            "jobs: token {token} starts tasks of earlier jobs: {polled} of {workers} workers polled, {rest}"
+            "jobs: token {token} starts tasks of earlier jobs: {polled} of {workers} workers polled, {reason}"
         );
     }
 
@@ -216,7 +217,7 @@
             }
         }
         match &self.handed_over {
-            // Once for all workers: after a demand peak hundreds of them are gone.
+            // Once for all workers: after a demand peak hundreds of them have departed.
             Some(handed_over) if any => {
                 tasks.extend(handed_over.iter().inspect(|_| tally_unconfirmed()))
             }
--- a/src/jobs/owner/status.rs
+++ b/src/jobs/owner/status.rs
@@ -45,7 +45,7 @@
     pub(crate) busy: Vec<HostId>,
 }
 
-/// A host on which nothing runs or can begin, as long as its drain mark stands.
+/// A host on which nothing runs or can begin, as long as its drain mark is set.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct DrainedHost {
     pub(crate) host: HostId,
@@ -89,11 +89,11 @@
                 && worker.is_empty()
         };
         let workers = self.workers.values().filter(empty);
-        let emptied = |worker: &Worker| {
+        let drained = |worker: &Worker| {
             let (host, worker) = (worker.report.host.clone(), worker.report.id.clone());
             DrainedHost { mark: self.draining[&host], host, worker }
         };
-        workers.map(emptied).collect()
+        workers.map(drained).collect()
     }
 
     /// How the pool's hosts are used.
--- a/src/jobs/owner/tickets.rs
+++ b/src/jobs/owner/tickets.rs
@@ -35,7 +35,7 @@
         if tasks.advice_pending || now < tasks.next_advice {
             return;
         }
-        let scene = self.scene(now);
+        let placer = self.task_placer(now);
         let step = job.step(of.step);
         let charge = step.charge();
         let holds = |id: &Incarnation| {
@@ -48,7 +48,7 @@
             let id = &worker.report.id;
             let is_rejected = tasks.advised.contains(id) && !tasks.tickets.contains_key(id);
             let has_room = worker.report.capacity.fits(&worker.used, &charge);
-            scene.is_eligible(worker, step) && has_room && !is_rejected && !holds(id)
+            placer.is_eligible(worker, step) && has_room && !is_rejected && !holds(id)
         });
         let workers: Vec<Incarnation> = useful
             .map(|worker| worker.report.id.clone())
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -17,7 +17,7 @@
 /// Tickets that expire sooner than this are not used, in milliseconds: an order takes a few.
 pub(crate) const TICKET_MARGIN_MS: u64 = 150;
 
-/// How long a lasting task waits for a worker before it may use a host that is being drained, in
+/// How long a long-running task waits for a worker before it may use a host that is being drained, in
 /// milliseconds.
 const STARVED_MS: u64 = 1_000;
 
@@ -38,7 +38,7 @@
     pub(crate) workers: &'a BTreeMap<Incarnation, Worker>,
     /// Hosts that are being drained.
     pub(crate) draining: &'a BTreeMap<HostId, Revision>,
-    /// Workers whose resources are reserved for lasting tasks.
+    /// Workers whose resources are reserved for long-running tasks.
     pub(crate) reserved: &'a BTreeSet<Incarnation>,
     pub(crate) now: Steady,
 }
@@ -51,7 +51,7 @@
             && (step.label.is_empty() || worker.report.labels.contains(&step.label))
     }
 
-    /// Whether a lasting task may start on a host that is being drained: only while other tasks run
+    /// Whether a long-running task may start on a host that is being drained: only while other tasks run
     /// there, since the fleet owner may act on a host once it has been empty, and only after no
     /// other worker was found for a while. Otherwise, tasks that must not be down together could
     /// block each other.
@@ -65,7 +65,7 @@
     }
 
     /// The worker for a task, if one fits. Among equally reliable workers, those near the data come
-    /// first, then the one with the least processor time left, so that large tasks still find room.
+    /// first, then the one with the least processor time left, so that large tasks still fit.
     pub(crate) fn worker_for(
         &self,
         step: &Step,
@@ -110,7 +110,7 @@
             && (!needs_ticket || self.has_ticket(worker, tasks))
     }
 
-    /// The worker where resources for a lasting task become free first if no other work starts
+    /// The worker where resources for a long-running task become free first if no other work starts
     /// there: the one with the most processor time left.
     pub(crate) fn worker_to_reserve(&self, step: &Step, tasks: &StepTasks) -> Option<&Worker> {
         let charge = step.charge();
@@ -151,7 +151,7 @@
             return true;
         }
         let id = &worker.report.id;
-        let runs_there = |task: &&Task| task.runs.iter().any(|copy| copy.worker == *id);
+        let runs_there = |task: &&Task| task.runs.iter().any(|task_run| task_run.worker == *id);
         (tasks.tasks.iter().filter(runs_there).count() as u32) < step.max_per_worker
     }
 
--- a/src/jobs/roster.rs
+++ b/src/jobs/roster.rs
@@ -80,8 +80,8 @@
 
 impl Roster {
     /// The roster that earlier owners persisted.
-    pub(crate) fn inherited(workers: &[WorkerReport], away: &SilentWorkers) -> Roster {
-        let holding = |id: &Incarnation| match away.silent.get(id) {
+    pub(crate) fn inherited(workers: &[WorkerReport], silent_workers: &SilentWorkers) -> Roster {
+        let holding = |id: &Incarnation| match silent_workers.silent.get(id) {
             Some(tasks) => Holding::Only(tasks.clone()),
             None => Holding::Any,
         };
@@ -124,11 +124,11 @@
             Holding::Any => None,
             Holding::Only(tasks) => Some((id.clone(), tasks.clone())),
         });
-        let away = SilentWorkers { silent: silent.collect(), handover: None };
+        let silent_workers = SilentWorkers { silent: silent.collect(), handover: None };
         self.is_write_pending = true;
         self.unconfirmed.extend(added.iter().map(|report| report.id.clone()));
         self.unconfirmed.extend(dropped.iter().cloned());
-        Some(RosterWrite { added, dropped, silent_workers: away, holdings })
+        Some(RosterWrite { added, dropped, silent_workers, holdings })
     }
 
     /// The tasks that each certainly listed worker may run once a write is done. A worker that the
@@ -152,9 +152,9 @@
     }
 
     /// Records that a write was done.
-    pub(crate) fn confirm_write(&mut self, note: &RosterWrite) {
-        self.holdings = note.holdings.clone();
-        for id in note.added.iter().map(|report| &report.id).chain(&note.dropped) {
+    pub(crate) fn confirm_write(&mut self, write: &RosterWrite) {
+        self.holdings = write.holdings.clone();
+        for id in write.added.iter().map(|report| &report.id).chain(&write.dropped) {
             self.unconfirmed.remove(id);
         }
         self.is_write_pending = false;
--- a/src/jobs/run_end.rs
+++ b/src/jobs/run_end.rs
@@ -30,9 +30,9 @@
 
 impl RunEnd {
     /// The text in log lines and metrics.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
-            RunEnd::Ended(how) => how.as_str(),
+            RunEnd::Ended(outcome) => outcome.as_str(),
             RunEnd::Refused(_) => "refused",
             RunEnd::Unsent => "unsent",
             RunEnd::Stopped => "stopped and not listed",
@@ -57,7 +57,7 @@
     /// Its description in a log line.
     pub(crate) fn describe(&self, now: Steady) -> impl fmt::Display {
         let ago = now.since(self.at);
-        format!("run {} at {}: {}, {ago} ms ago", self.run, self.worker, self.reason.word())
+        format!("run {} at {}: {}, {ago} ms ago", self.run, self.worker, self.reason.as_str())
     }
 }
 
@@ -76,7 +76,7 @@
 
 impl UnexpectedRun {
     /// The text in log lines and metrics.
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn as_str(self) -> &'static str {
         match self {
             UnexpectedRun::Done => "its task is done",
             UnexpectedRun::Elsewhere => "its task runs elsewhere",
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -391,11 +391,12 @@
 /// Tasks on silent workers must not count as running when others are about to be stopped.
 #[test]
 fn a_long_running_task_is_not_stopped_while_another_of_its_step_may_be_unavailable() {
-    let lasting = Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
+    let long_running =
+        Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
     let mut harness = one_worker();
     harness.deliver(Event::Worker(report("w2", "h2")));
     harness.connect("w2", vec![]);
-    harness.deliver(Event::Job(stored(1, vec![lasting], 110)));
+    harness.deliver(Event::Job(stored(1, vec![long_running], 110)));
     harness.work();
     let starts = harness.take_starts();
     assert_eq!(starts.len(), 2);
@@ -421,9 +422,10 @@
 /// new owner must not stop another run of the step meanwhile.
 #[test]
 fn a_new_owner_stops_no_long_running_task_while_an_earlier_stop_may_be_pending() {
-    let lasting = Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
+    let long_running =
+        Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
     let mut harness = Harness::inheriting(&[("w1", "h1"), ("w2", "h2")], SilentWorkers::default());
-    harness.deliver(Event::Job(stored(1, vec![lasting], 50)));
+    harness.deliver(Event::Job(stored(1, vec![long_running], 50)));
     let drain_marks = BTreeMap::from([("h1".parse().unwrap(), Revision(120))]);
     harness.owner.set_draining(drain_marks);
     let task = |index: u32| -> TaskId { format!("{}.0.0.{index}", id(1)).parse().unwrap() };
@@ -570,12 +572,13 @@
 /// unavailable, and that one finds no host that stays: it must return to a draining one.
 #[test]
 fn a_long_running_task_returns_to_a_draining_host_that_others_cannot_leave() {
-    let lasting = Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
+    let long_running =
+        Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
     let mut harness = one_worker();
     harness.deliver(Event::Worker(report("w2", "h2")));
     harness.connect("w2", vec![]);
-    harness.deliver(Event::Job(stored(1, vec![lasting.clone()], 110)));
-    harness.deliver(Event::Job(stored(2, vec![Step { max_per_worker: 0, ..lasting }], 111)));
+    harness.deliver(Event::Job(stored(1, vec![long_running.clone()], 110)));
+    harness.deliver(Event::Job(stored(2, vec![Step { max_per_worker: 0, ..long_running }], 111)));
     harness.work();
     let starts = harness.take_starts();
     assert_eq!(starts.len(), 4);
--- a/src/jobs/tests/crashes.rs
+++ b/src/jobs/tests/crashes.rs
@@ -107,7 +107,7 @@
 #[test]
 fn tasks_whose_hosts_lose_power_are_not_given_up() {
     for mut pool in Pool::with_each_naming(6) {
-        let lasting = pool.submit(vec![Step { long_running: true, ..step(3) }]);
+        let long_running = pool.submit(vec![Step { long_running: true, ..step(3) }]);
         let jobs: Vec<_> = (0..4)
             .map(|_| pool.submit(vec![step(2), Step { after: vec![0], ..step(2) }]))
             .collect();
@@ -116,7 +116,7 @@
             pool.lose_power(host);
         }
         pool.run(LONG_MS);
-        assert_eq!(pool.status(lasting), Some(JobState::Running));
+        assert_eq!(pool.status(long_running), Some(JobState::Running));
         for job in jobs {
             assert_eq!(pool.status(job), Some(JobState::Succeeded), "{job}");
         }
--- a/src/jobs/tests/crashes/many.rs
+++ b/src/jobs/tests/crashes/many.rs
@@ -1,6 +1,6 @@
 //! Many tasks at once that crash the workers that start them.
 //!
-//! Jobs without such a task failed, lasting ones included: a tenth of a queue's jobs crashed four
+//! Jobs without such a task failed, long-running ones included: a tenth of a queue's jobs crashed four
 //! workers a second, each with up to eighteen runs, and a task was given up once four workers were
 //! lost with it, even if another run had just begun there each time. Runs also counted as just
 //! begun for too long, since answers to other orders than polls were not taken as signs of life.
@@ -40,7 +40,7 @@
 
 fn check(hosts: usize, interval_ms: u64, nth: usize) {
     for mut pool in Pool::with_each_naming(hosts) {
-        let lasting: Vec<JobId> =
+        let long_running: Vec<JobId> =
             (0..3).map(|_| pool.submit(vec![Step { long_running: true, ..small(6) }])).collect();
         pool.run(1_000);
         let (sound, crashing) = submit_jobs(&mut pool, interval_ms, nth);
@@ -52,15 +52,15 @@
         assert_eq!(
             count(&pool, &crashing, JobState::Failed),
             crashing.len(),
-            "crashing jobs shown as failed"
+            "crashing jobs reported as failed"
         );
-        assert_eq!(count(&pool, &sound, JobState::Failed), 0, "sound jobs shown as failed");
+        assert_eq!(count(&pool, &sound, JobState::Failed), 0, "sound jobs reported as failed");
         assert_eq!(
             count(&pool, &sound, JobState::Succeeded),
             sound.len(),
-            "sound jobs shown as succeeded"
+            "sound jobs reported as succeeded"
         );
-        for job in lasting {
+        for job in long_running {
             assert_eq!(pool.status(job), Some(JobState::Running), "{job}");
             assert_eq!(pool.runs_of(job), 6, "all tasks of {job} run");
         }
--- a/src/jobs/tests/crashes/pool.rs
+++ b/src/jobs/tests/crashes/pool.rs
@@ -23,7 +23,7 @@
 /// The step of the simulated time.
 const ROUND_MS: u64 = 10;
 
-/// The duration of a task that is not lasting.
+/// The duration of a task that is not long-running.
 const WORK_MS: u64 = 700;
 
 /// How long after its start a task crashes its worker.
@@ -406,13 +406,15 @@
             *starts += 1;
         }
         let (now, crashes) = (self.now, self.crashing_tasks.contains(&task));
-        let lasting = self.jobs[&task.of.job].record.steps[task.of.step as usize].long_running;
+        let long_running = self.jobs[&task.of.job].record.steps[task.of.step as usize].long_running;
         if !self.is_addressed(host, to) {
             return Some(OrderResult::Refused { why: Refusal::OtherLife, clock_ms: None });
         }
         let process = &mut self.hosts[host].process;
         process.lease_end_ms = process.lease_end_ms.max(until_ms);
-        process.runs.insert(task, Run { number: run, remaining_ms: (!lasting).then_some(WORK_MS) });
+        process
+            .runs
+            .insert(task, Run { number: run, remaining_ms: (!long_running).then_some(WORK_MS) });
         if crashes {
             self.hosts[host].next_crash.get_or_insert((now + CRASH_DELAY_MS, task));
         }
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -239,7 +239,7 @@
 }
 
 /// Guards against counting hosts that never join as expected: a pool then had too few hosts to
-/// spread a lasting step over.
+/// spread a long-running step over.
 #[test]
 fn a_host_that_fails_to_join_is_replaced() {
     let mut fixture = Fixture::new();
@@ -260,7 +260,7 @@
     assert_eq!(later, 1);
 }
 
-/// Guards against a peak in another pool taking the hosts over which lasting tasks are spread.
+/// Guards against a peak in another pool taking the hosts over which long-running tasks are spread.
 #[test]
 fn a_peak_in_another_pool_leaves_hosts_for_spreading_lasting_tasks() {
     let mut fixture = Fixture::new();
--- a/src/jobs/tests/resizing.rs
+++ b/src/jobs/tests/resizing.rs
@@ -70,7 +70,7 @@
 }
 
 /// The resources of a worker had shrunk below what its runs use. Its negative remainder counted as
-/// the largest one when resources were reserved for a lasting task: nothing was started in the
+/// the largest one when resources were reserved for a long-running task: nothing was started in the
 /// pool, and the node's processes ended.
 #[test]
 fn no_resources_are_reserved_at_a_worker_whose_runs_use_more_than_it_has() {
--- a/src/jobs/tests/restart_counts.rs
+++ b/src/jobs/tests/restart_counts.rs
@@ -42,13 +42,13 @@
     harness.now += 100;
     harness.poll("w1", vec![], vec![end]);
     harness.work();
-    assert_eq!(restarts(&mut harness), vec![(RunEnd::Ended(failed).word(), 1)]);
+    assert_eq!(restarts(&mut harness), vec![(RunEnd::Ended(failed).as_str(), 1)]);
     let (task, run, worker) = harness.take_starts().pop().unwrap();
     harness.confirm_start(task, run, &worker);
     harness.now += 100;
     harness.poll("w1", vec![], vec![]);
     harness.work();
-    assert_eq!(restarts(&mut harness), vec![(RunEnd::Unlisted.word(), 1)]);
+    assert_eq!(restarts(&mut harness), vec![(RunEnd::Unlisted.as_str(), 1)]);
 }
 
 #[test]
@@ -64,7 +64,7 @@
     harness.now += 1_000;
     harness.poll("w1", vec![], vec![]);
     harness.work();
-    assert_eq!(restarts(&mut harness), vec![(RunEnd::Refused(why).word(), 1)]);
+    assert_eq!(restarts(&mut harness), vec![(RunEnd::Refused(why).as_str(), 1)]);
 }
 
 #[test]
@@ -79,7 +79,7 @@
         harness.poll("w2", vec![], vec![]);
         harness.work();
     }
-    assert_eq!(restarts(&mut harness), vec![(RunEnd::Lapsed.word(), 1)]);
+    assert_eq!(restarts(&mut harness), vec![(RunEnd::Lapsed.as_str(), 1)]);
 }
 
 #[test]
@@ -87,18 +87,18 @@
     let (mut harness, task, run, _) = one_running_task();
     harness.deliver(Event::Worker(report("w2", "h2")));
     harness.connect("w2", vec![present(task, run + 7, 10)]);
-    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::Elsewhere.word(), 1)]);
+    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::Elsewhere.as_str(), 1)]);
     harness.now += 10;
     harness.poll("w1", vec![present(task, run + 1, 10)], vec![]);
-    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::OtherRun.word(), 1)]);
+    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::OtherRun.as_str(), 1)]);
     harness.now += 10;
     harness.poll("w1", vec![], vec![done(1, task, run)]);
     harness.poll("w2", vec![present(task, run + 7, 10)], vec![]);
-    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::Done.word(), 1)]);
+    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::Done.as_str(), 1)]);
     harness.persist_progress();
     harness.now += 10;
     harness.poll("w2", vec![present(task, run + 7, 10)], vec![]);
-    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::NoJob.word(), 1)]);
+    assert_eq!(unexpected_runs(&mut harness), vec![(UnexpectedRun::NoJob.as_str(), 1)]);
 }
 
 #[test]
@@ -137,6 +137,6 @@
     let now = harness.at().steady;
     harness.owner.set_confirmed(now);
     work_unconfirmed(&mut harness);
-    assert_eq!(restarts(&mut harness), vec![(RunEnd::Lapsed.word(), 1)]);
+    assert_eq!(restarts(&mut harness), vec![(RunEnd::Lapsed.as_str(), 1)]);
     assert!(!harness.owner.awaits_confirmation(harness.at().steady));
 }
--- a/src/jobs/tests/unlisted.rs
+++ b/src/jobs/tests/unlisted.rs
@@ -46,7 +46,7 @@
     assert_eq!(start(&mut harness, 5), ["w1"], "its entry may be back soon");
 }
 
-/// The worker may continue to serve, so a lasting task must not be stopped early.
+/// The worker may continue to serve, so a long-running task must not be stopped early.
 #[test]
 fn runs_continue_at_a_worker_whose_entry_stays_missing() {
     let mut harness = one_worker();
--- a/src/jobs/urgency.rs
+++ b/src/jobs/urgency.rs
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Urgency {
     priority: u32,
-    /// 0: lasting or in time; 1: late, but still of value; 2: too late to be of value.
+    /// 0: long-running or in time; 1: late, but still of value; 2: too late to be of value.
     lateness: u32,
     /// How long the remaining work can be delayed so that the job ends in time, in milliseconds;
     /// negative if it is late.
--- a/src/jobs/worker.rs
+++ b/src/jobs/worker.rs
@@ -544,6 +544,6 @@
             self.used.subtract(charge);
         }
         self.began_ms.remove(&task);
-        self.isolated_task.take_if(|trial| *trial == task);
+        self.isolated_task.take_if(|isolated| *isolated == task);
     }
 }
