--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -254,8 +254,8 @@
     let services = fleet.config.services.iter().filter(|(_, service)| service.pool == *pool);
     let placements: Vec<Key> = services.map(|(id, _)| Key::Placement(id.clone())).collect();
     assert!(1 < placements.len());
-    let away = Step::Reboot { host: host.clone() };
-    for step in [Step::Leave { host: host.clone() }, away] {
+    let reboot = Step::Reboot { host: host.clone() };
+    for step in [Step::Leave { host: host.clone() }, reboot] {
         assert_eq!(wave::dependencies(&fleet, &step), placements, "{step:?}");
     }
 }
--- a/src/decide/tests/claims.rs
+++ b/src/decide/tests/claims.rs
@@ -62,7 +62,7 @@
 }
 
 #[derive(Debug, Default)]
-struct World {
+struct Simulation {
     revision: u64,
     bucket: Bucket,
     nodes: Vec<Node>,
@@ -70,7 +70,7 @@
     count: u32,
 }
 
-impl World {
+impl Simulation {
     fn op(&mut self) -> OpId {
         self.count += 1;
         format!("op-{}", self.count).parse().unwrap()
@@ -175,10 +175,10 @@
 #[test]
 fn key_is_sent_at_most_once_despite_lost_writes_and_deaths() {
     fuzz(3000, 120, |ops: &[Op]| {
-        let mut world = World { nodes: vec![Node::default(); NODES], ..World::default() };
+        let mut sim = Simulation { nodes: vec![Node::default(); NODES], ..Simulation::default() };
         for op in ops {
-            world.apply(*op);
-            let twice = world.ran.iter().find(|(_, times)| 1 < **times);
+            sim.apply(*op);
+            let twice = sim.ran.iter().find(|(_, times)| 1 < **times);
             assert_eq!(twice, None);
         }
     });
--- a/src/decide/tests/fuzz.rs
+++ b/src/decide/tests/fuzz.rs
@@ -122,7 +122,7 @@
     at: Time,
 }
 
-struct World {
+struct Simulation {
     now: Time,
     rules: Rules,
     /// The store: newest record and revision by key, and the log of all writes.
@@ -137,8 +137,8 @@
     down_since: BTreeMap<(ServiceId, u32), Time>,
 }
 
-impl World {
-    fn new(surge: bool) -> World {
+impl Simulation {
+    fn new(surge: bool) -> Simulation {
         let rules = Rules::default();
         let mut preset = preset::tyrehub();
         for service in preset.config.services.values_mut() {
@@ -154,7 +154,7 @@
             pending,
             expected: BTreeMap::new(),
         };
-        let mut world = World {
+        let mut sim = Simulation {
             now: BEGIN,
             rules,
             store: BTreeMap::new(),
@@ -168,19 +168,19 @@
         };
         for (id, host) in &fleet.hosts {
             let record = Record::Host(id.clone(), host.clone());
-            world.store.insert(record.key().path(), (Revision(1), record));
-            world.hosts.insert(id.clone(), ActualHost::default());
+            sim.store.insert(record.key().path(), (Revision(1), record));
+            sim.hosts.insert(id.clone(), ActualHost::default());
         }
         for (id, placement) in &fleet.placements {
             let record = Record::Placement(id.clone(), placement.clone());
-            world.store.insert(record.key().path(), (Revision(1), record));
+            sim.store.insert(record.key().path(), (Revision(1), record));
             for (index, assigned) in placement.tasks.iter().enumerate() {
                 let Some(assigned) = assigned else { continue };
-                let host = world.hosts.get_mut(&assigned.host).unwrap();
+                let host = sim.hosts.get_mut(&assigned.host).unwrap();
                 host.tasks.insert((id.clone(), index as u32, assigned.generation), BEGIN);
             }
         }
-        world
+        sim
     }
 
     fn host_at(&self, at: u8) -> HostId {
@@ -583,9 +583,9 @@
 }
 
 fn run(ops: &[Op], surge: bool) {
-    let mut world = World::new(surge);
+    let mut sim = Simulation::new(surge);
     for op in ops {
-        world.apply(*op);
+        sim.apply(*op);
     }
 }
 
@@ -593,26 +593,26 @@
 /// operations time passes and the control loops of the nodes run.
 fn run_with_progress(ops: &[Op], surge: bool) {
     const LOOP_INTERVAL: usize = 3;
-    let mut world = World::new(surge);
+    let mut sim = Simulation::new(surge);
     for (plan, host, action) in [(0, 0, 3), (1, 8, 0)] {
-        world.apply(Op::Propose { node: 0, host, count: 7, action });
-        world.apply(Op::Receive { node: 0, count: 0 });
-        world.apply(Op::Confirm { node: 0, plan });
+        sim.apply(Op::Propose { node: 0, host, count: 7, action });
+        sim.apply(Op::Receive { node: 0, count: 0 });
+        sim.apply(Op::Confirm { node: 0, plan });
     }
     for (at, op) in ops.iter().enumerate() {
-        world.apply(*op);
+        sim.apply(*op);
         if at % LOOP_INTERVAL == 0 {
             // Derived from the number of writes, so that it varies within and between sequences.
-            let steps = (world.log.len() * 5 % 16) as u8;
-            run_control_loops(&mut world, steps);
+            let steps = (sim.log.len() * 5 % 16) as u8;
+            run_control_loops(&mut sim, steps);
         }
     }
 }
 
 /// Runs the control loop of each node once. Each node is interrupted in the middle of its steps,
 /// and continues after the others have taken theirs.
-fn run_control_loops(world: &mut World, steps: u8) {
-    let active = (0..NODES as u8).filter(|node| !world.nodes[usize::from(*node)].paused);
+fn run_control_loops(sim: &mut Simulation, steps: u8) {
+    let active = (0..NODES as u8).filter(|node| !sim.nodes[usize::from(*node)].paused);
     let active: Vec<u8> = active.collect();
     for node in active.iter().copied() {
         for op in [
@@ -621,13 +621,13 @@
             Op::Repair { node },
             Op::TakeSteps { node, steps },
         ] {
-            world.apply(op);
+            sim.apply(op);
         }
     }
     for node in active {
-        world.apply(Op::TakeSteps { node, steps: 15 });
+        sim.apply(Op::TakeSteps { node, steps: 15 });
     }
-    world.apply(Op::AdvanceTime(4));
+    sim.apply(Op::AdvanceTime(4));
 }
 
 #[test]
--- a/src/jobs/fleet/calls.rs
+++ b/src/jobs/fleet/calls.rs
@@ -124,7 +124,7 @@
             CallResult::Unknown => CallState::RetryAt(now.after(CALL_RETRY_MS)),
             CallResult::RateLimited => {
                 self.rate_limiter.back_off(now);
-                // An earlier call may have begun without an answer: the host may be away.
+                // An earlier call may have begun without an answer: the host may be out of service.
                 CallState::RetryAt(self.rate_limiter.paused_until)
             }
         };
@@ -141,7 +141,7 @@
     }
 
     /// Whether a call may have taken its host out of service, or may yet do so.
-    pub(super) fn may_be_away(&self, host: &HostId) -> bool {
+    pub(super) fn may_be_out_of_service(&self, host: &HostId) -> bool {
         let state = self.calls.get(host).map(|call| call.state);
         !matches!(state, None | Some(CallState::NotBegun(_)))
     }
@@ -161,15 +161,15 @@
         if allowed == 0 {
             return;
         }
-        let mut away = self.away_by_wave(snapshot);
+        let mut out_of_service = self.out_of_service_by_wave(snapshot);
         for host in self.hosts_by_priority(snapshot) {
-            let Some(action) = self.due_action(snapshot, &host, &away, now) else {
+            let Some(action) = self.due_action(snapshot, &host, &out_of_service, now) else {
                 continue;
             };
             if let HostAction::Upkeep(wave) = action
-                && !self.may_be_away(&host)
+                && !self.may_be_out_of_service(&host)
             {
-                *away.entry(wave).or_default() += 1;
+                *out_of_service.entry(wave).or_default() += 1;
             }
             if let Some(incoming) = self.incoming.get_mut(&host)
                 && !self.calls.contains_key(&host)
@@ -232,13 +232,13 @@
         snapshot.demands.iter().map(shortage).collect()
     }
 
-    /// The action for which a joining or marked host is to be called now; `away` counts the hosts
-    /// that are away for each wave.
+    /// The action for which a joining or marked host is to be called now; `out_of_service` counts
+    /// the hosts that are out of service for each wave.
     fn due_action(
         &self,
         snapshot: &FleetSnapshot<'_>,
         host: &HostId,
-        away: &BTreeMap<u64, usize>,
+        out_of_service: &BTreeMap<u64, usize>,
         now: Steady,
     ) -> Option<HostAction> {
         if let Some(incoming) = self.incoming.get(host) {
@@ -267,10 +267,13 @@
         }
         let due = match marked {
             HostAction::Upkeep(wave) => {
-                let max_away = snapshot.upkeeps.iter().find(|upkeep| upkeep.wave == *wave);
-                let max_away = max_away.map_or(0, |upkeep| upkeep.max_concurrent as usize);
-                let away = away.get(wave).copied().unwrap_or_default();
-                !self.is_maintained(snapshot, *wave, host) && (is_retry || away < max_away)
+                let max_out_of_service =
+                    snapshot.upkeeps.iter().find(|upkeep| upkeep.wave == *wave);
+                let max_out_of_service =
+                    max_out_of_service.map_or(0, |upkeep| upkeep.max_concurrent as usize);
+                let out_of_service = out_of_service.get(wave).copied().unwrap_or_default();
+                !self.is_maintained(snapshot, *wave, host)
+                    && (is_retry || out_of_service < max_out_of_service)
             }
             // The view may still show the mark after the move.
             HostAction::Move(pool) => entry.phase != HostPhase::Up || entry.pool != *pool,
@@ -281,10 +284,10 @@
     /// Whether nothing runs on a host: its pool's owner has recorded that for its current worker,
     /// or the host is switched off.
     fn is_empty(&self, snapshot: &FleetSnapshot<'_>, entry: &ListedHost) -> bool {
-        let off = snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.headroom);
+        let is_off = snapshot.config.pools.get(&entry.pool).is_some_and(|rules| rules.headroom);
         match &entry.worker {
-            Some(worker) => off || snapshot.drained.get(&entry.host) == Some(worker),
-            None => off,
+            Some(worker) => is_off || snapshot.drained.get(&entry.host) == Some(worker),
+            None => is_off,
         }
     }
 }
--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -266,16 +266,17 @@
         }
     }
 
-    /// Hosts over which a pool's long-running tasks can be spread while one of the hosts is drained.
+    /// Hosts over which a pool's long-running tasks can be spread while one of the hosts is
+    /// drained.
     pub(super) fn floor(&self, demand: &Demand) -> usize {
         demand.spread + 1
     }
 
     /// The number of hosts for each pool: what it wants. If there are not enough, hosts for
-    /// spreading long-running tasks come first, then those needed for present work that can still end in
-    /// time, then those for forecast work, then those for late work. Within each class, hosts go
-    /// one by one to the pool with the fewest, so that a pool with a large request does not take
-    /// the hosts of pools that need few.
+    /// spreading long-running tasks come first, then those needed for present work that can still
+    /// end in time, then those for forecast work, then those for late work. Within each class,
+    /// hosts go one by one to the pool with the fewest, so that a pool with a large request does
+    /// not take the hosts of pools that need few.
     pub(super) fn shares(
         &self,
         snapshot: &FleetSnapshot<'_>,
--- a/src/jobs/fleet/wave.rs
+++ b/src/jobs/fleet/wave.rs
@@ -9,7 +9,7 @@
     worker::{HostPhase, ListedHost, Upkeep},
 };
 
-/// Hosts that are drained in advance for a wave, beyond those that may be away for it.
+/// Hosts that are drained in advance for a wave, beyond those that may be out of service for it.
 const DRAIN_AHEAD_HOSTS: usize = 6;
 
 /// The share of a pool's hosts that may be marked for upkeep at one time, in percent.
@@ -112,21 +112,25 @@
         count_by_pool(self.hosts.values().inspect(|_| self.count_visit()))
     }
 
-    /// How many hosts are or may be away for each wave. Hosts that an earlier owner called recently
-    /// count as well: the host list may not show them away yet.
-    pub(super) fn away_by_wave(&self, snapshot: &FleetSnapshot<'_>) -> BTreeMap<u64, usize> {
-        let mut away = BTreeMap::new();
+    /// How many hosts are or may be out of service for each wave. Hosts that an earlier owner
+    /// called recently count as well: the host list may not show them as out of service yet.
+    pub(super) fn out_of_service_by_wave(
+        &self,
+        snapshot: &FleetSnapshot<'_>,
+    ) -> BTreeMap<u64, usize> {
+        let mut out_of_service = BTreeMap::new();
         for (host, mark) in self.marks.iter() {
             let HostAction::Upkeep(wave) = mark.action else {
                 continue;
             };
             let listed = self.hosts.get(host).map(|entry| entry.phase);
-            let called = self.may_be_away(host) || snapshot.recently_called.contains(host);
+            let called =
+                self.may_be_out_of_service(host) || snapshot.recently_called.contains(host);
             if called || listed == Some(HostPhase::Upkeep) {
-                *away.entry(wave).or_default() += 1;
+                *out_of_service.entry(wave).or_default() += 1;
             }
         }
-        away
+        out_of_service
     }
 
     /// Whether a host's upkeep is recorded as done.
@@ -136,8 +140,8 @@
         wave: u64,
         host: &HostId,
     ) -> bool {
-        let shown = snapshot.maintained.get(&wave).is_some_and(|hosts| hosts.contains(host));
-        shown || self.waves.get(&wave).is_some_and(|writes| writes.maintained.contains(host))
+        let in_view = snapshot.maintained.get(&wave).is_some_and(|hosts| hosts.contains(host));
+        in_view || self.waves.get(&wave).is_some_and(|writes| writes.maintained.contains(host))
     }
 
     /// Orders a write that records the upkeep of hosts as done and removes their marks.
--- a/src/jobs/handover.rs
+++ b/src/jobs/handover.rs
@@ -2,8 +2,8 @@
 //! run at its workers.
 //!
 //! The owner sends no orders any more, so the record is exact, whereas the roster only says that
-//! anything may run. It is valid only for the very next owner: an owner in between may have sent
-//! orders.
+//! anything may run. It is valid only for the very next owner: another owner in between may have
+//! sent orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/jobs/message_loss.rs
+++ b/src/jobs/message_loss.rs
@@ -7,7 +7,7 @@
 use crate::model::unit::Steady;
 
 /// The period over which unanswered orders are counted: long enough for the few of a small pool to
-/// add up, short enough that a pool bears the additional polls only while orders get lost.
+/// add up, short enough that the additional polls are sent only while orders get lost.
 const LOSS_WINDOW_MS: u64 = 2_000;
 
 /// The fewest lost orders in a pool of any size: one or two may be due to a connection reset.
--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -54,8 +54,8 @@
 const PREDECESSOR_MS: u64 = LEASE_MS + GRACE_PERIOD_MS;
 
 /// How long after a change of owners a worker that the new owner has not reached may still run
-/// something, in milliseconds: the last order of the previous owner, the worker lease on the slowest
-/// clock, and a worker that acts late on its expiry.
+/// something, in milliseconds: the last order of the previous owner, the worker lease on the
+/// slowest clock, and a worker that acts late on its expiry.
 const FENCE_MS: u64 = PREDECESSOR_MS
     + WORKER_LEASE_MS * 100 / SLOWEST_CLOCK_PERCENT
     + CLOCK_DRIFT_MS
@@ -87,7 +87,7 @@
     /// and a worker does not list an end again once it is acknowledged.
     unknown: BTreeMap<JobId, Steady>,
     workers: BTreeMap<Incarnation, Worker>,
-    /// What a later owner would find in the store about the workers.
+    /// The records about the workers that a later owner would find in the store.
     roster: Roster,
     /// What may run at workers that have not been polled yet, if the previous owner persisted it.
     handed_over: Option<BTreeSet<TaskId>>,
@@ -109,7 +109,7 @@
     durations: Durations,
     message_loss: MessageLoss,
     save_queue: SaveQueue,
-    /// Jobs whose end is durable: of their records in the store only the end is of use.
+    /// Jobs whose end is durable: the rest of their records in the store is no longer needed.
     finished: BTreeSet<JobId>,
     deposed: bool,
     counts: Counts,
--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -2,9 +2,9 @@
 //!
 //! No worker lists the end of a run that was lost with its worker. So the lost workers are counted
 //! here and persisted with the job, across changes of owner. All runs of a worker are lost with it,
-//! and most of them are not the cause. So only a task whose run had just begun is a suspect. Its next run is an isolated
-//! retry: nothing else begins beside it until it is stable. If that worker is lost as well, the
-//! task is the cause.
+//! and most of them are not the cause. So only a task whose run had just begun is a suspect. Its
+//! next run is an isolated retry: nothing else begins beside it until it is stable. If that worker
+//! is lost as well, the task is the cause.
 
 use std::collections::BTreeSet;
 
@@ -280,8 +280,8 @@
     }
 
     /// Persists that a suspect task is about to start at a worker, so that a later owner takes
-    /// account of that worker's loss, and prevents other starts there. Returns whether the start must
-    /// wait until that is durable, or until all runs there are stable. The first start after a
+    /// account of that worker's loss, and prevents other starts there. Returns whether the start
+    /// must wait until that is durable, or until all runs there are stable. The first start after a
     /// single loss does not wait for the write: most such losses are not caused by the task.
     pub(super) fn announce_isolated_retry(
         &mut self,
--- a/src/jobs/owner/held_back.rs
+++ b/src/jobs/owner/held_back.rs
@@ -1,5 +1,6 @@
-//! What an owner holds back, and for whom. It is logged, since a pool with free capacity and
-//! waiting tasks looks the same whether its workers lack an answer, a record or a task.
+//! Tasks that an owner holds back, and why. This is logged, since a pool with free capacity and
+//! waiting tasks does not show whether its workers have not been polled, have no record in the
+//! roster, or may get work but get no task.
 
 use super::{Owner, roster::Unconfirmed};
 use crate::model::{
@@ -7,7 +8,7 @@
     unit::Now,
 };
 
-/// What keeps a pool's tasks from its workers.
+/// Why tasks of a pool are not started on its workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct HeldBack {
     /// Tasks of earlier jobs that wait, since a worker that has not been polled may run them.
--- a/src/jobs/owner/incarnations.rs
+++ b/src/jobs/owner/incarnations.rs
@@ -1,12 +1,12 @@
 //! Workers that start again under their name: which incarnation is alive, and what may still happen
 //! to orders to the previous one.
 //!
-//! An order names the worker only. One that was sent to an incarnation may be carried out by the
-//! next one, seconds later. The next one has seen no fencing token, has no record of stopped runs,
-//! and its clock has restarted. So it gets a token of its own before it gets work: the revision of
-//! the write that lists it in the roster. It is above the tokens of all orders to earlier
-//! incarnations, and below that of every later owner. Once the worker has answered an order with
-//! this token, it refuses those earlier orders.
+//! An order names the worker only. An order that was sent to an incarnation may be carried out by
+//! the next one, seconds later. The next incarnation has received no fencing token, has no record
+//! of stopped runs, and its clock has restarted. So it gets a token of its own before it gets work:
+//! the revision of the write that lists it in the roster. It is above the tokens of all orders to
+//! earlier incarnations, and below that of every later owner. Once the worker has answered an order
+//! with this token, it refuses those earlier orders.
 
 use super::Owner;
 use crate::{
@@ -71,12 +71,12 @@
         new: &Incarnation,
         now: Steady,
     ) {
-        let Some(before) = self.workers.get(old) else {
+        let Some(previous) = self.workers.get(old) else {
             return;
         };
-        let (ordered, fence) = (before.has_reported, before.fencing_token());
-        let held = self.roster.holding(old).or(before.earlier_tasks.as_ref()).cloned();
-        let bound = self.possibly_begun_at_next(before);
+        let (had_orders, fencing_token) = (previous.has_reported, previous.fencing_token());
+        let holding = self.roster.holding(old).or(previous.earlier_tasks.as_ref()).cloned();
+        let possibly_begun = self.possibly_begun_at_next(previous);
         match old.born {
             Some(_) => {
                 self.counts.worker_restarts += 1;
@@ -84,11 +84,11 @@
             }
             None => self.identify(old, new, now),
         }
-        for (task, run) in bound {
+        for (task, run) in possibly_begun {
             self.assign_run(task, run, new, now);
         }
         if let Some(worker) = self.workers.get_mut(new) {
-            worker.follow(fence, ordered, held);
+            worker.follow(fencing_token, had_orders, holding);
             worker.next_poll = now;
         }
     }
@@ -141,12 +141,12 @@
 impl Worker {
     /// Records that it follows another incarnation: the token of orders to that one, whether there
     /// were any, and what it may have run.
-    fn follow(&mut self, fence: u64, ordered: bool, held: Option<Holding>) {
-        self.advance_fencing_token(fence);
+    fn follow(&mut self, fencing_token: u64, had_orders: bool, holding: Option<Holding>) {
+        self.advance_fencing_token(fencing_token);
         if !self.reported_all {
-            self.earlier_tasks = held;
+            self.earlier_tasks = holding;
         }
-        if ordered && !self.rostered {
+        if had_orders && !self.rostered {
             self.restart_fence = RestartFence::Needed;
         }
     }
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -1,4 +1,5 @@
-//! Decides which tasks start on which workers, and which runs are stopped on hosts that are being drained.
+//! Decides which tasks start on which workers, and which runs are stopped on hosts that are being
+//! drained.
 
 use std::collections::BTreeSet;
 
@@ -189,8 +190,8 @@
         };
         let waits = |(index, task): (usize, &crate::jobs::job::Task)| {
             let index = index as u32;
-            // If a run was taken over, the location of its task is known, but not how often the task
-            // has failed.
+            // If a run was taken over, the location of its task is known, but not how often the
+            // task has failed.
             let known = task.location_known && !job.may_have_failed(of, index);
             let certain = known || !unconfirmed.covers(&TaskId { of, index });
             let may = task.not_before <= now && certain && job.may_start(task);
--- a/src/jobs/owner/polls.rs
+++ b/src/jobs/owner/polls.rs
@@ -440,8 +440,8 @@
     }
 
     /// Removes runs at workers that have been silent until all their leases expired, and workers
-    /// that have presumably ended. Only what had expired when the store last confirmed the ownership
-    /// counts: a later owner may renew the lease of a worker that is silent here.
+    /// that have presumably ended. Only what had expired when the store last confirmed the
+    /// ownership counts: a later owner may renew the lease of a worker that is silent here.
     pub(super) fn remove_expired_runs(&mut self, now: Steady) {
         let confirmed = self.confirmed.min(now);
         let expired = |worker: &&Worker| worker.missed_polls != 0 && worker.has_lapsed(confirmed);
--- a/src/jobs/owner/throttle.rs
+++ b/src/jobs/owner/throttle.rs
@@ -66,8 +66,8 @@
                 continue;
             }
             let task_runs = job.task(task.of, task.index).map(|entry| &entry.runs);
-            let Some(task_run) =
-                task_runs.and_then(|task_runs| task_runs.iter().find(|c| c.worker == *id))
+            let Some(task_run) = task_runs
+                .and_then(|task_runs| task_runs.iter().find(|task_run| task_run.worker == *id))
             else {
                 continue;
             };
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -17,8 +17,8 @@
 /// Tickets that expire sooner than this are not used, in milliseconds: an order takes a few.
 pub(crate) const TICKET_MARGIN_MS: u64 = 150;
 
-/// How long a long-running task waits for a worker before it may use a host that is being drained, in
-/// milliseconds.
+/// How long a long-running task waits for a worker before it may use a host that is being drained,
+/// in milliseconds.
 const STARVED_MS: u64 = 1_000;
 
 /// How many workers each reason rules out for a step.
@@ -51,10 +51,10 @@
             && (step.label.is_empty() || worker.report.labels.contains(&step.label))
     }
 
-    /// Whether a long-running task may start on a host that is being drained: only while other tasks run
-    /// there, since the fleet owner may act on a host once it has been empty, and only after no
-    /// other worker was found for a while. Otherwise, tasks that must not be down together could
-    /// block each other.
+    /// Whether a long-running task may start on a host that is being drained: only while other
+    /// tasks run there, since the fleet owner may act on a host once it has been empty, and only
+    /// after no other worker was found for a while. Otherwise, tasks that must not be down together
+    /// could block each other.
     fn may_start_on_draining_host(&self, worker: &Worker, step: &Step, tasks: &StepTasks) -> bool {
         let starved = tasks.unplaced_since.is_some_and(|since| STARVED_MS < self.now.since(since));
         step.long_running
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -123,22 +123,22 @@
 
     /// Persists the roster. Returns what was written, if there was anything to write.
     fn persist_roster(&mut self) -> Option<RosterWrite> {
-        let note = self.owner.roster_note(BATCH_LIMIT)?;
-        self.roster_persisted(&note);
-        Some(note)
+        let write = self.owner.roster_note(BATCH_LIMIT)?;
+        self.roster_persisted(&write);
+        Some(write)
     }
 
     /// Reports to the owner that a write of the roster succeeded.
-    fn roster_persisted(&mut self, note: &RosterWrite) {
-        self.owner.note_roster_written(note, Revision(1_000 + self.now));
+    fn roster_persisted(&mut self, write: &RosterWrite) {
+        self.owner.note_roster_written(write, Revision(1_000 + self.now));
     }
 
     /// An owner that starts from the roster that an earlier owner persisted.
-    fn inheriting(workers: &[(&str, &str)], away: SilentWorkers) -> Harness {
+    fn inheriting(workers: &[(&str, &str)], silent_workers: SilentWorkers) -> Harness {
         let mut harness = Harness::new(1);
         let workers = workers.iter().map(|(name, host)| report(name, host)).collect();
         let now = harness.at();
-        harness.owner.inherit(workers, &away, now, &mut harness.effects);
+        harness.owner.inherit(workers, &silent_workers, now, &mut harness.effects);
         harness
     }
 
@@ -187,11 +187,11 @@
 
     /// Persists all pending progress and returns it.
     fn persist_progress(&mut self) -> Vec<(JobId, Progress)> {
-        let saves = self.owner.take_saves(100);
-        self.owner.note_saved(&saves, Revision(200));
-        saves
+        let writes = self.owner.take_saves(100);
+        self.owner.note_saved(&writes, Revision(200));
+        writes
             .into_iter()
-            .map(|save| (save.job, serde_json::from_slice(&save.value).unwrap()))
+            .map(|write| (write.job, serde_json::from_slice(&write.value).unwrap()))
             .collect()
     }
 }
@@ -223,9 +223,9 @@
     harness.confirm_start(task, run, &worker);
     harness.now += 500;
     harness.poll("w1", vec![], vec![done(1, task, run)]);
-    let saved = harness.persist_progress();
-    assert_eq!(saved.len(), 1);
-    assert_eq!(saved[0].1.state, JobState::Succeeded);
+    let written = harness.persist_progress();
+    assert_eq!(written.len(), 1);
+    assert_eq!(written[0].1.state, JobState::Succeeded);
 }
 
 #[test]
@@ -316,8 +316,8 @@
     let done = EndedRun { number: 1, task, run, how: RunOutcome::Done, checkpoint: String::new() };
     harness.poll("w1", vec![], vec![done]);
     assert_eq!(harness.owner.take_finished(BATCH_LIMIT), vec![]);
-    let saves = harness.owner.take_saves(BATCH_LIMIT);
-    harness.owner.note_saved(&saves, Revision(120));
+    let writes = harness.owner.take_saves(BATCH_LIMIT);
+    harness.owner.note_saved(&writes, Revision(120));
     assert_eq!(harness.owner.take_finished(BATCH_LIMIT), vec![id(1)]);
     assert_eq!(harness.owner.take_finished(BATCH_LIMIT), vec![]);
     harness.owner.note_removal_failed(vec![id(1)]);
@@ -492,8 +492,8 @@
         let end = EndedRun { number, task, run, how, checkpoint: String::new() };
         harness.poll("w1", vec![], vec![end]);
     }
-    let saved = harness.persist_progress();
-    assert_eq!(saved[0].1.state, JobState::Failed);
+    let written = harness.persist_progress();
+    assert_eq!(written[0].1.state, JobState::Failed);
     harness.now += 10_000;
     harness.work();
     assert_eq!(harness.take_starts(), vec![]);
--- a/src/jobs/tests/crashes/pool.rs
+++ b/src/jobs/tests/crashes/pool.rs
@@ -187,9 +187,9 @@
     /// with an announced isolated retry.
     pub(super) fn announced(&self, job: JobId) -> usize {
         let steps = self.progress.get(&job).into_iter().flat_map(|(progress, _)| &progress.steps);
-        let tasks = steps.flat_map(|(_, note)| note.tasks.values());
+        let tasks = steps.flat_map(|(_, progress)| progress.tasks.values());
         let unconfirmed: BTreeSet<&Incarnation> =
-            tasks.flat_map(|note| &note.unconfirmed_crashes).collect();
+            tasks.flat_map(|progress| &progress.unconfirmed_crashes).collect();
         let up = self.hosts.iter().filter(|host| host.up_at.is_none());
         up.filter(|host| unconfirmed.contains(&host.process.report.id)).count()
     }
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Removes the owner; after a while a new one takes over, which knows the persisted state only.
+    /// Removes the owner; after a while a new one takes over, which has only the persisted state.
     pub(super) fn replace_owner(&mut self) {
         for _ in 0..OWNERLESS_MS / ROUND_MS {
             self.round(false);
@@ -222,9 +222,9 @@
         let now = self.at();
         self.owner = Owner::new(self.revision, self.owner_count, now.steady);
         self.owner_count += 1;
-        let (workers, away) = self.roster.clone();
+        let (workers, silent_workers) = self.roster.clone();
         let mut out = Vec::new();
-        self.owner.inherit(workers.into_values().collect(), &away, now, &mut out);
+        self.owner.inherit(workers.into_values().collect(), &silent_workers, now, &mut out);
         self.apply(out);
         for job in self.jobs.clone().into_values() {
             let job = self.stored(job);
@@ -269,22 +269,22 @@
 
     /// Writes what the owner wants persisted.
     fn persist(&mut self) {
-        let saves = self.owner.take_saves(100);
-        if !saves.is_empty() {
+        let writes = self.owner.take_saves(100);
+        if !writes.is_empty() {
             self.revision += 1;
-            for save in &saves {
-                let progress = serde_json::from_slice(&save.value).unwrap();
-                self.progress.insert(save.job, (progress, self.revision));
+            for write in &writes {
+                let progress = serde_json::from_slice(&write.value).unwrap();
+                self.progress.insert(write.job, (progress, self.revision));
             }
-            self.owner.note_saved(&saves, Revision(self.revision));
+            self.owner.note_saved(&writes, Revision(self.revision));
         }
-        if let Some(note) = self.owner.roster_note(100) {
-            let (workers, away) = &mut self.roster;
-            workers.extend(note.added.iter().map(|report| (report.id.clone(), report.clone())));
-            workers.retain(|id, _| !note.dropped.contains(id));
-            *away = note.silent_workers.clone();
+        if let Some(write) = self.owner.roster_note(100) {
+            let (workers, silent_workers) = &mut self.roster;
+            workers.extend(write.added.iter().map(|report| (report.id.clone(), report.clone())));
+            workers.retain(|id, _| !write.dropped.contains(id));
+            *silent_workers = write.silent_workers.clone();
             self.revision += 1;
-            self.owner.note_roster_written(&note, Revision(self.revision));
+            self.owner.note_roster_written(&write, Revision(self.revision));
         }
     }
 
@@ -323,9 +323,9 @@
                 ended.push((*task, run.number, RunOutcome::Done));
             }
         }
-        for (task, run, how) in ended {
+        for (task, run, outcome) in ended {
             process.runs.remove(&task);
-            process.add_end(task, run, how);
+            process.add_end(task, run, outcome);
         }
     }
 
@@ -475,10 +475,10 @@
         1_000 + now - self.started
     }
 
-    fn add_end(&mut self, task: TaskId, run: u32, how: RunOutcome) {
+    fn add_end(&mut self, task: TaskId, run: u32, outcome: RunOutcome) {
         let number = self.next_end;
         self.next_end += 1;
-        self.ends.push(EndedRun { number, task, run, how, checkpoint: String::new() });
+        self.ends.push(EndedRun { number, task, run, how: outcome, checkpoint: String::new() });
     }
 
     fn poll_result(&self, now: u64) -> PollResponse {
--- a/src/jobs/tests/delegates.rs
+++ b/src/jobs/tests/delegates.rs
@@ -41,8 +41,9 @@
     assert!(shares(&delegates, &few).values().all(|share| *share <= 12));
     delegates.choose("pool", &nodes(40), &many);
     assert!(shares(&delegates, &many).values().all(|share| *share <= 12));
-    let kept = few.iter().zip(&before).filter(|(w, node)| delegates.of(w) == Some(node)).count();
-    assert_eq!(kept, few.len(), "with more delegates, workers keep the ones that they have");
+    let unchanged =
+        few.iter().zip(&before).filter(|(w, node)| delegates.of(w) == Some(node)).count();
+    assert_eq!(unchanged, few.len(), "with more delegates, workers keep the ones that they have");
 }
 
 #[test]
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -172,7 +172,7 @@
     };
     assert_eq!(begun(fleet.plan(&fixture.snapshot(), at(100))), 2);
     fleet.note_call_result(&host(1), UPKEEP, CallResult::Begun, at(150));
-    // Without an answer, it may be away as well.
+    // Without an answer, it may be out of service as well.
     fleet.note_call_result(&host(2), UPKEEP, CallResult::Unknown, at(150));
     assert_eq!(begun(fleet.plan(&fixture.snapshot(), at(200))), 0);
 }
@@ -202,9 +202,10 @@
 }
 
 /// An owner that released its ownership had called as many hosts as the wave allows, and the host
-/// list did not show them away yet. The next owner did not count them and called as many others.
+/// list did not show them as out of service yet. The next owner did not count them and called as
+/// many others.
 #[test]
-fn hosts_recently_called_by_another_owner_count_as_away_for_their_wave() {
+fn hosts_recently_called_by_another_owner_count_as_out_of_service_for_their_wave() {
     let mut fixture = Fixture::new();
     let all = (1..9).map(host).collect();
     fixture.upkeeps = vec![Upkeep { wave: 1, hosts: all, period_ms: 20_000, max_concurrent: 2 }];
--- a/src/jobs/tests/fleet/lagging.rs
+++ b/src/jobs/tests/fleet/lagging.rs
@@ -438,13 +438,13 @@
         sim.first_write_lost = true;
         sim.run(30_000);
     }
-    let most = [
+    let most_repeated = [
         wave.most_repeated("mark"),
         wave.most_repeated("report"),
         moves.most_repeated("mark"),
         moves.most_repeated("unmark"),
     ];
-    assert!(most.iter().all(|(count, _)| *count == 2), "{most:?}");
+    assert!(most_repeated.iter().all(|(count, _)| *count == 2), "{most_repeated:?}");
 }
 
 /// Guards against retrying each host every 0.3 s: these calls used up the limit that other hosts
@@ -484,8 +484,11 @@
         let is_mark = |order: &&String| order.starts_with("mark") || order.starts_with("unmark");
         sim.orders.keys().filter(is_mark).count()
     };
-    let (near, far) = (orders(230), orders(2_000));
-    assert!(far * 3 <= near, "{near} marks with a lag of a quarter second, {far} with two seconds");
+    let (short_lag, long_lag) = (orders(230), orders(2_000));
+    assert!(
+        long_lag * 3 <= short_lag,
+        "{short_lag} marks with a lag of a quarter second, {long_lag} with two seconds"
+    );
 }
 
 /// Calls of an earlier owner may use up the call limit in the first second of the next one.
--- a/src/jobs/tests/foreign_entries.rs
+++ b/src/jobs/tests/foreign_entries.rs
@@ -143,7 +143,8 @@
     assert_eq!((starts.len(), starts[0].0.of.job), (1, id(2)), "the worker is used again");
 }
 
-/// A barred worker that stops answering is given up only once all its runs have lapsed.
+/// A worker with an invalid entry that stops answering is given up only once all its runs have
+/// lapsed.
 #[test]
 fn a_worker_with_an_unreadable_entry_is_given_up_only_after_its_runs_have_lapsed() {
     let (mut harness, task, run) = two_workers();
--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -204,7 +204,7 @@
     late_orders: Vec<Effect>,
     /// Whether the start order that is being executed is late.
     is_order_late: bool,
-    late_saves: Vec<(u64, Vec<ProgressWrite>)>,
+    late_progress: Vec<(u64, Vec<ProgressWrite>)>,
     late_rosters: Vec<(u64, u64, RosterWrite)>,
     /// Jobs with a run that has started on a worker.
     started_jobs: BTreeSet<JobId>,
@@ -242,7 +242,7 @@
             draining: BTreeSet::new(),
             late_orders: Vec::new(),
             is_order_late: false,
-            late_saves: Vec::new(),
+            late_progress: Vec::new(),
             late_rosters: Vec::new(),
             started_jobs: BTreeSet::new(),
             done_tasks: BTreeSet::new(),
@@ -305,8 +305,8 @@
         let earlier = self.owners.len() as u32;
         let mut owner = Owner::new(self.token, earlier, Steady::from_millis(now));
         let (mut out, at) = (Vec::new(), self.at());
-        let (workers, away, roster_revision) = self.roster.clone();
-        owner.inherit(workers.into_values().collect(), &away, at, &mut out);
+        let (workers, silent_workers, roster_revision) = self.roster.clone();
+        owner.inherit(workers.into_values().collect(), &silent_workers, at, &mut out);
         owner.set_draining(self.drain_marks());
         for worker in self.workers.iter().filter(|worker| listed && worker.alive) {
             owner.handle(Event::Worker(worker.report.clone()), at, &mut out);
@@ -372,21 +372,21 @@
     fn persist_roster(&mut self, owner: usize, delivery: Delivery) {
         let sim_owner = &mut self.owners[owner];
         let (token, expects) = (sim_owner.owner.token, sim_owner.roster_revision);
-        let Some(note) = sim_owner.owner.roster_note(ROSTER_BATCH) else {
+        let Some(write) = sim_owner.owner.roster_note(ROSTER_BATCH) else {
             return;
         };
         match delivery {
             Delivery::Lost | Delivery::Unsent => {}
-            Delivery::Late => self.late_rosters.push((token, expects, note)),
+            Delivery::Late => self.late_rosters.push((token, expects, write)),
             Delivery::AnswerLost => {
-                self.write_roster(token, expects, &note);
+                self.write_roster(token, expects, &write);
             }
             Delivery::Delivered => {
-                let written = self.write_roster(token, expects, &note);
+                let written = self.write_roster(token, expects, &write);
                 let found = self.roster.2;
                 let sim_owner = &mut self.owners[owner];
                 match written {
-                    true => sim_owner.owner.note_roster_written(&note, Revision(found)),
+                    true => sim_owner.owner.note_roster_written(&write, Revision(found)),
                     // An earlier unanswered write was made.
                     false if token == self.token => {}
                     false => return,
@@ -397,16 +397,16 @@
     }
 
     /// Writes a roster under its conditions, as the store does. Returns whether they were met.
-    fn write_roster(&mut self, token: u64, expects: u64, note: &RosterWrite) -> bool {
+    fn write_roster(&mut self, token: u64, expects: u64, write: &RosterWrite) -> bool {
         if token != self.token || self.roster.2 != expects {
             return false;
         }
         self.revision += 1;
-        let (workers, away, at) = &mut self.roster;
-        let added = note.added.iter().map(|report| (report.id.clone(), report.clone()));
+        let (workers, silent_workers, revision) = &mut self.roster;
+        let added = write.added.iter().map(|report| (report.id.clone(), report.clone()));
         workers.extend(added);
-        workers.retain(|id, _| !note.dropped.contains(id));
-        (*away, *at) = (note.silent_workers.clone(), self.revision);
+        workers.retain(|id, _| !write.dropped.contains(id));
+        (*silent_workers, *revision) = (write.silent_workers.clone(), self.revision);
         true
     }
 
@@ -499,15 +499,15 @@
                 finished.push((*task, run.run, RunOutcome::Done));
             }
         }
-        for (task, run, how) in finished {
-            let poison = how == RunOutcome::Done && self.is_poison(task.of.job);
+        for (task, run, outcome) in finished {
+            let poison = outcome == RunOutcome::Done && self.is_poison(task.of.job);
             self.workers[host].runs.remove(&task);
-            self.end_run(host, task, run, if poison { RunOutcome::Failed } else { how });
+            self.end_run(host, task, run, if poison { RunOutcome::Failed } else { outcome });
         }
     }
 
-    fn end_run(&mut self, host: usize, task: TaskId, run: u32, how: RunOutcome) {
-        if how == RunOutcome::Done {
+    fn end_run(&mut self, host: usize, task: TaskId, run: u32, outcome: RunOutcome) {
+        if outcome == RunOutcome::Done {
             self.done_tasks.insert(task);
         }
         let worker = &mut self.workers[host];
@@ -515,7 +515,7 @@
         *highest = (*highest).max(run);
         let number = worker.next_end;
         worker.next_end += 1;
-        worker.ends.push(EndedRun { number, task, run, how, checkpoint: String::new() });
+        worker.ends.push(EndedRun { number, task, run, how: outcome, checkpoint: String::new() });
     }
 
     fn worker_clock(&self, host: usize) -> u64 {
@@ -779,7 +779,8 @@
             || self.progress.get(&job).is_some_and(|(progress, _)| progress.state.is_final());
         let name = format!("{}.{}", end.task.of.occurrence, end.task.of.step);
         let persisted = self.progress.get(&job).and_then(|(progress, _)| progress.steps.get(&name));
-        let persisted_done = persisted.is_some_and(|note| note.done.contains(&end.task.index));
+        let persisted_done =
+            persisted.is_some_and(|progress| progress.done.contains(&end.task.index));
         match end.how {
             RunOutcome::Done => {
                 assert!(
@@ -792,8 +793,9 @@
                 }
             }
             RunOutcome::Failed => {
-                let runs = persisted.and_then(|note| note.tasks.get(&end.task.index));
-                let persisted_failed = runs.is_some_and(|note| note.failed.contains(&end.run));
+                let runs = persisted.and_then(|progress| progress.tasks.get(&end.task.index));
+                let persisted_failed =
+                    runs.is_some_and(|progress| progress.failed.contains(&end.run));
                 assert!(
                     is_over || persisted_done || persisted_failed,
                     "{}: failure is not persisted",
@@ -809,29 +811,29 @@
 
     fn persist_progress(&mut self, owner: usize, delivery: Delivery) {
         let token = self.owners[owner].owner.token;
-        let saves = self.owners[owner].owner.take_saves(15);
-        if saves.is_empty() {
+        let writes = self.owners[owner].owner.take_saves(15);
+        if writes.is_empty() {
             return;
         }
         match delivery {
-            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.note_save_failed(&saves),
+            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.note_save_failed(&writes),
             Delivery::Late => {
-                self.owners[owner].owner.note_save_failed(&saves);
-                self.late_saves.push((token, saves));
+                self.owners[owner].owner.note_save_failed(&writes);
+                self.late_progress.push((token, writes));
             }
             Delivery::Delivered | Delivery::AnswerLost => {
-                let written = self.write_progress(token, &saves);
+                let written = self.write_progress(token, &writes);
                 match written {
                     Ok(revision) if delivery == Delivery::Delivered => {
-                        self.owners[owner].owner.note_saved(&saves, revision);
+                        self.owners[owner].owner.note_saved(&writes, revision);
                     }
                     Err(conflicts) if delivery == Delivery::Delivered => {
                         for (job, revision) in conflicts {
                             self.owners[owner].owner.rebase(job, revision);
                         }
-                        self.owners[owner].owner.note_save_failed(&saves);
+                        self.owners[owner].owner.note_save_failed(&writes);
                     }
-                    _ => self.owners[owner].owner.note_save_failed(&saves),
+                    _ => self.owners[owner].owner.note_save_failed(&writes),
                 }
             }
         }
@@ -841,20 +843,20 @@
     fn write_progress(
         &mut self,
         token: u64,
-        saves: &[ProgressWrite],
+        writes: &[ProgressWrite],
     ) -> Result<Revision, Vec<(JobId, Revision)>> {
         let at = |job: &JobId| self.progress.get(job).map_or(0, |(_, revision)| *revision);
-        let conflicts = saves.iter().filter(|save| at(&save.job) != save.expected_revision.0);
+        let conflicts = writes.iter().filter(|write| at(&write.job) != write.expected_revision.0);
         let conflicts: Vec<(JobId, Revision)> =
-            conflicts.map(|save| (save.job, Revision(at(&save.job)))).collect();
+            conflicts.map(|write| (write.job, Revision(at(&write.job)))).collect();
         if token != self.token || !conflicts.is_empty() {
             return Err(if token == self.token { conflicts } else { Vec::new() });
         }
         self.revision += 1;
-        for save in saves {
-            let progress: Progress = serde_json::from_slice(&save.value).unwrap();
-            self.check_progress(save.job, &progress);
-            self.progress.insert(save.job, (progress, self.revision));
+        for write in writes {
+            let progress: Progress = serde_json::from_slice(&write.value).unwrap();
+            self.check_progress(write.job, &progress);
+            self.progress.insert(write.job, (progress, self.revision));
         }
         Ok(Revision(self.revision))
     }
@@ -981,13 +983,13 @@
 
     fn deliver_late(&mut self, index: usize) {
         if !self.late_rosters.is_empty() {
-            let (token, expects, note) = self.late_rosters.remove(0);
-            self.write_roster(token, expects, &note);
+            let (token, expects, write) = self.late_rosters.remove(0);
+            self.write_roster(token, expects, &write);
         }
-        if !self.late_saves.is_empty() {
-            let (token, saves) = self.late_saves.remove(0);
+        if !self.late_progress.is_empty() {
+            let (token, writes) = self.late_progress.remove(0);
             // No owner receives the result.
-            let _ = self.write_progress(token, &saves);
+            let _ = self.write_progress(token, &writes);
         }
         if self.late_orders.is_empty() {
             return;
--- a/src/jobs/tests/handover.rs
+++ b/src/jobs/tests/handover.rs
@@ -43,11 +43,11 @@
     workers: usize,
     jobs: impl Iterator<Item = (u64, u32)>,
 ) -> Harness {
-    let away = harness.owner.handover_record(harness.at()).unwrap_or_default();
+    let silent_workers = harness.owner.handover_record(harness.at()).unwrap_or_default();
     let names: Vec<(String, String)> =
         (0..workers).map(|number| (format!("w{number}"), format!("h{number}"))).collect();
     let listed: Vec<(&str, &str)> = names.iter().map(|(w, h)| (w.as_str(), h.as_str())).collect();
-    let mut next = Harness::inheriting(&listed, away);
+    let mut next = Harness::inheriting(&listed, silent_workers);
     for (number, tasks) in jobs {
         next.deliver(Event::Job(stored(number, vec![step(tasks)], 50)));
     }
--- a/src/jobs/tests/incarnations.rs
+++ b/src/jobs/tests/incarnations.rs
@@ -76,11 +76,11 @@
     harness.now += 400;
     answer(harness, FIRST, NEXT, vec![], vec![]);
     harness.deliver(Event::Worker(report(NEXT, "h1")));
-    poll_until_guarded(harness, &[]);
+    poll_until_fenced(harness, &[]);
 }
 
 /// The next incarnation answers, is listed in the roster, and answers under its own token.
-fn poll_until_guarded(harness: &mut Harness, runs: &[(TaskId, u32)]) {
+fn poll_until_fenced(harness: &mut Harness, runs: &[(TaskId, u32)]) {
     for _ in 0..3 {
         harness.now += 20;
         harness.work();
@@ -104,9 +104,9 @@
     harness.confirm_start(task, run, &at);
     harness.now += 500;
     answer(&mut harness, NEXT, NEXT, vec![], vec![done(1, task, run)]);
-    let kept = harness.persist_progress();
+    let written = harness.persist_progress();
     assert_eq!(
-        kept.iter().map(|(job, kept)| (*job, kept.state)).collect::<Vec<_>>(),
+        written.iter().map(|(job, progress)| (*job, progress.state)).collect::<Vec<_>>(),
         [(id(2), JobState::Succeeded)]
     );
     harness.now += 1_100;
@@ -181,7 +181,8 @@
     harness.work();
 }
 
-/// The next incarnation would carry it out after the task has begun elsewhere.
+/// If the task were started elsewhere earlier, the next incarnation might still carry out the
+/// unanswered start.
 #[test]
 fn an_unanswered_start_is_awaited_for_as_long_as_it_may_be_late() {
     let mut harness = unanswered_start(step(1));
@@ -194,7 +195,7 @@
     assert_eq!(harness.take_starts().len(), 1);
 }
 
-/// Its callers would miss it meanwhile.
+/// Its callers would get no service while it waits.
 #[test]
 fn a_long_running_task_is_not_held_back_for_a_late_start() {
     let mut harness = unanswered_start(Step { long_running: true, ..step(1) });
@@ -252,7 +253,7 @@
     harness.connect("w2@1000", vec![]);
     let (task, run, at) = order_start(&mut harness, 1);
     let next = Incarnation::new(at.worker.clone(), Some(StartTime(2_000))).to_string();
-    // Its answer does not show which incarnation has begun it.
+    // The answer to a start does not show which incarnation has begun the run.
     harness.confirm_start(task, run, &at);
     harness.now += 20;
     answer(&mut harness, &at.to_string(), &next, vec![present(task, run, 0)], vec![]);
@@ -344,7 +345,7 @@
     let mut next = report(NEXT, "h2");
     next.labels = vec!["b".to_owned(), "r7".to_owned()];
     harness.deliver(Event::Worker(next));
-    poll_until_guarded(&mut harness, &[]);
+    poll_until_fenced(&mut harness, &[]);
     assert_eq!(order_start(&mut harness, 1).2, worker_id(NEXT));
 }
 
@@ -358,7 +359,7 @@
     harness.now += 400;
     answer(&mut harness, FIRST, NEXT, vec![], vec![]);
     harness.deliver(Event::Worker(report(NEXT, "h1")));
-    poll_until_guarded(&mut harness, &[]);
+    poll_until_fenced(&mut harness, &[]);
     harness.deliver(Event::Job(stored(2, vec![step(1)], 111)));
     harness.work();
     let until = harness.effects.iter().find_map(|effect| match effect {
@@ -371,8 +372,8 @@
 /// Records of versions that did not distinguish incarnations.
 #[test]
 fn a_worker_persisted_without_its_start_is_polled_before_tasks_begin_that_it_may_run() {
-    let away = crate::jobs::roster::SilentWorkers::default();
-    let mut harness = Harness::inheriting(&[("w1", "h1")], away);
+    let silent_workers = crate::jobs::roster::SilentWorkers::default();
+    let mut harness = Harness::inheriting(&[("w1", "h1")], silent_workers);
     harness.deliver(Event::Worker(report(FIRST, "h1")));
     harness.deliver(Event::Worker(report("w2@1000", "h2")));
     harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
--- a/src/jobs/tests/late_timers.rs
+++ b/src/jobs/tests/late_timers.rs
@@ -8,12 +8,13 @@
     worker::WORKER_LEASE_MS,
 };
 
-/// The latest that a timer of 20 ms fired in a process beside 24 busy ones, in milliseconds, by
-/// tests/lateness.rs in one minute on 12 cores (157, in another minute 104); plus that tick.
+/// The greatest delay of a timer of 20 ms in a process beside 24 busy ones on 12 cores, plus that
+/// interval, in milliseconds. `tests/lateness.rs` reports such delays: 157 and 104 in two runs of
+/// one minute.
 const TIMER_MS: u64 = 157 + 20;
 
 /// How long the last lease lasts on a clock that is 2 % slow, in milliseconds.
-const SLOW_HOLD_MS: u64 = WORKER_LEASE_MS * 100 / 98 + 1;
+const SLOW_LEASE_MS: u64 = WORKER_LEASE_MS * 100 / 98 + 1;
 
 /// Advances time until a task is started at a worker that answers; returns that time.
 fn next_start(harness: &mut Harness, answers: &str) -> u64 {
@@ -43,11 +44,15 @@
     harness.work();
     let (task, run, worker) = harness.take_starts()[0].clone();
     harness.confirm_start(task, run, &worker);
-    let given = harness.now;
+    let ordered_at = harness.now;
     harness.poll_unanswered(worker.worker.as_str());
     let other = if worker.worker.as_str() == "w1" { "w2" } else { "w1" };
     let start = next_start(&mut harness, other);
-    assert!(given + SLOW_HOLD_MS + TIMER_MS <= start, "{} ms after the order", start - given);
+    assert!(
+        ordered_at + SLOW_LEASE_MS + TIMER_MS <= start,
+        "{} ms after the order",
+        start - ordered_at
+    );
 }
 
 /// As above, for a worker that got its last order from the previous owner.
@@ -60,6 +65,6 @@
     let start = next_start(&mut harness, "w2");
     // The previous owner estimated the worker's clock by an answer that was up to 1.25 s old.
     let clock_ms = 25;
-    let least = LEASE_MS + GRACE_PERIOD_MS + SLOW_HOLD_MS + clock_ms + TIMER_MS;
+    let least = LEASE_MS + GRACE_PERIOD_MS + SLOW_LEASE_MS + clock_ms + TIMER_MS;
     assert!(least <= start, "{start} ms after the change of owners, not {least}");
 }
--- a/src/jobs/tests/polls.rs
+++ b/src/jobs/tests/polls.rs
@@ -1,4 +1,4 @@
-//! Tests of how fast an owner learns the state of runs whose orders got no answer.
+//! Tests of how fast an owner is informed of the state of runs whose orders got no answer.
 
 use super::{Harness, one_worker, present, report, step, stored, worker_id};
 use crate::{
--- a/src/jobs/tests/resizing.rs
+++ b/src/jobs/tests/resizing.rs
@@ -12,8 +12,8 @@
 
 /// Reports other resources of a worker.
 fn resize(harness: &mut Harness, name: &str, host: &str, cpu: u32) {
-    let room = TaskResources { cpu: Millicores(cpu), memory: Megabytes(8_000), gpus: 0 };
-    harness.deliver(Event::Worker(super::WorkerReport { capacity: room, ..report(name, host) }));
+    let capacity = TaskResources { cpu: Millicores(cpu), memory: Megabytes(8_000), gpus: 0 };
+    harness.deliver(Event::Worker(super::WorkerReport { capacity, ..report(name, host) }));
 }
 
 /// A worker with resources for four tasks, which runs three.
--- a/src/jobs/tests/truncated_ends.rs
+++ b/src/jobs/tests/truncated_ends.rs
@@ -3,7 +3,7 @@
 //! They guard against two runs of one task. A worker lists 500 ends at once and repeats them until
 //! they are acknowledged, which requires that they are durable. While the store accepts no
 //! progress, more than 500 can accumulate. A run whose end was not among the first 500 was listed
-//! neither as running nor as ended. Its owner assumed that it was gone and started the task
+//! neither as running nor as ended. Its owner assumed that the run had ended and started the task
 //! elsewhere; a later owner assumed that the worker had nothing else.
 
 use std::collections::BTreeMap;
@@ -69,8 +69,8 @@
     harness.poll("w1", vec![], rest);
     harness.work();
     assert_eq!(harness.take_starts(), vec![]);
-    let saved = harness.persist_progress();
-    assert_eq!(saved[0].1.state, crate::model::job::JobState::Succeeded);
+    let written = harness.persist_progress();
+    assert_eq!(written[0].1.state, crate::model::job::JobState::Succeeded);
 }
 
 /// A later owner that finds the first 500 ends of another job, and behind them the end of a task
@@ -118,7 +118,7 @@
     );
     harness.poll("w1", vec![], vec![hidden_end()]);
     harness.persist_progress();
-    let emptied = harness.owner.drained_hosts();
-    assert_eq!(emptied.len(), 1);
-    assert_eq!(emptied[0].worker, worker_id("w1"));
+    let drained = harness.owner.drained_hosts();
+    assert_eq!(drained.len(), 1);
+    assert_eq!(drained[0].worker, worker_id("w1"));
 }
--- a/src/jobs/tests/waiting_jobs.rs
+++ b/src/jobs/tests/waiting_jobs.rs
@@ -21,10 +21,10 @@
 
 /// How many jobs are counted as waiting, and the last persisted state of the first.
 fn waiting_and_state(harness: &mut Harness) -> (usize, JobState) {
-    let saved = harness.persist_progress();
-    let kept = saved.iter().rev().find(|(job, _)| *job == id(1));
-    let kept = kept.map(|(_, progress)| progress.state).unwrap_or_default();
-    (harness.owner.queued().values().sum(), kept)
+    let written = harness.persist_progress();
+    let progress = written.iter().rev().find(|(job, _)| *job == id(1));
+    let state = progress.map(|(_, progress)| progress.state).unwrap_or_default();
+    (harness.owner.queued().values().sum(), state)
 }
 
 const WAITS: (usize, JobState) = (1, JobState::Queued);
@@ -138,8 +138,8 @@
     let [(first, run, worker), (second, other, _)] = &starts[..] else {
         panic!("{starts:?}");
     };
-    let room = OrderResult::Refused { why: Refusal::Room, clock_ms: None };
-    answer(&mut harness, *second, *other, room);
+    let refused = OrderResult::Refused { why: Refusal::Room, clock_ms: None };
+    answer(&mut harness, *second, *other, refused);
     assert_eq!(waiting_and_state(&mut harness), WAITS);
     harness.confirm_start(*first, *run, worker);
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
@@ -157,12 +157,12 @@
     assert_eq!(waiting_and_state(&mut harness), BEGUN);
 }
 
-/// However the run ended: it is listed only if it had begun.
+/// Whatever the outcome of the run, its end is listed only if the run had begun.
 #[test]
 fn a_job_with_a_listed_end_has_begun() {
-    let ways =
+    let outcomes =
         [RunOutcome::Failed, RunOutcome::Stopped, RunOutcome::Lapsed, RunOutcome::GangBroken];
-    for how in ways.into_iter().chain([RunOutcome::GangIncomplete]) {
+    for how in outcomes.into_iter().chain([RunOutcome::GangIncomplete]) {
         let (mut harness, task, run) = order_start();
         answer(&mut harness, task, run, OrderResult::Unknown);
         harness.now += 5;
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -145,7 +145,7 @@
         self.hosts_by_pool.get(pool).into_iter().flatten()
     }
 
-    /// A copy restricted to one pool, its hosts and its services, for a rehearsal.
+    /// A copy restricted to one pool, its hosts and its services, for a simulation.
     pub(crate) fn restricted_to(&self, pool: &PoolId) -> Fleet {
         let mut part = Fleet { last_received: self.last_received, ..Fleet::default() };
         part.config.pools.extend(self.config.pools.get(pool).map(|p| (pool.clone(), p.clone())));
