--- a/src/decide/plan.rs
+++ b/src/decide/plan.rs
@@ -76,12 +76,12 @@
             None => by_pool.entry(fleet.hosts[&host].pool.clone()).or_default().push(host),
         }
     }
-    let mut cache = TradeCache::default();
+    let mut cache = TradeOffCache::default();
     for (pool, hosts) in by_pool {
         let batches = order::across_racks(fleet, &hosts, now, rules);
         let part = PoolPlan { batches, max_out: 1, ..PoolPlan::default() };
         plan.pools.insert(pool.clone(), part);
-        choose_trade(fleet, &mut plan, &pool, &mut cache, now, rules);
+        choose_trade_off(fleet, &mut plan, &pool, &mut cache, now, rules);
     }
     plan.cost.tightest.sort_by_key(|t| {
         (i64::from(t.max_down) - i64::from(t.peak_out + t.reserve), t.service.clone())
@@ -118,18 +118,18 @@
 
 /// The reason if a task of the host would fit on no host of its pool even if empty.
 fn unplaceable_task(fleet: &Fleet, host: &HostId) -> Option<String> {
-    let stuck = fleet.tasks_on(host).iter().find(|task| {
+    let unplaceable = fleet.tasks_on(host).iter().find(|task| {
         fleet.service(&task.service).is_some_and(|s| !place::fits_some_empty_host(fleet, s))
     })?;
-    Some(format!("its task {}/{} fits no other host", stuck.service, stuck.index))
+    Some(format!("its task {}/{} fits no other host", unplaceable.service, unplaceable.index))
 }
 
-/// Trades chosen so far, reused for pools of equal profile: simulating each pool of a large plan
-/// would repeat the same work.
-type TradeCache = BTreeMap<PoolProfile, TradeOff>;
+/// Trade-offs chosen so far, reused for pools of equal profile: simulating each pool of a large
+/// plan would repeat the same work.
+type TradeOffCache = BTreeMap<PoolProfile, TradeOff>;
 
-/// Pools with equal profiles reuse one choice: number of hosts, of planned hosts, and services by
-/// size and budget.
+/// The properties of a pool that determine its trade-off: the numbers of hosts and of planned hosts,
+/// and the services by size and budget. Pools with equal profiles reuse one choice.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolProfile {
     hosts: usize,
@@ -143,12 +143,12 @@
     PoolProfile { hosts: fleet.hosts_of(pool).count(), planned, services }
 }
 
-/// Chooses the trade for a pool's part of the plan by simulation, and adds its cost.
-fn choose_trade(
+/// Chooses the trade-off for a pool's part of the plan by simulation, and adds its cost.
+fn choose_trade_off(
     fleet: &Fleet,
     plan: &mut Plan,
     pool: &PoolId,
-    cache: &mut TradeCache,
+    cache: &mut TradeOffCache,
     now: Time,
     rules: &Rules,
 ) {
@@ -161,21 +161,21 @@
     };
     if let Some(cached) = cache.get(&profile) {
         let report = simulate(plan, cached.max_out, cached.frugal);
-        let trade =
-            TradeOff { chosen: true, ..trade(cached.max_out, cached.frugal, &report, rules) };
-        return record_choice(fleet, plan, pool, vec![trade], &report, rules);
+        let trade_off =
+            TradeOff { chosen: true, ..trade_off(cached.max_out, cached.frugal, &report, rules) };
+        return record_choice(fleet, plan, pool, vec![trade_off], &report, rules);
     }
     let mut best: Option<(f64, usize, Report)> = None;
-    let mut trades: Vec<TradeOff> = Vec::new();
+    let mut trade_offs: Vec<TradeOff> = Vec::new();
     for frugal in [true, false] {
         let mut previous: Option<(u64, u32)> = None;
         for max_out in limits(planned as u32) {
             let report = simulate(plan, max_out, frugal);
             let score = score(&part, pool, planned as u32, &report, rules);
             let result = (report.seconds, report.moves);
-            trades.push(trade(max_out, frugal, &report, rules));
+            trade_offs.push(trade_off(max_out, frugal, &report, rules));
             if best.as_ref().is_none_or(|(lowest, _, _)| score < *lowest) {
-                best = Some((score, trades.len() - 1, report));
+                best = Some((score, trade_offs.len() - 1, report));
             }
             // A higher limit with the same result is never reached; neither are those above it.
             if previous == Some(result) {
@@ -185,12 +185,12 @@
         }
     }
     let Some((_, best_index, report)) = best else { return };
-    trades[best_index].chosen = true;
-    cache.insert(profile, trades[best_index].clone());
-    record_choice(fleet, plan, pool, trades, &report, rules);
+    trade_offs[best_index].chosen = true;
+    cache.insert(profile, trade_offs[best_index].clone());
+    record_choice(fleet, plan, pool, trade_offs, &report, rules);
 }
 
-fn trade(max_out: u32, frugal: bool, report: &Report, rules: &Rules) -> TradeOff {
+fn trade_off(max_out: u32, frugal: bool, report: &Report, rules: &Rules) -> TradeOff {
     TradeOff {
         max_out,
         frugal,
@@ -201,27 +201,27 @@
     }
 }
 
-/// Stores the chosen trade of a pool in the plan, and adds its cost.
+/// Stores the chosen trade-off of a pool in the plan, and adds its cost.
 fn record_choice(
     fleet: &Fleet,
     plan: &mut Plan,
     pool: &PoolId,
-    trades: Vec<TradeOff>,
+    trade_offs: Vec<TradeOff>,
     report: &Report,
     rules: &Rules,
 ) {
-    let chosen = trades.iter().find(|trade| trade.chosen);
+    let chosen = trade_offs.iter().find(|trade_off| trade_off.chosen);
     if let (Some(part), Some(chosen)) = (plan.pools.get_mut(pool), chosen) {
         (part.max_out, part.frugal) = (chosen.max_out, chosen.frugal);
-        part.trades = trades;
+        part.trades = trade_offs;
     }
     add_cost(fleet, plan, report, rules);
 }
 
-/// Limits on hosts out that are tried: each half as much again as the one before, and all hosts.
+/// Limits on hosts out that are tried: each 1.5 times the one before, and all hosts.
 fn limits(hosts: u32) -> Vec<u32> {
-    let grown = std::iter::successors(Some(1u32), |limit| Some((limit * 3).div_ceil(2)));
-    grown.take_while(|limit| *limit < hosts).chain([hosts.max(1)]).collect()
+    let increasing = std::iter::successors(Some(1u32), |limit| Some((limit * 3).div_ceil(2)));
+    increasing.take_while(|limit| *limit < hosts).chain([hosts.max(1)]).collect()
 }
 
 /// A running plan with only the part of one pool.
@@ -321,7 +321,7 @@
         });
     }
     if plan.pools.is_empty() {
-        let reasons = plan.cost.impossible.iter().map(|(host, why)| format!("{host}: {why}"));
+        let reasons = plan.cost.impossible.iter().map(|(host, reason)| format!("{host}: {reason}"));
         return Err(PlanError::NothingToDo { id: id.clone(), reasons: reasons.collect() });
     }
     let differences = differences(fleet, plan);
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -59,9 +59,13 @@
     if preferred.is_empty() {
         return (0..loads.len()).filter(available).min_by_key(|at| loads[*at].backoff_until);
     }
-    let one = preferred[draw(preferred.len())];
-    let two = preferred[draw(preferred.len())];
-    Some(if loads[two].utilization(now) < loads[one].utilization(now) { two } else { one })
+    let first = preferred[draw(preferred.len())];
+    let second = preferred[draw(preferred.len())];
+    Some(if loads[second].utilization(now) < loads[first].utilization(now) {
+        second
+    } else {
+        first
+    })
 }
 
 /// Backoff of an endpoint after a number of consecutive failures.
--- a/src/decide/tests/fuzz.rs
+++ b/src/decide/tests/fuzz.rs
@@ -193,8 +193,8 @@
             return false;
         }
         let path = record.key().path();
-        let held = self.store.get(&path).map_or(Revision(0), |(revision, _)| *revision);
-        if held != expect {
+        let current = self.store.get(&path).map_or(Revision(0), |(revision, _)| *revision);
+        if current != expect {
             return false;
         }
         self.check_write(&record, plan_step);
@@ -279,9 +279,9 @@
     fn check_write(&self, record: &Record, plan_step: Option<&Step>) {
         if let Record::Host(id, next) = record {
             let path = Key::Host(id.clone()).path();
-            if let Some((_, Record::Host(_, held))) = self.store.get(&path) {
-                assert!(held.epoch < next.epoch, "host {id}: epoch did not increase");
-                if held.pool != next.pool {
+            if let Some((_, Record::Host(_, current))) = self.store.get(&path) {
+                assert!(current.epoch < next.epoch, "host {id}: epoch did not increase");
+                if current.pool != next.pool {
                     assert!(
                         self.placed_on(id).is_empty(),
                         "host {id}: changed pool while tasks were placed on it"
@@ -438,8 +438,8 @@
             let Some(report) = fleet.reports.get_mut(id) else { continue };
             report.live = !host.dead && host.reboot.is_none();
             report.booted.0 = host.booted;
-            let held = self.store.get(&Key::Host(id.clone()).path());
-            if let Some((_, Record::Host(_, record))) = held.filter(|_| report.live) {
+            let current = self.store.get(&Key::Host(id.clone()).path());
+            if let Some((_, Record::Host(_, record))) = current.filter(|_| report.live) {
                 report.epoch = record.epoch;
             }
             report.tasks = host
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -109,9 +109,9 @@
 pub(crate) fn is_finished(fleet: &Fleet, plan: &Plan) -> bool {
     let ended = |host: &HostId| {
         let Some(record) = fleet.hosts.get(host) else { return true };
-        let held = record.plan.as_ref() == Some(&plan.id);
+        let is_held = record.plan.as_ref() == Some(&plan.id);
         let unfinished = plan.state == PlanState::Running && !is_ended(plan, record);
-        !held && !unfinished && held_by(fleet, plan, host).is_empty()
+        !is_held && !unfinished && held_by(fleet, plan, host).is_empty()
     };
     plan.hosts().all(ended)
 }
@@ -212,10 +212,10 @@
     fn advance_closing(&mut self, host: &HostId) {
         let fleet = self.context.fleet;
         let mut missing: BTreeMap<ServiceId, Moves> = BTreeMap::new();
-        let mut surging = false;
+        let mut has_surge_tasks = false;
         for task in fleet.tasks_on(host) {
             let Some(service) = fleet.service(&task.service).filter(|s| s.surge) else { continue };
-            surging = true;
+            has_surge_tasks = true;
             if fleet.successor(task).is_some() {
                 continue;
             }
@@ -231,7 +231,7 @@
         }
         let prepare = |(service, moves)| Step::Prepare { host: host.clone(), service, moves };
         self.steps.extend(missing.into_iter().map(prepare));
-        if surging {
+        if has_surge_tasks {
             return;
         }
         if !fleet.successors_on(host).is_empty() {
@@ -248,10 +248,10 @@
                 self.steps.extend(services.filter(|s| !held.contains(s)).map(permit));
                 self.steps.push(Step::Leave { host: host.clone() });
             }
-            Err(over) => {
+            Err(over_budget) => {
                 // Permits held while waiting for others would block other plans.
                 self.steps.extend(release_steps(fleet, self.plan, host));
-                self.waiting.insert(host.clone(), over.into());
+                self.waiting.insert(host.clone(), over_budget.into());
             }
         }
     }
@@ -397,8 +397,8 @@
         let overdue = rules.expected.reboot * 2 + Duration::from_secs(1);
         let is_out = |host: &&HostId| {
             let Some(record) = fleet.hosts.get(*host) else { return false };
-            let held = record.plan.as_ref() == Some(&self.plan.id);
-            held && !(record.state == HostState::Away && overdue < now.since(record.since))
+            let is_held = record.plan.as_ref() == Some(&self.plan.id);
+            is_held && !(record.state == HostState::Away && overdue < now.since(record.since))
         };
         self.part.hosts().filter(is_out).count() as u32
     }
--- a/src/jobs/fleet/marks.rs
+++ b/src/jobs/fleet/marks.rs
@@ -70,16 +70,16 @@
 impl Marks {
     /// Combines the marks that the view shows with the results of writes.
     pub(super) fn refresh(&mut self, snapshot: &FleetSnapshot<'_>, now: Steady) {
-        let shown = |host: &HostId| snapshot.marks.get(host).map(|mark| mark.revision);
+        let revision_in_view = |host: &HostId| snapshot.marks.get(host).map(|mark| mark.revision);
         self.removals.retain(|host, removal| {
             snapshot.view_revision < removal.until
-                || shown(host).is_some_and(|at| at <= removal.mark)
+                || revision_in_view(host).is_some_and(|at| at <= removal.mark)
         });
         self.writes.retain(|host, write| match write {
             MarkWrite::Marking(_) | MarkWrite::Unmarking(_) => true,
             MarkWrite::Marked(mark) => {
                 snapshot.view_revision < mark.revision
-                    && shown(host).is_none_or(|at| at < mark.revision)
+                    && revision_in_view(host).is_none_or(|at| at < mark.revision)
             }
             MarkWrite::BackingOff(until) => now < *until,
         });
@@ -152,11 +152,11 @@
     }
 
     /// Whether one more mark may be written now. Removals count towards the limit, but are not
-    /// limited themselves: they finish work.
+    /// limited themselves: each completes an action.
     fn can_mark(&self) -> bool {
         let backs_off = |write: &&MarkWrite| matches!(write, MarkWrite::BackingOff(_));
-        let open = self.writes.values().filter(|write| !backs_off(write)).count();
-        open + self.removals.len() < MAX_UNSEEN_MARKS
+        let pending = self.writes.values().filter(|write| !backs_off(write)).count();
+        pending + self.removals.len() < MAX_UNSEEN_MARKS
     }
 
     /// Records that the mark of a host is being removed. Returns its revision, or `None` if it
--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -47,7 +47,7 @@
 enum MaxLoad {
     /// Hosts with a light load: they are drained soon.
     Light,
-    /// Also hosts with a higher load, since work is waiting that can still end in time.
+    /// Also hosts with a higher load, because work is waiting that can still end in time.
     Busy,
     /// Any host, since long-running tasks need them.
     Any,
@@ -101,13 +101,13 @@
 /// The numbers of hosts that a pool requests. Each includes the one before.
 #[derive(Debug, Clone)]
 pub(super) struct HostRequest {
-    /// Over which long-running tasks are spread.
+    /// Hosts over which long-running tasks are spread.
     pub(super) spread: usize,
-    /// For the present work that can still end in time.
+    /// Hosts for the present work that can still end in time.
     pub(super) needed: usize,
-    /// Also for the forecast arrivals.
+    /// Hosts that also suffice for the forecast arrivals.
     pub(super) timely: usize,
-    /// Also for late work.
+    /// Hosts that also suffice for late work.
     pub(super) wanted: usize,
 }
 
@@ -145,10 +145,10 @@
                 recent_cpu.pop_front();
             }
             let hosts = self.wanted(pool, demand);
-            let keep_ms = self.sizing.shrink_after_ms;
+            let retention_ms = self.sizing.shrink_after_ms;
             let recent_wanted = self.recent_wanted.entry(pool.clone()).or_default();
             recent_wanted.push_back((now, hosts));
-            while recent_wanted.front().is_some_and(|(at, _)| keep_ms < now.since(*at)) {
+            while recent_wanted.front().is_some_and(|(at, _)| retention_ms < now.since(*at)) {
                 recent_wanted.pop_front();
             }
         }
@@ -164,8 +164,8 @@
             .and_then(|history| history.front())
             .map_or(0, |(_, cpu)| *cpu);
         let growth = demand.cpu.saturating_sub(earlier) * self.sizing.growth_percent / 100;
-        let grown = (demand.cpu + growth).min(max_forecast(demand));
-        grown.max(demand.cpu)
+        let forecast = (demand.cpu + growth).min(max_forecast(demand));
+        forecast.max(demand.cpu)
     }
 
     /// Hosts that a pool should have for a demand, including late work.
@@ -205,11 +205,12 @@
         now: Steady,
         out: &mut Vec<FleetEffect>,
     ) {
-        let Some(off) = snapshot.config.pools.iter().find(|(_, rules)| rules.headroom) else {
+        let Some(off_pool) = snapshot.config.pools.iter().find(|(_, rules)| rules.headroom) else {
             return;
         };
-        let off = off.0;
-        let pools: Vec<&PoolId> = snapshot.demands.keys().filter(|pool| *pool != off).collect();
+        let off_pool = off_pool.0;
+        let pools: Vec<&PoolId> =
+            snapshot.demands.keys().filter(|pool| *pool != off_pool).collect();
         let loads = HostLoads::new(snapshot);
         let (mut available_hosts, expected) = (self.available_hosts(snapshot), self.expected(now));
         let mut have = BTreeMap::new();
@@ -220,7 +221,7 @@
             lenders.insert((*pool).clone(), pool_hosts);
         }
         let mut off_hosts: VecDeque<HostId> =
-            available_hosts.remove(off).unwrap_or_default().into();
+            available_hosts.remove(off_pool).unwrap_or_default().into();
         let total = off_hosts.len() + have.values().sum::<usize>();
         let shares = self.shares(snapshot, &pools, total);
         for pool in &pools {
@@ -257,7 +258,7 @@
                 for lendable in pool_hosts.iter().take(surplus) {
                     self.mark_draining(
                         lendable.host.clone(),
-                        HostAction::Move(off.clone()),
+                        HostAction::Move(off_pool.clone()),
                         now,
                         out,
                     );
@@ -315,10 +316,14 @@
     }
 
     /// How many hosts are expected to join each pool. One that takes too long is not counted: it
-    /// may be down, or held by a worker that does not respond.
+    /// may be down, or may not become empty since its worker does not respond.
     pub(super) fn expected(&self, now: Steady) -> BTreeMap<&PoolId, usize> {
         let is_recent = |since: Steady| now.since(since) < INCOMING_EXPECTED_MS;
-        let incoming = self.incoming.values().filter(|c| is_recent(c.since)).map(|c| &c.pool);
+        let incoming = self
+            .incoming
+            .values()
+            .filter(|joining| is_recent(joining.since))
+            .map(|joining| &joining.pool);
         let marked = self.marks.iter().filter_map(|(host, mark)| match &mark.action {
             HostAction::Move(pool) => self.marks.since(host).is_none_or(is_recent).then_some(pool),
             HostAction::Upkeep(_) => None,
--- a/src/jobs/job.rs
+++ b/src/jobs/job.rs
@@ -220,7 +220,9 @@
 
 impl Job {
     pub(crate) fn new(stored: StoredJob, first_run: u32) -> Job {
-        let StoredJob { id, record, progress, progress_revision, cancelled, .. } = stored;
+        let StoredJob {
+            id, record, progress, progress_revision: stored_revision, cancelled, ..
+        } = stored;
         let mut job = Job {
             id,
             state: JobState::Queued,
@@ -232,7 +234,7 @@
             wait_logs: 0,
             version: 0,
             durable_version: 0,
-            progress_revision,
+            progress_revision: stored_revision,
             record,
         };
         for time in 0..job.record.occurrences() {
@@ -329,7 +331,7 @@
     }
 
     /// How it ended; `None` if it has not ended, or was cancelled.
-    pub(crate) fn how_ended(&self) -> Option<JobEnd> {
+    pub(crate) fn job_end(&self) -> Option<JobEnd> {
         let state = match self.state {
             JobState::Succeeded => "succeeded",
             JobState::Failed => "failed",
--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Does what time and earlier events require: polls, stops and starts.
+    /// Requests the polls, stops and starts that are due.
     pub(crate) fn tick(&mut self, now: Now, out: &mut Vec<Effect>) {
         self.remove_expired_runs(now.steady);
         self.give_up_crashing(now, out);
@@ -290,7 +290,7 @@
                 job.durable_version = job.durable_version.max(write.version);
                 job.progress_revision = revision;
                 if !job.is_dirty() {
-                    ends.extend(job.how_ended());
+                    ends.extend(job.job_end());
                 }
             }
         }
@@ -447,7 +447,7 @@
         &mut self,
         task: TaskId,
         at: &Incarnation,
-        reason: RunEnd,
+        end_reason: RunEnd,
         now: Steady,
     ) -> Option<crate::jobs::job::Run> {
         let job = self.jobs.get_mut(&task.of.job)?;
@@ -455,13 +455,14 @@
         let entry = job.task_mut(task.of, task.index)?;
         let index = entry.runs.iter().position(|task_run| task_run.worker == *at)?;
         let task_run = entry.runs.remove(index);
-        if !matches!(reason, RunEnd::Lapsed | RunEnd::WorkerTerminated)
+        if !matches!(end_reason, RunEnd::Lapsed | RunEnd::WorkerTerminated)
             && entry.isolated_worker.is_some()
         {
             self.withdraw_isolated_retry(task);
         }
         let entry = self.task_mut(task)?;
-        let previous = PreviousRun { worker: at.clone(), run: task_run.run, reason, at: now };
+        let previous =
+            PreviousRun { worker: at.clone(), run: task_run.run, reason: end_reason, at: now };
         entry.previous = Some(Box::new(previous));
         if let Some(worker) = self.workers.get_mut(at) {
             worker.release(task, &charge);
@@ -492,9 +493,9 @@
 
     /// Schedules polls of the workers that have the host or address of a report. Reports do not
     /// show which of them is alive, since one may be written long after its worker has ended.
-    fn poll_conflicting(&mut self, claim: &WorkerReport, now: Steady) {
+    fn poll_conflicting(&mut self, report: &WorkerReport, now: Steady) {
         for worker in self.workers.values_mut() {
-            if shares_place(&worker.report, claim) {
+            if shares_host_or_address(&worker.report, report) {
                 worker.next_poll = now;
             }
         }
@@ -543,13 +544,13 @@
 /// another node makes the worker's calls.
 const UNSENT_RETRY_MS: u64 = 20;
 
-/// Whether two different workers cannot be alive at the same time: a host runs one, and so does an
-/// address.
-fn shares_place(one: &WorkerReport, other: &WorkerReport) -> bool {
-    one.id != other.id && (one.host == other.host || one.address == other.address)
+/// Whether two different workers cannot be alive at the same time: a host or an address has only one
+/// live worker.
+fn shares_host_or_address(first: &WorkerReport, second: &WorkerReport) -> bool {
+    first.id != second.id && (first.host == second.host || first.address == second.address)
 }
 
-/// Allows the ends to be acknowledged whose count is durable.
+/// Raises the highest end that may be acknowledged, as far as the counts of ends are durable.
 fn acknowledge(worker: &mut Worker, jobs: &BTreeMap<JobId, Job>) {
     while let Some(end) = worker.unacknowledged.front() {
         let durable = |version| jobs.get(&end.job).is_none_or(|job| version <= job.durable_version);
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -166,8 +166,8 @@
             }
             // Nothing was done, and a start on its way may still begin: the next poll stops it
             // again.
-            OrderResult::Refused { why: refusal, .. } => {
-                log::info!("job {}: task {task} at {at}: stop refused: {refusal:?}", task.of.job);
+            OrderResult::Refused { why, .. } => {
+                log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
             }
             OrderResult::Unknown | OrderResult::Unsent => {}
         }
--- a/src/jobs/owner/ends.rs
+++ b/src/jobs/owner/ends.rs
@@ -72,7 +72,7 @@
         now: Now,
         out: &mut Vec<Effect>,
     ) -> u64 {
-        let EndedRun { task, run, how: outcome, checkpoint, .. } = end;
+        let EndedRun { task, run, how: outcome, checkpoint: new_checkpoint, .. } = end;
         let is_current = self.run_mut(task, id).is_some_and(|task_run| task_run.run == run);
         let task_run = if is_current {
             self.remove_run(task, id, RunEnd::Ended(outcome), now.steady)
@@ -94,9 +94,9 @@
         job.begin();
         if let Some(entry) = job.task_mut(task.of, task.index) {
             entry.run = entry.run.max(run);
-            let newer = !checkpoint.is_empty() && entry.checkpoint != checkpoint;
+            let newer = !new_checkpoint.is_empty() && entry.checkpoint != new_checkpoint;
             if newer && !entry.done {
-                entry.checkpoint = checkpoint;
+                entry.checkpoint = new_checkpoint;
                 job.bump_version();
             }
         }
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -106,8 +106,8 @@
     }
 
     pub(super) fn task_placer(&self, now: Steady) -> TaskPlacer<'_> {
-        let (workers, draining) = (&self.workers, &self.draining);
-        TaskPlacer { workers, draining, reserved: &self.reserved, now }
+        let (workers, draining_hosts) = (&self.workers, &self.draining);
+        TaskPlacer { workers, draining: draining_hosts, reserved: &self.reserved, now }
     }
 
     fn step_tasks_mut(&mut self, of: StepId) -> Option<&mut StepTasks> {
@@ -170,8 +170,9 @@
         let Some(tasks) = job.steps.get(&(of.occurrence, of.step)).filter(|_| !first) else {
             return;
         };
-        let (workers, draining) = (&self.workers, &self.draining);
-        let placer = TaskPlacer { workers, draining, reserved: &self.reserved, now };
+        let (workers, draining_hosts) = (&self.workers, &self.draining);
+        let placer =
+            TaskPlacer { workers, draining: draining_hosts, reserved: &self.reserved, now };
         let refusals = placer.refusals(&step, tasks, ticketed);
         log::info!("job {}: step {of} waits: {refusals:?}", of.job);
     }
@@ -267,9 +268,10 @@
             choices.push(None);
         }
         for rack in choices {
-            if let Some(places) = self.gang_places(of, waiting, &step, rack.as_deref(), now.steady)
+            if let Some(assignments) =
+                self.gang_assignments(of, waiting, &step, rack.as_deref(), now.steady)
             {
-                self.start_gang(of, places, now, out);
+                self.start_gang(of, assignments, now, out);
                 return true;
             }
         }
@@ -277,7 +279,7 @@
     }
 
     /// A worker for each member, if all find one.
-    fn gang_places(
+    fn gang_assignments(
         &mut self,
         of: StepId,
         waiting: &[u32],
@@ -286,7 +288,7 @@
         now: Steady,
     ) -> Option<Vec<(u32, Incarnation)>> {
         let charge = step.charge();
-        let mut places = Vec::new();
+        let mut assignments = Vec::new();
         for index in waiting {
             let Some(id) = self.worker_for(of, *index, rack, now) else {
                 break;
@@ -295,20 +297,20 @@
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.occupy(task, 0, &charge);
             }
-            places.push((*index, id));
+            assignments.push((*index, id));
         }
-        for (index, id) in &places {
+        for (index, id) in &assignments {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.release(TaskId { of, index: *index }, &charge);
             }
         }
-        (places.len() == waiting.len()).then_some(places)
+        (assignments.len() == waiting.len()).then_some(assignments)
     }
 
     fn start_gang(
         &mut self,
         of: StepId,
-        places: Vec<(u32, Incarnation)>,
+        assignments: Vec<(u32, Incarnation)>,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -324,7 +326,7 @@
             task.run = run;
             task.checkpoint = checkpoint.clone();
         }
-        for (index, worker) in places {
+        for (index, worker) in assignments {
             self.start_run(of, index, &worker, Some(checkpoint.clone()), now, out);
         }
     }
@@ -360,8 +362,11 @@
         let previous = entry.previous.take();
         let (run, checkpoint) =
             (entry.run, gang_checkpoint.unwrap_or_else(|| entry.checkpoint.clone()));
-        let isolated = entry.suspect;
-        entry.runs.push(Run { isolated, ..Run::new(id.clone(), run, Phase::Starting, now.steady) });
+        let is_isolated = entry.suspect;
+        entry.runs.push(Run {
+            isolated: is_isolated,
+            ..Run::new(id.clone(), run, Phase::Starting, now.steady)
+        });
         let task = TaskId { of, index };
         worker.occupy(task, run, &charge);
         if entry.suspect {
@@ -375,11 +380,11 @@
             );
         }
         match &previous {
-            Some(previous) => {
-                *self.counts.restarts.entry(previous.reason.as_str()).or_default() += 1;
-                let previous = previous.describe(now.steady);
+            Some(previous_run) => {
+                *self.counts.restarts.entry(previous_run.reason.as_str()).or_default() += 1;
+                let previous_run = previous_run.describe(now.steady);
                 log::info!(
-                    "job {}: task {task} run {run} at {id}: started again by token {token}: {previous}",
+                    "job {}: task {task} run {run} at {id}: started again by token {token}: {previous_run}",
                     of.job
                 );
             }
--- a/src/jobs/owner/throttle.rs
+++ b/src/jobs/owner/throttle.rs
@@ -67,7 +67,7 @@
             }
             let task_runs = job.task(task.of, task.index).map(|entry| &entry.runs);
             let Some(task_run) = task_runs
-                .and_then(|task_runs| task_runs.iter().find(|task_run| task_run.worker == *id))
+                .and_then(|task_runs| task_runs.iter().find(|candidate| candidate.worker == *id))
             else {
                 continue;
             };
--- a/src/jobs/owner/tickets.rs
+++ b/src/jobs/owner/tickets.rs
@@ -47,8 +47,8 @@
         let useful = self.workers.values().filter(|worker| {
             let id = &worker.report.id;
             let is_rejected = tasks.advised.contains(id) && !tasks.tickets.contains_key(id);
-            let has_room = worker.report.capacity.fits(&worker.used, &charge);
-            placer.is_eligible(worker, step) && has_room && !is_rejected && !holds(id)
+            let has_resources = worker.report.capacity.fits(&worker.used, &charge);
+            placer.is_eligible(worker, step) && has_resources && !is_rejected && !holds(id)
         });
         let workers: Vec<Incarnation> = useful
             .map(|worker| worker.report.id.clone())
--- a/src/jobs/roster.rs
+++ b/src/jobs/roster.rs
@@ -124,11 +124,11 @@
             Holding::Any => None,
             Holding::Only(tasks) => Some((id.clone(), tasks.clone())),
         });
-        let silent_workers = SilentWorkers { silent: silent.collect(), handover: None };
+        let silent_record = SilentWorkers { silent: silent.collect(), handover: None };
         self.is_write_pending = true;
         self.unconfirmed.extend(added.iter().map(|report| report.id.clone()));
         self.unconfirmed.extend(dropped.iter().cloned());
-        Some(RosterWrite { added, dropped, silent_workers, holdings })
+        Some(RosterWrite { added, dropped, silent_workers: silent_record, holdings })
     }
 
     /// The tasks that each certainly listed worker may run once a write is done. A worker that the
--- a/src/jobs/save_queue.rs
+++ b/src/jobs/save_queue.rs
@@ -1,6 +1,6 @@
 //! The queue of jobs whose progress is to be written. Jobs that ended come first, since callers
-//! wait for the result; the others follow in the order of their changes, so that jobs
-//! that change often do not delay them.
+//! wait for the result; the others follow in the order of their changes, so that jobs that
+//! change often do not delay them.
 
 use std::collections::{HashSet, VecDeque};
 
--- a/src/jobs/tests/crashes/pool.rs
+++ b/src/jobs/tests/crashes/pool.rs
@@ -187,9 +187,9 @@
     /// with an announced isolated retry.
     pub(super) fn announced(&self, job: JobId) -> usize {
         let steps = self.progress.get(&job).into_iter().flat_map(|(progress, _)| &progress.steps);
-        let tasks = steps.flat_map(|(_, progress)| progress.tasks.values());
+        let tasks = steps.flat_map(|(_, step_progress)| step_progress.tasks.values());
         let unconfirmed: BTreeSet<&Incarnation> =
-            tasks.flat_map(|progress| &progress.unconfirmed_crashes).collect();
+            tasks.flat_map(|task_progress| &task_progress.unconfirmed_crashes).collect();
         let up = self.hosts.iter().filter(|host| host.up_at.is_none());
         up.filter(|host| unconfirmed.contains(&host.process.report.id)).count()
     }
@@ -278,13 +278,15 @@
             }
             self.owner.note_saved(&writes, Revision(self.revision));
         }
-        if let Some(write) = self.owner.roster_note(100) {
+        if let Some(roster_write) = self.owner.roster_note(100) {
             let (workers, silent_workers) = &mut self.roster;
-            workers.extend(write.added.iter().map(|report| (report.id.clone(), report.clone())));
-            workers.retain(|id, _| !write.dropped.contains(id));
-            *silent_workers = write.silent_workers.clone();
+            workers.extend(
+                roster_write.added.iter().map(|report| (report.id.clone(), report.clone())),
+            );
+            workers.retain(|id, _| !roster_write.dropped.contains(id));
+            *silent_workers = roster_write.silent_workers.clone();
             self.revision += 1;
-            self.owner.note_roster_written(&write, Revision(self.revision));
+            self.owner.note_roster_written(&roster_write, Revision(self.revision));
         }
     }
 
@@ -475,10 +477,10 @@
         1_000 + now - self.started
     }
 
-    fn add_end(&mut self, task: TaskId, run: u32, outcome: RunOutcome) {
+    fn add_end(&mut self, task: TaskId, run: u32, how: RunOutcome) {
         let number = self.next_end;
         self.next_end += 1;
-        self.ends.push(EndedRun { number, task, run, how: outcome, checkpoint: String::new() });
+        self.ends.push(EndedRun { number, task, run, how, checkpoint: String::new() });
     }
 
     fn poll_result(&self, now: u64) -> PollResponse {
--- a/src/jobs/tests/fleet/lagging.rs
+++ b/src/jobs/tests/fleet/lagging.rs
@@ -25,8 +25,8 @@
 /// How long after a mark the pool's owner records the host as empty, in milliseconds.
 const DRAIN_MS: u64 = 100;
 
-/// How long a host is away for a move or for upkeep, in milliseconds.
-const AWAY_MS: u64 = 1_500;
+/// How long a host is out of service for a move or for upkeep, in milliseconds.
+const OUT_OF_SERVICE_MS: u64 = 1_500;
 
 /// A change of the store, as it reaches the view.
 enum StoreChange {
@@ -293,7 +293,7 @@
         let is_there = matches!(&action, HostAction::Move(to) if entry.pool == *to);
         if entry.phase == HostPhase::Up && !is_there && !self.calls_unanswered {
             entry.phase = HostPhase::Moving;
-            *back_at = now + AWAY_MS;
+            *back_at = now + OUT_OF_SERVICE_MS;
             entry.worker = None;
             if let HostAction::Move(to) = &action {
                 entry.pool = to.clone();
--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -780,7 +780,7 @@
         let name = format!("{}.{}", end.task.of.occurrence, end.task.of.step);
         let persisted = self.progress.get(&job).and_then(|(progress, _)| progress.steps.get(&name));
         let persisted_done =
-            persisted.is_some_and(|progress| progress.done.contains(&end.task.index));
+            persisted.is_some_and(|step_progress| step_progress.done.contains(&end.task.index));
         match end.how {
             RunOutcome::Done => {
                 assert!(
@@ -793,9 +793,10 @@
                 }
             }
             RunOutcome::Failed => {
-                let runs = persisted.and_then(|progress| progress.tasks.get(&end.task.index));
+                let runs =
+                    persisted.and_then(|step_progress| step_progress.tasks.get(&end.task.index));
                 let persisted_failed =
-                    runs.is_some_and(|progress| progress.failed.contains(&end.run));
+                    runs.is_some_and(|task_progress| task_progress.failed.contains(&end.run));
                 assert!(
                     is_over || persisted_done || persisted_failed,
                     "{}: failure is not persisted",
--- a/src/jobs/tests/roster.rs
+++ b/src/jobs/tests/roster.rs
@@ -65,9 +65,9 @@
     earlier.deliver(Event::Worker(report("w2", "h2")));
     earlier.connect("w2", vec![]);
     earlier.owner.set_draining(BTreeMap::from([("h2".parse().unwrap(), Revision(5))]));
-    let note = earlier.persist_roster().expect("the empty worker is to be removed");
-    assert_eq!(note.dropped, vec![worker_id("w2")]);
-    let mut harness = Harness::inheriting(&[("w1", "h1")], note.silent_workers);
+    let write = earlier.persist_roster().expect("the empty worker is to be removed");
+    assert_eq!(write.dropped, vec![worker_id("w2")]);
+    let mut harness = Harness::inheriting(&[("w1", "h1")], write.silent_workers);
     harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
     harness.connect("w1", vec![]);
     harness.work();
@@ -84,8 +84,8 @@
     earlier.confirm_start(task, run, &worker);
     earlier.poll_unanswered("w1");
     earlier.poll_unanswered("w1");
-    let note = earlier.persist_roster().expect("the silent worker is to be recorded");
-    let mut harness = Harness::inheriting(&[("w1", "h1"), ("w2", "h2")], note.silent_workers);
+    let write = earlier.persist_roster().expect("the silent worker is to be recorded");
+    let mut harness = Harness::inheriting(&[("w1", "h1"), ("w2", "h2")], write.silent_workers);
     harness.deliver(Event::Job(stored(1, vec![step(1)], 50)));
     harness.deliver(Event::Job(stored(2, vec![step(1)], 51)));
     harness.connect("w2", vec![]);
@@ -155,8 +155,8 @@
     harness.deliver(Event::Job(stored(1, vec![step(1)], 110)));
     harness.work();
     assert_eq!(harness.take_starts(), vec![]);
-    let again = harness.persist_roster().expect("it is unknown whether the worker is listed");
-    assert_eq!((again.added.len(), again.dropped.len()), (1, 0));
+    let second = harness.persist_roster().expect("it is unknown whether the worker is listed");
+    assert_eq!((second.added.len(), second.dropped.len()), (1, 0));
     harness.work();
     assert_eq!(harness.take_starts().len(), 1);
 }
--- a/src/jobs/tests/waiting_jobs.rs
+++ b/src/jobs/tests/waiting_jobs.rs
@@ -22,9 +22,9 @@
 /// How many jobs are counted as waiting, and the last persisted state of the first.
 fn waiting_and_state(harness: &mut Harness) -> (usize, JobState) {
     let written = harness.persist_progress();
-    let progress = written.iter().rev().find(|(job, _)| *job == id(1));
-    let state = progress.map(|(_, progress)| progress.state).unwrap_or_default();
-    (harness.owner.queued().values().sum(), state)
+    let persisted = written.iter().rev().find(|(job, _)| *job == id(1));
+    let persisted = persisted.map(|(_, progress)| progress.state).unwrap_or_default();
+    (harness.owner.queued().values().sum(), persisted)
 }
 
 const WAITS: (usize, JobState) = (1, JobState::Queued);
--- a/src/jobs/urgency.rs
+++ b/src/jobs/urgency.rs
@@ -59,12 +59,12 @@
         return Urgency { priority: 0, lateness: 0, slack: i64::MIN };
     }
     let task_ms = |estimate| durations.expect(&record.queue, estimate);
-    let chain: u64 = record.steps.iter().map(|step| task_ms(step.estimate_ms)).sum();
+    let critical_path: u64 = record.steps.iter().map(|step| task_ms(step.estimate_ms)).sum();
     let remaining: u64 = (0..record.steps.len() as u32)
         .filter(|number| job.steps.get(&(0, *number)).is_some_and(|step| step.left != 0))
         .map(|number| task_ms(job.step(number).estimate_ms))
         .sum();
-    let objective = chain * u64::from(record.stretch_percent) / 100 + record.target_ms;
+    let objective = critical_path * u64::from(record.stretch_percent) / 100 + record.target_ms;
     let age = now.wall.since(record.due(0)).as_millis() as u64;
     let slack = objective as i64 - age as i64 - remaining as i64;
     let latest = (objective * LATE_FACTOR) as i64 - age as i64 - remaining as i64;
