--- a/src/jobs/fleet/tests.rs
+++ b/src/jobs/fleet/tests.rs
@@ -31,8 +31,8 @@
 fn distribute_naively(requests: &[HostRequest], total: usize) -> Vec<usize> {
     let mut shares = vec![0; requests.len()];
     for _ in 0..total {
-        let open = (0..requests.len()).filter(|n| shares[*n] < requests[*n].wanted);
-        if let Some(n) = open.min_by_key(|n| requests[*n].rank(shares[*n])) {
+        let unserved = (0..requests.len()).filter(|n| shares[*n] < requests[*n].wanted);
+        if let Some(n) = unserved.min_by_key(|n| requests[*n].rank(shares[*n])) {
             shares[n] += 1;
         }
     }
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -525,10 +525,10 @@
     for (task, run, worker) in &starts {
         harness.confirm_start(*task, *run, worker);
     }
-    let wide = TaskResources { cpu: Millicores(2_000), memory: Megabytes(100), gpus: 0 };
+    let large = TaskResources { cpu: Millicores(2_000), memory: Megabytes(100), gpus: 0 };
     harness.deliver(Event::Job(stored(
         2,
-        vec![Step { long_running: true, need: wide, ..step(1) }],
+        vec![Step { long_running: true, need: large, ..step(1) }],
         111,
     )));
     let still = |from: usize| -> Vec<PresentRun> {
@@ -590,33 +590,34 @@
         starts.iter().filter(|(_, _, at)| *at == worker_id("w1")).map(|(t, _, _)| *t).collect();
     let failed_task = *on_w1.iter().find(|task| task.of.job == id(1)).unwrap();
     harness.now += 100;
-    let stay: Vec<PresentRun> =
+    let unaffected: Vec<PresentRun> =
         on_w1.iter().filter(|task| **task != failed_task).map(|t| present(*t, 1, 50)).collect();
     let end = EndedRun { how: RunOutcome::Failed, ..done(1, failed_task, 1) };
-    let occupied = !stay.is_empty();
-    harness.poll("w1", stay.clone(), vec![end]);
+    let occupied = !unaffected.is_empty();
+    harness.poll("w1", unaffected.clone(), vec![end]);
     harness.work();
     assert_eq!(harness.take_starts(), vec![]);
     harness.now += 1_100;
-    harness.poll("w1", stay, vec![]);
+    harness.poll("w1", unaffected, vec![]);
     harness.work();
-    // Only where something still runs: an empty draining host is no longer the pool's.
+    // Only if something still runs there: an empty draining host is no longer the pool's.
     assert_eq!(harness.take_starts().len(), usize::from(occupied));
 }
 
 #[test]
 fn a_task_that_does_not_fit_does_not_block_smaller_ones() {
     let mut harness = one_worker();
-    let wide = Step { need: TaskResources { cpu: Millicores(9_000), ..step(1).need }, ..step(1) };
-    harness.deliver(Event::Job(stored(1, vec![wide.clone()], 110)));
-    harness.deliver(Event::Job(stored(2, vec![wide], 111)));
+    let large = Step { need: TaskResources { cpu: Millicores(9_000), ..step(1).need }, ..step(1) };
+    harness.deliver(Event::Job(stored(1, vec![large.clone()], 110)));
+    harness.deliver(Event::Job(stored(2, vec![large], 111)));
     harness.deliver(Event::Job(stored(3, vec![step(1)], 112)));
     harness.work();
     let started: Vec<JobId> = harness.take_starts().iter().map(|(task, ..)| task.of.job).collect();
     assert_eq!(started, vec![id(3)]);
 }
 
-/// A poll meanwhile would find only the end that is being persisted: half of all polls did.
+/// A poll sent meanwhile would return at once with only the end that is being persisted: half of
+/// all polls did.
 #[test]
 fn a_worker_is_not_polled_while_its_end_is_being_persisted() {
     let mut harness = one_worker();
--- a/src/jobs/tests/crashes.rs
+++ b/src/jobs/tests/crashes.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_owner_gives_up_a_lasting_task_that_crashes_its_workers() {
+fn an_owner_gives_up_a_long_running_task_that_crashes_its_workers() {
     for mut pool in Pool::with_each_naming(6) {
         let job = pool.submit(vec![Step { long_running: true, ..step(2) }]);
         pool.crashing_tasks.insert(pool.task(job, 0, 0));
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -263,7 +263,7 @@
 
 /// Guards against a peak in another pool taking the hosts over which long-running tasks are spread.
 #[test]
-fn a_peak_in_another_pool_leaves_hosts_for_spreading_lasting_tasks() {
+fn a_peak_in_another_pool_leaves_hosts_for_spreading_long_running_tasks() {
     let mut fixture = Fixture::new();
     fixture.config.pools.insert(pool("peak"), PoolRules { headroom: false, admission_check: true });
     fixture.demands.insert(pool("busy"), demand(1_000, 3));
--- a/src/jobs/tests/fleet/lagging.rs
+++ b/src/jobs/tests/fleet/lagging.rs
@@ -1,9 +1,9 @@
 //! The fleet owner with a view whose lag grows with the orders that the owner gives.
 //!
 //! Guards against a feedback loop: after a peak, hundreds of hosts were moved. The owner ordered
-//! the removal of their marks and forgot its calls, while the view, a second behind, still showed
-//! the marks: each plan moved the same hosts again, up to 22 times. Each repeated call costs the
-//! node two writes and an answer, so that its view fell up to nine seconds behind.
+//! the removal of their marks and discarded the state of its calls, while the view, a second behind,
+//! still showed the marks: each plan moved the same hosts again, up to 22 times. Each repeated call
+//! costs the node two writes and an answer, so that its view fell up to nine seconds behind.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -152,7 +152,7 @@
     /// acknowledgement of these ends is never binding.
     lapsed_end: u64,
     /// The highest run of each task that was stopped or ended here.
-    highest_over: BTreeMap<TaskId, u32>,
+    highest_ended: BTreeMap<TaskId, u32>,
     /// Owners that cannot reach it.
     disconnected: BTreeSet<usize>,
     /// When a run crashes it.
@@ -281,7 +281,7 @@
             ends: Vec::new(),
             next_end: 1,
             lapsed_end: 0,
-            highest_over: BTreeMap::new(),
+            highest_ended: BTreeMap::new(),
             disconnected: BTreeSet::new(),
             crash_at: None,
             restart_at: None,
@@ -297,8 +297,8 @@
     /// reports are listed; otherwise the new owner only has the roster.
     fn replace_owner(&mut self, listed: bool) {
         let now = self.now;
-        if let Some(before) = self.owners.last_mut() {
-            before.active_until = before.active_until.min(now + LEASE_MS + GRACE_PERIOD_MS);
+        if let Some(previous) = self.owners.last_mut() {
+            previous.active_until = previous.active_until.min(now + LEASE_MS + GRACE_PERIOD_MS);
         }
         self.revision += 1;
         self.token = self.revision;
@@ -437,7 +437,7 @@
     }
 
     /// Whether the tasks of a job always fail.
-    fn is_poison(&self, job: JobId) -> bool {
+    fn always_fails(&self, job: JobId) -> bool {
         job == id(4)
     }
 
@@ -449,7 +449,8 @@
     /// Whether a job may be reported as failed.
     fn may_fail(&self, job: JobId) -> bool {
         let crashed = self.crashed.iter().filter(|(task, _)| task.of.job == job);
-        self.is_poison(job) || crashed.into_iter().any(|(_, by)| MIN_CRASHES_TO_GIVE_UP <= by.len())
+        self.always_fails(job)
+            || crashed.into_iter().any(|(_, by)| MIN_CRASHES_TO_GIVE_UP <= by.len())
     }
 
     fn advance(&mut self, millis: u64) {
@@ -500,9 +501,9 @@
             }
         }
         for (task, run, outcome) in finished {
-            let poison = outcome == RunOutcome::Done && self.is_poison(task.of.job);
+            let fails = outcome == RunOutcome::Done && self.always_fails(task.of.job);
             self.workers[host].runs.remove(&task);
-            self.end_run(host, task, run, if poison { RunOutcome::Failed } else { outcome });
+            self.end_run(host, task, run, if fails { RunOutcome::Failed } else { outcome });
         }
     }
 
@@ -511,7 +512,7 @@
             self.done_tasks.insert(task);
         }
         let worker = &mut self.workers[host];
-        let highest = worker.highest_over.entry(task).or_default();
+        let highest = worker.highest_ended.entry(task).or_default();
         *highest = (*highest).max(run);
         let number = worker.next_end;
         worker.next_end += 1;
@@ -648,10 +649,10 @@
         }
         let sim = &mut self.workers[host];
         sim.lease_until = sim.lease_until.max(until);
-        if sim.runs.get(&task).is_some_and(|there| there.run == run) {
+        if sim.runs.get(&task).is_some_and(|present_run| present_run.run == run) {
             return OrderResult::Done(clock);
         }
-        if sim.highest_over.get(&task).is_some_and(|over| run <= *over)
+        if sim.highest_ended.get(&task).is_some_and(|highest| run <= *highest)
             || sim.runs.contains_key(&task)
         {
             return refused(Refusal::Old);
@@ -723,12 +724,12 @@
         };
         let (clock, now) = (self.worker_clock(host), self.now);
         let sim = &mut self.workers[host];
-        match sim.runs.get_mut(&task).filter(|there| there.run <= run) {
-            Some(there) => {
-                there.stops_at.get_or_insert(now + STOP_DELAY_MS);
+        match sim.runs.get_mut(&task).filter(|present_run| present_run.run <= run) {
+            Some(present_run) => {
+                present_run.stops_at.get_or_insert(now + STOP_DELAY_MS);
             }
             None => {
-                let highest = sim.highest_over.entry(task).or_default();
+                let highest = sim.highest_ended.entry(task).or_default();
                 *highest = (*highest).max(run);
             }
         }
@@ -750,9 +751,9 @@
         let acknowledged_ends: Vec<EndedRun> = {
             let sim = &mut self.workers[host];
             sim.lease_until = sim.lease_until.max(until.unwrap_or(0));
-            let (acknowledged_ends, left) =
+            let (acknowledged_ends, remaining) =
                 sim.ends.drain(..).partition(|end| end.number <= acknowledged);
-            sim.ends = left;
+            sim.ends = remaining;
             acknowledged_ends
         };
         let lapsed_end = self.workers[host].lapsed_end;
@@ -929,11 +930,11 @@
     /// Another owner takes over, and the earlier one, which is not notified, keeps working.
     fn overlap(&mut self, rounds: u8) {
         self.replace_owner(true);
-        let (before, present) = (self.current_owner() - 1, self.current_owner());
+        let (earlier, current) = (self.current_owner() - 1, self.current_owner());
         for _ in 0..rounds {
-            self.round(before);
+            self.round(earlier);
             self.advance(20);
-            self.round(present);
+            self.round(current);
             self.advance(40);
         }
     }
@@ -1033,7 +1034,7 @@
         self.run_to_completion();
         for (job, stored) in &self.jobs {
             let state = self.progress.get(job).map(|(progress, _)| progress.state);
-            let never = self.is_poison(*job) || self.crashes_worker(first_task(*job));
+            let never = self.always_fails(*job) || self.crashes_worker(first_task(*job));
             let as_wanted = match state {
                 Some(JobState::Failed) => self.may_fail(*job),
                 Some(JobState::Succeeded) => !never,
--- a/src/jobs/tests/handover.rs
+++ b/src/jobs/tests/handover.rs
@@ -70,7 +70,7 @@
     const WORKERS: usize = 550;
     const RESPONDING: usize = 250;
     let (mut earlier, runs) = busy_owner(WORKERS);
-    // That the first job has begun is durable: its tasks are held back because they run.
+    // The begin of the first job is durable: its tasks are held back only because they run.
     earlier.persist_progress();
     let mut harness =
         next_owner(&earlier, WORKERS, [(1, 2_200)].into_iter().chain((2..386).map(|n| (n, 9))));
--- a/src/jobs/tests/restart_counts.rs
+++ b/src/jobs/tests/restart_counts.rs
@@ -113,8 +113,9 @@
     assert_eq!(text, "run 2 at w3: lapsed unseen, 120 ms ago");
 }
 
-/// A later owner may have acquired the pool though this one's lease holds, and may have renewed the
-/// lease of the worker that is silent here: only a conditional write shows that there is none.
+/// A later owner may have acquired the pool although this one's lease has not expired, and may have
+/// renewed the lease of the worker that is silent here: only a conditional write shows that there
+/// is no later owner.
 #[test]
 fn runs_expire_only_up_to_the_time_of_the_last_confirmed_ownership() {
     let (mut harness, ..) = one_running_task();
--- a/src/jobs/tests/truncated_ends.rs
+++ b/src/jobs/tests/truncated_ends.rs
@@ -21,7 +21,7 @@
 /// The most ends that a worker lists at once, by the platform's contract.
 const MAX_LISTED: u64 = 500;
 
-/// Longer than any run of an earlier owner can go on unseen, in milliseconds.
+/// Longer than any run of an earlier owner can continue unseen, in milliseconds.
 const AFTER_FENCE_MS: u64 = 20_000;
 
 /// Tasks that fit on one worker.
@@ -105,7 +105,7 @@
     assert_eq!(harness.take_starts(), vec![]);
 }
 
-/// A host that is taken away with an uncounted end loses it.
+/// If a host with an uncounted end is maintained or moved, the end is lost.
 #[test]
 fn a_host_is_not_drained_while_its_list_of_ends_is_cut_short() {
     let mut harness = later_owner();
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -231,8 +231,10 @@
         self.hosts_by_pool.entry(host.pool.clone()).or_default().insert(id.clone());
         let pool = host.pool.clone();
         let old = self.hosts.insert(id.clone(), host);
-        let left = old.map(|old| old.pool).filter(|old| *old != pool);
-        if let Some(hosts) = left.and_then(|left| self.hosts_by_pool.get_mut(&left)) {
+        let previous_pool = old.map(|old| old.pool).filter(|old| *old != pool);
+        if let Some(hosts) =
+            previous_pool.and_then(|previous| self.hosts_by_pool.get_mut(&previous))
+        {
             hosts.remove(&id);
         }
     }
