--- a/src/jobs/owner.rs
+++ b/src/jobs/owner.rs
@@ -54,8 +54,8 @@
 const PREDECESSOR_MS: u64 = LEASE_MS + GRACE_PERIOD_MS;
 
 /// How long after a change of owners a worker that the new owner has not reached may still run
-/// something, in milliseconds: the last order of the previous owner, the worker lease on the slowest
-/// clock, and a worker that acts late on its expiry.
+/// something, in milliseconds: the last order of the previous owner, the worker lease on the
+/// slowest clock, and a worker that acts late on its expiry.
 const FENCE_MS: u64 = PREDECESSOR_MS
     + WORKER_LEASE_MS * 100 / SLOWEST_CLOCK_PERCENT
     + CLOCK_DRIFT_MS
@@ -87,7 +87,7 @@
     /// and a worker does not list an end again once it is acknowledged.
     unknown: BTreeMap<JobId, Steady>,
     workers: BTreeMap<Incarnation, Worker>,
-    /// What a later owner would find in the store about the workers.
+    /// The records about the workers that a later owner would find in the store.
     roster: Roster,
     /// What may run at workers that have not been polled yet, if the previous owner persisted it.
     handed_over: Option<BTreeSet<TaskId>>,
@@ -109,7 +109,7 @@
     durations: Durations,
     message_loss: MessageLoss,
     save_queue: SaveQueue,
-    /// Jobs whose end is durable: of their records in the store only the end is of use.
+    /// Jobs whose end is durable: the rest of their records in the store is no longer needed.
     finished: BTreeSet<JobId>,
     deposed: bool,
     counts: Counts,
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Does what time and earlier events require: polls, stops and starts.
+    /// Requests the polls, stops and starts that are due.
     pub(crate) fn tick(&mut self, now: Now, out: &mut Vec<Effect>) {
         self.remove_expired_runs(now.steady);
         self.give_up_crashing(now, out);
@@ -259,10 +259,10 @@
     /// the writes: until then, none of these jobs is returned again.
     pub(crate) fn take_saves(&mut self, limit: usize) -> Vec<ProgressWrite> {
         let jobs = self.save_queue.take(limit);
-        jobs.into_iter().filter_map(|id| self.save_of(id)).collect()
+        jobs.into_iter().filter_map(|id| self.progress_write(id)).collect()
     }
 
-    fn save_of(&mut self, id: JobId) -> Option<ProgressWrite> {
+    fn progress_write(&mut self, id: JobId) -> Option<ProgressWrite> {
         let Some(job) = self.jobs.get(&id).filter(|job| job.is_dirty()) else {
             self.save_queue.finish(id);
             return None;
@@ -281,20 +281,20 @@
     /// Records that progress is durable at a revision; returns the ends of jobs that it contains.
     pub(crate) fn note_saved(
         &mut self,
-        saves: &[ProgressWrite],
+        writes: &[ProgressWrite],
         revision: Revision,
     ) -> Vec<JobEnd> {
         let mut ends = Vec::new();
-        for save in saves {
-            if let Some(job) = self.jobs.get_mut(&save.job) {
-                job.durable_version = job.durable_version.max(save.version);
+        for write in writes {
+            if let Some(job) = self.jobs.get_mut(&write.job) {
+                job.durable_version = job.durable_version.max(write.version);
                 job.progress_revision = revision;
                 if !job.is_dirty() {
-                    ends.extend(job.how_ended());
+                    ends.extend(job.job_end());
                 }
             }
         }
-        self.requeue_unsaved(saves);
+        self.requeue_unsaved(writes);
         for worker in self.workers.values_mut() {
             acknowledge(worker, &self.jobs);
         }
@@ -303,16 +303,16 @@
     }
 
     /// Records that progress was not written, or not for certain.
-    pub(crate) fn note_save_failed(&mut self, saves: &[ProgressWrite]) {
-        self.requeue_unsaved(saves);
+    pub(crate) fn note_save_failed(&mut self, writes: &[ProgressWrite]) {
+        self.requeue_unsaved(writes);
     }
 
     /// Queues those again whose durable state is out of date.
-    fn requeue_unsaved(&mut self, saves: &[ProgressWrite]) {
-        for save in saves {
-            self.save_queue.finish(save.job);
-            if let Some(job) = self.jobs.get(&save.job).filter(|job| job.is_dirty()) {
-                self.save_queue.add(save.job, job.state.is_final());
+    fn requeue_unsaved(&mut self, writes: &[ProgressWrite]) {
+        for write in writes {
+            self.save_queue.finish(write.job);
+            if let Some(job) = self.jobs.get(&write.job).filter(|job| job.is_dirty()) {
+                self.save_queue.add(write.job, job.state.is_final());
             }
         }
     }
@@ -331,14 +331,14 @@
             let durable = job.state.is_final() && !job.is_dirty();
             let is_over = durable || job.cancelled;
             let mut tasks = job.steps.values().flat_map(|step| &step.tasks);
-            let kept = !is_over || tasks.any(|task| !task.runs.is_empty());
-            if !kept {
+            let retained = !is_over || tasks.any(|task| !task.runs.is_empty());
+            if !retained {
                 ended.insert(*id);
                 if durable {
                     finished.insert(*id);
                 }
             }
-            kept
+            retained
         });
     }
 
@@ -447,21 +447,22 @@
         &mut self,
         task: TaskId,
         at: &Incarnation,
-        why: RunEnd,
+        end_reason: RunEnd,
         now: Steady,
     ) -> Option<crate::jobs::job::Run> {
         let job = self.jobs.get_mut(&task.of.job)?;
         let charge = job.step(task.of.step).charge();
         let entry = job.task_mut(task.of, task.index)?;
-        let place = entry.runs.iter().position(|task_run| task_run.worker == *at)?;
-        let task_run = entry.runs.remove(place);
-        if !matches!(why, RunEnd::Lapsed | RunEnd::WorkerTerminated)
+        let index = entry.runs.iter().position(|task_run| task_run.worker == *at)?;
+        let task_run = entry.runs.remove(index);
+        if !matches!(end_reason, RunEnd::Lapsed | RunEnd::WorkerTerminated)
             && entry.isolated_worker.is_some()
         {
             self.withdraw_isolated_retry(task);
         }
         let entry = self.task_mut(task)?;
-        let previous = PreviousRun { worker: at.clone(), run: task_run.run, reason: why, at: now };
+        let previous =
+            PreviousRun { worker: at.clone(), run: task_run.run, reason: end_reason, at: now };
         entry.previous = Some(Box::new(previous));
         if let Some(worker) = self.workers.get_mut(at) {
             worker.release(task, &charge);
@@ -492,9 +493,9 @@
 
     /// Schedules polls of the workers that have the host or address of a report. Reports do not
     /// show which of them is alive, since one may be written long after its worker has ended.
-    fn poll_conflicting(&mut self, claim: &WorkerReport, now: Steady) {
+    fn poll_conflicting(&mut self, report: &WorkerReport, now: Steady) {
         for worker in self.workers.values_mut() {
-            if shares_place(&worker.report, claim) {
+            if shares_host_or_address(&worker.report, report) {
                 worker.next_poll = now;
             }
         }
@@ -526,11 +527,11 @@
     }
 
     /// Removes a worker that has certainly ended, and with it all that ran there.
-    fn remove_ended_worker(&mut self, id: &Incarnation, why: &str, now: Steady) {
+    fn remove_ended_worker(&mut self, id: &Incarnation, reason: &str, now: Steady) {
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        log::info!("worker {id}: ended: {why}; {} runs lost with it", worker.runs.len());
+        log::info!("worker {id}: ended: {reason}; {} runs lost with it", worker.runs.len());
         for LostRun { task, .. } in self.note_worker_loss(id, now) {
             self.remove_run(task, id, RunEnd::WorkerTerminated, now);
         }
@@ -543,13 +544,13 @@
 /// another node makes the worker's calls.
 const UNSENT_RETRY_MS: u64 = 20;
 
-/// Whether two different workers cannot be alive at the same time: a host runs one, and so does an
-/// address.
-fn shares_place(one: &WorkerReport, other: &WorkerReport) -> bool {
-    one.id != other.id && (one.host == other.host || one.address == other.address)
+/// Whether two different workers cannot be alive at the same time: a host or an address has only one
+/// live worker.
+fn shares_host_or_address(first: &WorkerReport, second: &WorkerReport) -> bool {
+    first.id != second.id && (first.host == second.host || first.address == second.address)
 }
 
-/// Allows the ends to be acknowledged whose count is durable.
+/// Raises the highest end that may be acknowledged, as far as the counts of ends are durable.
 fn acknowledge(worker: &mut Worker, jobs: &BTreeMap<JobId, Job>) {
     while let Some(end) = worker.unacknowledged.front() {
         let durable = |version| jobs.get(&end.job).is_none_or(|job| version <= job.durable_version);
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -1,4 +1,5 @@
-//! What starts where, and what is stopped on hosts that are being drained.
+//! Decides which tasks start on which workers, and which runs are stopped on hosts that are being
+//! drained.
 
 use std::collections::BTreeSet;
 
@@ -104,9 +105,9 @@
         }
     }
 
-    pub(super) fn scene(&self, now: Steady) -> TaskPlacer<'_> {
-        let (workers, emptying) = (&self.workers, &self.draining);
-        TaskPlacer { workers, draining: emptying, reserved: &self.reserved, now }
+    pub(super) fn task_placer(&self, now: Steady) -> TaskPlacer<'_> {
+        let (workers, draining_hosts) = (&self.workers, &self.draining);
+        TaskPlacer { workers, draining: draining_hosts, reserved: &self.reserved, now }
     }
 
     fn step_tasks_mut(&mut self, of: StepId) -> Option<&mut StepTasks> {
@@ -146,7 +147,8 @@
         let Some(tasks) = tasks.filter(|_| step.long_running) else {
             return;
         };
-        let worker = self.scene(now).worker_to_reserve(step, tasks).map(|w| w.report.id.clone());
+        let worker =
+            self.task_placer(now).worker_to_reserve(step, tasks).map(|w| w.report.id.clone());
         self.reserved.extend(worker);
     }
 
@@ -168,9 +170,10 @@
         let Some(tasks) = job.steps.get(&(of.occurrence, of.step)).filter(|_| !first) else {
             return;
         };
-        let (workers, emptying) = (&self.workers, &self.draining);
-        let scene = TaskPlacer { workers, draining: emptying, reserved: &self.reserved, now };
-        let refusals = scene.refusals(&step, tasks, ticketed);
+        let (workers, draining_hosts) = (&self.workers, &self.draining);
+        let placer =
+            TaskPlacer { workers, draining: draining_hosts, reserved: &self.reserved, now };
+        let refusals = placer.refusals(&step, tasks, ticketed);
         log::info!("job {}: step {of} waits: {refusals:?}", of.job);
     }
 
@@ -188,8 +191,8 @@
         };
         let waits = |(index, task): (usize, &crate::jobs::job::Task)| {
             let index = index as u32;
-            // For a run that was taken over its place is known, but not how often its task has
-            // failed.
+            // If a run was taken over, the location of its task is known, but not how often the
+            // task has failed.
             let known = task.location_known && !job.may_have_failed(of, index);
             let certain = known || !unconfirmed.covers(&TaskId { of, index });
             let may = task.not_before <= now && certain && job.may_start(task);
@@ -241,9 +244,9 @@
         let job = self.jobs.get(&of.job)?;
         let tasks = job.steps.get(&(of.occurrence, of.step))?;
         let task = tasks.tasks.get(index as usize)?;
-        let scene = self.scene(now);
+        let placer = self.task_placer(now);
         let ticketed = job.record.advice.is_some();
-        let worker = scene.worker_for(job.step(of.step), tasks, task, ticketed, rack)?;
+        let worker = placer.worker_for(job.step(of.step), tasks, task, ticketed, rack)?;
         Some(worker.report.id.clone())
     }
 
@@ -265,9 +268,10 @@
             choices.push(None);
         }
         for rack in choices {
-            if let Some(places) = self.gang_places(of, waiting, &step, rack.as_deref(), now.steady)
+            if let Some(assignments) =
+                self.gang_assignments(of, waiting, &step, rack.as_deref(), now.steady)
             {
-                self.start_gang(of, places, now, out);
+                self.start_gang(of, assignments, now, out);
                 return true;
             }
         }
@@ -275,7 +279,7 @@
     }
 
     /// A worker for each member, if all find one.
-    fn gang_places(
+    fn gang_assignments(
         &mut self,
         of: StepId,
         waiting: &[u32],
@@ -284,7 +288,7 @@
         now: Steady,
     ) -> Option<Vec<(u32, Incarnation)>> {
         let charge = step.charge();
-        let mut places = Vec::new();
+        let mut assignments = Vec::new();
         for index in waiting {
             let Some(id) = self.worker_for(of, *index, rack, now) else {
                 break;
@@ -293,20 +297,20 @@
             if let Some(worker) = self.workers.get_mut(&id) {
                 worker.occupy(task, 0, &charge);
             }
-            places.push((*index, id));
+            assignments.push((*index, id));
         }
-        for (index, id) in &places {
+        for (index, id) in &assignments {
             if let Some(worker) = self.workers.get_mut(id) {
                 worker.release(TaskId { of, index: *index }, &charge);
             }
         }
-        (places.len() == waiting.len()).then_some(places)
+        (assignments.len() == waiting.len()).then_some(assignments)
     }
 
     fn start_gang(
         &mut self,
         of: StepId,
-        places: Vec<(u32, Incarnation)>,
+        assignments: Vec<(u32, Incarnation)>,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -316,14 +320,14 @@
             return;
         };
         let run = tasks.tasks.iter().map(|task| task.run).max().unwrap_or_default();
-        let saved =
+        let checkpoint =
             tasks.tasks.iter().map(|task| task.checkpoint.clone()).max().unwrap_or_default();
         for task in &mut tasks.tasks {
             task.run = run;
-            task.checkpoint = saved.clone();
+            task.checkpoint = checkpoint.clone();
         }
-        for (index, worker) in places {
-            self.start_run(of, index, &worker, Some(saved.clone()), now, out);
+        for (index, worker) in assignments {
+            self.start_run(of, index, &worker, Some(checkpoint.clone()), now, out);
         }
     }
 
@@ -332,7 +336,7 @@
         of: StepId,
         index: u32,
         id: &Incarnation,
-        saved: Option<String>,
+        gang_checkpoint: Option<String>,
         now: Now,
         out: &mut Vec<Effect>,
     ) {
@@ -356,10 +360,11 @@
         entry.run += 1;
         entry.location_known = true;
         let previous = entry.previous.take();
-        let (run, checkpoint) = (entry.run, saved.unwrap_or_else(|| entry.checkpoint.clone()));
-        let trial = entry.suspect;
+        let (run, checkpoint) =
+            (entry.run, gang_checkpoint.unwrap_or_else(|| entry.checkpoint.clone()));
+        let is_isolated = entry.suspect;
         entry.runs.push(Run {
-            isolated: trial,
+            isolated: is_isolated,
             ..Run::new(id.clone(), run, Phase::Starting, now.steady)
         });
         let task = TaskId { of, index };
@@ -375,11 +380,11 @@
             );
         }
         match &previous {
-            Some(before) => {
-                *self.counts.restarts.entry(before.reason.word()).or_default() += 1;
-                let before = before.describe(now.steady);
+            Some(previous_run) => {
+                *self.counts.restarts.entry(previous_run.reason.as_str()).or_default() += 1;
+                let previous_run = previous_run.describe(now.steady);
                 log::info!(
-                    "job {}: task {task} run {run} at {id}: started again by token {token}: {before}",
+                    "job {}: task {task} run {run} at {id}: started again by token {token}: {previous_run}",
                     of.job
                 );
             }
@@ -440,8 +445,8 @@
             // Tasks with checkpoints resume where they were; others, and those that are nearly
             // done, run to their end.
             let estimate = self.durations.expect(&job.record.queue, step.estimate_ms);
-            let left = estimate * u64::from(100 - task_run.percent.min(100)) / 100;
-            return step.checkpoints && MOVE_MIN_REMAINING_MS < left;
+            let remaining_ms = estimate * u64::from(100 - task_run.percent.min(100)) / 100;
+            return step.checkpoints && MOVE_MIN_REMAINING_MS < remaining_ms;
         }
         if worker.report.leaves_ms.is_some() || step.max_unavailable == 0 {
             return true;
--- a/src/jobs/tests.rs
+++ b/src/jobs/tests.rs
@@ -123,22 +123,22 @@
 
     /// Persists the roster. Returns what was written, if there was anything to write.
     fn persist_roster(&mut self) -> Option<RosterWrite> {
-        let note = self.owner.roster_note(BATCH_LIMIT)?;
-        self.roster_persisted(&note);
-        Some(note)
+        let write = self.owner.roster_note(BATCH_LIMIT)?;
+        self.roster_persisted(&write);
+        Some(write)
     }
 
     /// Reports to the owner that a write of the roster succeeded.
-    fn roster_persisted(&mut self, note: &RosterWrite) {
-        self.owner.note_roster_written(note, Revision(1_000 + self.now));
+    fn roster_persisted(&mut self, write: &RosterWrite) {
+        self.owner.note_roster_written(write, Revision(1_000 + self.now));
     }
 
     /// An owner that starts from the roster that an earlier owner persisted.
-    fn inheriting(workers: &[(&str, &str)], away: SilentWorkers) -> Harness {
+    fn inheriting(workers: &[(&str, &str)], silent_workers: SilentWorkers) -> Harness {
         let mut harness = Harness::new(1);
         let workers = workers.iter().map(|(name, host)| report(name, host)).collect();
         let now = harness.at();
-        harness.owner.inherit(workers, &away, now, &mut harness.effects);
+        harness.owner.inherit(workers, &silent_workers, now, &mut harness.effects);
         harness
     }
 
@@ -187,11 +187,11 @@
 
     /// Persists all pending progress and returns it.
     fn persist_progress(&mut self) -> Vec<(JobId, Progress)> {
-        let saves = self.owner.take_saves(100);
-        self.owner.note_saved(&saves, Revision(200));
-        saves
+        let writes = self.owner.take_saves(100);
+        self.owner.note_saved(&writes, Revision(200));
+        writes
             .into_iter()
-            .map(|save| (save.job, serde_json::from_slice(&save.value).unwrap()))
+            .map(|write| (write.job, serde_json::from_slice(&write.value).unwrap()))
             .collect()
     }
 }
@@ -223,9 +223,9 @@
     harness.confirm_start(task, run, &worker);
     harness.now += 500;
     harness.poll("w1", vec![], vec![done(1, task, run)]);
-    let saved = harness.persist_progress();
-    assert_eq!(saved.len(), 1);
-    assert_eq!(saved[0].1.state, JobState::Succeeded);
+    let written = harness.persist_progress();
+    assert_eq!(written.len(), 1);
+    assert_eq!(written[0].1.state, JobState::Succeeded);
 }
 
 #[test]
@@ -316,8 +316,8 @@
     let done = EndedRun { number: 1, task, run, how: RunOutcome::Done, checkpoint: String::new() };
     harness.poll("w1", vec![], vec![done]);
     assert_eq!(harness.owner.take_finished(BATCH_LIMIT), vec![]);
-    let saves = harness.owner.take_saves(BATCH_LIMIT);
-    harness.owner.note_saved(&saves, Revision(120));
+    let writes = harness.owner.take_saves(BATCH_LIMIT);
+    harness.owner.note_saved(&writes, Revision(120));
     assert_eq!(harness.owner.take_finished(BATCH_LIMIT), vec![id(1)]);
     assert_eq!(harness.owner.take_finished(BATCH_LIMIT), vec![]);
     harness.owner.note_removal_failed(vec![id(1)]);
@@ -391,11 +391,12 @@
 /// Tasks on silent workers must not count as running when others are about to be stopped.
 #[test]
 fn a_long_running_task_is_not_stopped_while_another_of_its_step_may_be_unavailable() {
-    let lasting = Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
+    let long_running =
+        Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
     let mut harness = one_worker();
     harness.deliver(Event::Worker(report("w2", "h2")));
     harness.connect("w2", vec![]);
-    harness.deliver(Event::Job(stored(1, vec![lasting], 110)));
+    harness.deliver(Event::Job(stored(1, vec![long_running], 110)));
     harness.work();
     let starts = harness.take_starts();
     assert_eq!(starts.len(), 2);
@@ -421,9 +422,10 @@
 /// new owner must not stop another run of the step meanwhile.
 #[test]
 fn a_new_owner_stops_no_long_running_task_while_an_earlier_stop_may_be_pending() {
-    let lasting = Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
+    let long_running =
+        Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
     let mut harness = Harness::inheriting(&[("w1", "h1"), ("w2", "h2")], SilentWorkers::default());
-    harness.deliver(Event::Job(stored(1, vec![lasting], 50)));
+    harness.deliver(Event::Job(stored(1, vec![long_running], 50)));
     let drain_marks = BTreeMap::from([("h1".parse().unwrap(), Revision(120))]);
     harness.owner.set_draining(drain_marks);
     let task = |index: u32| -> TaskId { format!("{}.0.0.{index}", id(1)).parse().unwrap() };
@@ -490,8 +492,8 @@
         let end = EndedRun { number, task, run, how, checkpoint: String::new() };
         harness.poll("w1", vec![], vec![end]);
     }
-    let saved = harness.persist_progress();
-    assert_eq!(saved[0].1.state, JobState::Failed);
+    let written = harness.persist_progress();
+    assert_eq!(written[0].1.state, JobState::Failed);
     harness.now += 10_000;
     harness.work();
     assert_eq!(harness.take_starts(), vec![]);
@@ -523,10 +525,10 @@
     for (task, run, worker) in &starts {
         harness.confirm_start(*task, *run, worker);
     }
-    let wide = TaskResources { cpu: Millicores(2_000), memory: Megabytes(100), gpus: 0 };
+    let large = TaskResources { cpu: Millicores(2_000), memory: Megabytes(100), gpus: 0 };
     harness.deliver(Event::Job(stored(
         2,
-        vec![Step { long_running: true, need: wide, ..step(1) }],
+        vec![Step { long_running: true, need: large, ..step(1) }],
         111,
     )));
     let still = |from: usize| -> Vec<PresentRun> {
@@ -570,12 +572,13 @@
 /// unavailable, and that one finds no host that stays: it must return to a draining one.
 #[test]
 fn a_long_running_task_returns_to_a_draining_host_that_others_cannot_leave() {
-    let lasting = Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
+    let long_running =
+        Step { long_running: true, max_unavailable: 1, max_per_worker: 1, ..step(2) };
     let mut harness = one_worker();
     harness.deliver(Event::Worker(report("w2", "h2")));
     harness.connect("w2", vec![]);
-    harness.deliver(Event::Job(stored(1, vec![lasting.clone()], 110)));
-    harness.deliver(Event::Job(stored(2, vec![Step { max_per_worker: 0, ..lasting }], 111)));
+    harness.deliver(Event::Job(stored(1, vec![long_running.clone()], 110)));
+    harness.deliver(Event::Job(stored(2, vec![Step { max_per_worker: 0, ..long_running }], 111)));
     harness.work();
     let starts = harness.take_starts();
     assert_eq!(starts.len(), 4);
@@ -587,33 +590,34 @@
         starts.iter().filter(|(_, _, at)| *at == worker_id("w1")).map(|(t, _, _)| *t).collect();
     let failed_task = *on_w1.iter().find(|task| task.of.job == id(1)).unwrap();
     harness.now += 100;
-    let stay: Vec<PresentRun> =
+    let unaffected: Vec<PresentRun> =
         on_w1.iter().filter(|task| **task != failed_task).map(|t| present(*t, 1, 50)).collect();
     let end = EndedRun { how: RunOutcome::Failed, ..done(1, failed_task, 1) };
-    let occupied = !stay.is_empty();
-    harness.poll("w1", stay.clone(), vec![end]);
+    let occupied = !unaffected.is_empty();
+    harness.poll("w1", unaffected.clone(), vec![end]);
     harness.work();
     assert_eq!(harness.take_starts(), vec![]);
     harness.now += 1_100;
-    harness.poll("w1", stay, vec![]);
+    harness.poll("w1", unaffected, vec![]);
     harness.work();
-    // Only where something still runs: an empty draining host is no longer the pool's.
+    // Only if something still runs there: an empty draining host is no longer the pool's.
     assert_eq!(harness.take_starts().len(), usize::from(occupied));
 }
 
 #[test]
 fn a_task_that_does_not_fit_does_not_block_smaller_ones() {
     let mut harness = one_worker();
-    let wide = Step { need: TaskResources { cpu: Millicores(9_000), ..step(1).need }, ..step(1) };
-    harness.deliver(Event::Job(stored(1, vec![wide.clone()], 110)));
-    harness.deliver(Event::Job(stored(2, vec![wide], 111)));
+    let large = Step { need: TaskResources { cpu: Millicores(9_000), ..step(1).need }, ..step(1) };
+    harness.deliver(Event::Job(stored(1, vec![large.clone()], 110)));
+    harness.deliver(Event::Job(stored(2, vec![large], 111)));
     harness.deliver(Event::Job(stored(3, vec![step(1)], 112)));
     harness.work();
     let started: Vec<JobId> = harness.take_starts().iter().map(|(task, ..)| task.of.job).collect();
     assert_eq!(started, vec![id(3)]);
 }
 
-/// A poll meanwhile would find only the end that is being persisted: half of all polls did.
+/// A poll sent meanwhile would return at once with only the end that is being persisted: half of
+/// all polls did.
 #[test]
 fn a_worker_is_not_polled_while_its_end_is_being_persisted() {
     let mut harness = one_worker();
--- a/src/jobs/tests/fleet/lagging.rs
+++ b/src/jobs/tests/fleet/lagging.rs
@@ -1,9 +1,9 @@
 //! The fleet owner with a view whose lag grows with the orders that the owner gives.
 //!
 //! Guards against a feedback loop: after a peak, hundreds of hosts were moved. The owner ordered
-//! the removal of their marks and forgot its calls, while the view, a second behind, still showed
-//! the marks: each plan moved the same hosts again, up to 22 times. Each repeated call costs the
-//! node two writes and an answer, so that its view fell up to nine seconds behind.
+//! the removal of their marks and discarded the state of its calls, while the view, a second behind,
+//! still showed the marks: each plan moved the same hosts again, up to 22 times. Each repeated call
+//! costs the node two writes and an answer, so that its view fell up to nine seconds behind.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -25,8 +25,8 @@
 /// How long after a mark the pool's owner records the host as empty, in milliseconds.
 const DRAIN_MS: u64 = 100;
 
-/// How long a host is away for a move or for upkeep, in milliseconds.
-const AWAY_MS: u64 = 1_500;
+/// How long a host is out of service for a move or for upkeep, in milliseconds.
+const OUT_OF_SERVICE_MS: u64 = 1_500;
 
 /// A change of the store, as it reaches the view.
 enum StoreChange {
@@ -293,7 +293,7 @@
         let is_there = matches!(&action, HostAction::Move(to) if entry.pool == *to);
         if entry.phase == HostPhase::Up && !is_there && !self.calls_unanswered {
             entry.phase = HostPhase::Moving;
-            *back_at = now + AWAY_MS;
+            *back_at = now + OUT_OF_SERVICE_MS;
             entry.worker = None;
             if let HostAction::Move(to) = &action {
                 entry.pool = to.clone();
@@ -438,13 +438,13 @@
         sim.first_write_lost = true;
         sim.run(30_000);
     }
-    let most = [
+    let most_repeated = [
         wave.most_repeated("mark"),
         wave.most_repeated("report"),
         moves.most_repeated("mark"),
         moves.most_repeated("unmark"),
     ];
-    assert!(most.iter().all(|(count, _)| *count == 2), "{most:?}");
+    assert!(most_repeated.iter().all(|(count, _)| *count == 2), "{most_repeated:?}");
 }
 
 /// Guards against retrying each host every 0.3 s: these calls used up the limit that other hosts
@@ -484,8 +484,11 @@
         let is_mark = |order: &&String| order.starts_with("mark") || order.starts_with("unmark");
         sim.orders.keys().filter(is_mark).count()
     };
-    let (near, far) = (orders(230), orders(2_000));
-    assert!(far * 3 <= near, "{near} marks with a lag of a quarter second, {far} with two seconds");
+    let (short_lag, long_lag) = (orders(230), orders(2_000));
+    assert!(
+        long_lag * 3 <= short_lag,
+        "{short_lag} marks with a lag of a quarter second, {long_lag} with two seconds"
+    );
 }
 
 /// Calls of an earlier owner may use up the call limit in the first second of the next one.
--- a/src/jobs/tests/fuzz.rs
+++ b/src/jobs/tests/fuzz.rs
@@ -152,7 +152,7 @@
     /// acknowledgement of these ends is never binding.
     lapsed_end: u64,
     /// The highest run of each task that was stopped or ended here.
-    highest_over: BTreeMap<TaskId, u32>,
+    highest_ended: BTreeMap<TaskId, u32>,
     /// Owners that cannot reach it.
     disconnected: BTreeSet<usize>,
     /// When a run crashes it.
@@ -204,7 +204,7 @@
     late_orders: Vec<Effect>,
     /// Whether the start order that is being executed is late.
     is_order_late: bool,
-    late_saves: Vec<(u64, Vec<ProgressWrite>)>,
+    late_progress: Vec<(u64, Vec<ProgressWrite>)>,
     late_rosters: Vec<(u64, u64, RosterWrite)>,
     /// Jobs with a run that has started on a worker.
     started_jobs: BTreeSet<JobId>,
@@ -242,7 +242,7 @@
             draining: BTreeSet::new(),
             late_orders: Vec::new(),
             is_order_late: false,
-            late_saves: Vec::new(),
+            late_progress: Vec::new(),
             late_rosters: Vec::new(),
             started_jobs: BTreeSet::new(),
             done_tasks: BTreeSet::new(),
@@ -281,7 +281,7 @@
             ends: Vec::new(),
             next_end: 1,
             lapsed_end: 0,
-            highest_over: BTreeMap::new(),
+            highest_ended: BTreeMap::new(),
             disconnected: BTreeSet::new(),
             crash_at: None,
             restart_at: None,
@@ -297,16 +297,16 @@
     /// reports are listed; otherwise the new owner only has the roster.
     fn replace_owner(&mut self, listed: bool) {
         let now = self.now;
-        if let Some(before) = self.owners.last_mut() {
-            before.active_until = before.active_until.min(now + LEASE_MS + GRACE_PERIOD_MS);
+        if let Some(previous) = self.owners.last_mut() {
+            previous.active_until = previous.active_until.min(now + LEASE_MS + GRACE_PERIOD_MS);
         }
         self.revision += 1;
         self.token = self.revision;
         let earlier = self.owners.len() as u32;
         let mut owner = Owner::new(self.token, earlier, Steady::from_millis(now));
         let (mut out, at) = (Vec::new(), self.at());
-        let (workers, away, roster_revision) = self.roster.clone();
-        owner.inherit(workers.into_values().collect(), &away, at, &mut out);
+        let (workers, silent_workers, roster_revision) = self.roster.clone();
+        owner.inherit(workers.into_values().collect(), &silent_workers, at, &mut out);
         owner.set_draining(self.drain_marks());
         for worker in self.workers.iter().filter(|worker| listed && worker.alive) {
             owner.handle(Event::Worker(worker.report.clone()), at, &mut out);
@@ -372,21 +372,21 @@
     fn persist_roster(&mut self, owner: usize, delivery: Delivery) {
         let sim_owner = &mut self.owners[owner];
         let (token, expects) = (sim_owner.owner.token, sim_owner.roster_revision);
-        let Some(note) = sim_owner.owner.roster_note(ROSTER_BATCH) else {
+        let Some(write) = sim_owner.owner.roster_note(ROSTER_BATCH) else {
             return;
         };
         match delivery {
             Delivery::Lost | Delivery::Unsent => {}
-            Delivery::Late => self.late_rosters.push((token, expects, note)),
+            Delivery::Late => self.late_rosters.push((token, expects, write)),
             Delivery::AnswerLost => {
-                self.write_roster(token, expects, &note);
+                self.write_roster(token, expects, &write);
             }
             Delivery::Delivered => {
-                let written = self.write_roster(token, expects, &note);
+                let written = self.write_roster(token, expects, &write);
                 let found = self.roster.2;
                 let sim_owner = &mut self.owners[owner];
                 match written {
-                    true => sim_owner.owner.note_roster_written(&note, Revision(found)),
+                    true => sim_owner.owner.note_roster_written(&write, Revision(found)),
                     // An earlier unanswered write was made.
                     false if token == self.token => {}
                     false => return,
@@ -397,16 +397,16 @@
     }
 
     /// Writes a roster under its conditions, as the store does. Returns whether they were met.
-    fn write_roster(&mut self, token: u64, expects: u64, note: &RosterWrite) -> bool {
+    fn write_roster(&mut self, token: u64, expects: u64, write: &RosterWrite) -> bool {
         if token != self.token || self.roster.2 != expects {
             return false;
         }
         self.revision += 1;
-        let (workers, away, at) = &mut self.roster;
-        let added = note.added.iter().map(|report| (report.id.clone(), report.clone()));
+        let (workers, silent_workers, revision) = &mut self.roster;
+        let added = write.added.iter().map(|report| (report.id.clone(), report.clone()));
         workers.extend(added);
-        workers.retain(|id, _| !note.dropped.contains(id));
-        (*away, *at) = (note.silent_workers.clone(), self.revision);
+        workers.retain(|id, _| !write.dropped.contains(id));
+        (*silent_workers, *revision) = (write.silent_workers.clone(), self.revision);
         true
     }
 
@@ -437,7 +437,7 @@
     }
 
     /// Whether the tasks of a job always fail.
-    fn is_poison(&self, job: JobId) -> bool {
+    fn always_fails(&self, job: JobId) -> bool {
         job == id(4)
     }
 
@@ -449,7 +449,8 @@
     /// Whether a job may be reported as failed.
     fn may_fail(&self, job: JobId) -> bool {
         let crashed = self.crashed.iter().filter(|(task, _)| task.of.job == job);
-        self.is_poison(job) || crashed.into_iter().any(|(_, by)| MIN_CRASHES_TO_GIVE_UP <= by.len())
+        self.always_fails(job)
+            || crashed.into_iter().any(|(_, by)| MIN_CRASHES_TO_GIVE_UP <= by.len())
     }
 
     fn advance(&mut self, millis: u64) {
@@ -499,23 +500,23 @@
                 finished.push((*task, run.run, RunOutcome::Done));
             }
         }
-        for (task, run, how) in finished {
-            let poison = how == RunOutcome::Done && self.is_poison(task.of.job);
+        for (task, run, outcome) in finished {
+            let fails = outcome == RunOutcome::Done && self.always_fails(task.of.job);
             self.workers[host].runs.remove(&task);
-            self.end_run(host, task, run, if poison { RunOutcome::Failed } else { how });
+            self.end_run(host, task, run, if fails { RunOutcome::Failed } else { outcome });
         }
     }
 
-    fn end_run(&mut self, host: usize, task: TaskId, run: u32, how: RunOutcome) {
-        if how == RunOutcome::Done {
+    fn end_run(&mut self, host: usize, task: TaskId, run: u32, outcome: RunOutcome) {
+        if outcome == RunOutcome::Done {
             self.done_tasks.insert(task);
         }
         let worker = &mut self.workers[host];
-        let highest = worker.highest_over.entry(task).or_default();
+        let highest = worker.highest_ended.entry(task).or_default();
         *highest = (*highest).max(run);
         let number = worker.next_end;
         worker.next_end += 1;
-        worker.ends.push(EndedRun { number, task, run, how, checkpoint: String::new() });
+        worker.ends.push(EndedRun { number, task, run, how: outcome, checkpoint: String::new() });
     }
 
     fn worker_clock(&self, host: usize) -> u64 {
@@ -648,10 +649,10 @@
         }
         let sim = &mut self.workers[host];
         sim.lease_until = sim.lease_until.max(until);
-        if sim.runs.get(&task).is_some_and(|there| there.run == run) {
+        if sim.runs.get(&task).is_some_and(|present_run| present_run.run == run) {
             return OrderResult::Done(clock);
         }
-        if sim.highest_over.get(&task).is_some_and(|over| run <= *over)
+        if sim.highest_ended.get(&task).is_some_and(|highest| run <= *highest)
             || sim.runs.contains_key(&task)
         {
             return refused(Refusal::Old);
@@ -723,12 +724,12 @@
         };
         let (clock, now) = (self.worker_clock(host), self.now);
         let sim = &mut self.workers[host];
-        match sim.runs.get_mut(&task).filter(|there| there.run <= run) {
-            Some(there) => {
-                there.stops_at.get_or_insert(now + STOP_DELAY_MS);
+        match sim.runs.get_mut(&task).filter(|present_run| present_run.run <= run) {
+            Some(present_run) => {
+                present_run.stops_at.get_or_insert(now + STOP_DELAY_MS);
             }
             None => {
-                let highest = sim.highest_over.entry(task).or_default();
+                let highest = sim.highest_ended.entry(task).or_default();
                 *highest = (*highest).max(run);
             }
         }
@@ -750,9 +751,9 @@
         let acknowledged_ends: Vec<EndedRun> = {
             let sim = &mut self.workers[host];
             sim.lease_until = sim.lease_until.max(until.unwrap_or(0));
-            let (acknowledged_ends, left) =
+            let (acknowledged_ends, remaining) =
                 sim.ends.drain(..).partition(|end| end.number <= acknowledged);
-            sim.ends = left;
+            sim.ends = remaining;
             acknowledged_ends
         };
         let lapsed_end = self.workers[host].lapsed_end;
@@ -779,7 +780,8 @@
             || self.progress.get(&job).is_some_and(|(progress, _)| progress.state.is_final());
         let name = format!("{}.{}", end.task.of.occurrence, end.task.of.step);
         let persisted = self.progress.get(&job).and_then(|(progress, _)| progress.steps.get(&name));
-        let persisted_done = persisted.is_some_and(|note| note.done.contains(&end.task.index));
+        let persisted_done =
+            persisted.is_some_and(|step_progress| step_progress.done.contains(&end.task.index));
         match end.how {
             RunOutcome::Done => {
                 assert!(
@@ -792,8 +794,10 @@
                 }
             }
             RunOutcome::Failed => {
-                let runs = persisted.and_then(|note| note.tasks.get(&end.task.index));
-                let persisted_failed = runs.is_some_and(|note| note.failed.contains(&end.run));
+                let runs =
+                    persisted.and_then(|step_progress| step_progress.tasks.get(&end.task.index));
+                let persisted_failed =
+                    runs.is_some_and(|task_progress| task_progress.failed.contains(&end.run));
                 assert!(
                     is_over || persisted_done || persisted_failed,
                     "{}: failure is not persisted",
@@ -809,29 +813,29 @@
 
     fn persist_progress(&mut self, owner: usize, delivery: Delivery) {
         let token = self.owners[owner].owner.token;
-        let saves = self.owners[owner].owner.take_saves(15);
-        if saves.is_empty() {
+        let writes = self.owners[owner].owner.take_saves(15);
+        if writes.is_empty() {
             return;
         }
         match delivery {
-            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.note_save_failed(&saves),
+            Delivery::Lost | Delivery::Unsent => self.owners[owner].owner.note_save_failed(&writes),
             Delivery::Late => {
-                self.owners[owner].owner.note_save_failed(&saves);
-                self.late_saves.push((token, saves));
+                self.owners[owner].owner.note_save_failed(&writes);
+                self.late_progress.push((token, writes));
             }
             Delivery::Delivered | Delivery::AnswerLost => {
-                let written = self.write_progress(token, &saves);
+                let written = self.write_progress(token, &writes);
                 match written {
                     Ok(revision) if delivery == Delivery::Delivered => {
-                        self.owners[owner].owner.note_saved(&saves, revision);
+                        self.owners[owner].owner.note_saved(&writes, revision);
                     }
                     Err(conflicts) if delivery == Delivery::Delivered => {
                         for (job, revision) in conflicts {
                             self.owners[owner].owner.rebase(job, revision);
                         }
-                        self.owners[owner].owner.note_save_failed(&saves);
+                        self.owners[owner].owner.note_save_failed(&writes);
                     }
-                    _ => self.owners[owner].owner.note_save_failed(&saves),
+                    _ => self.owners[owner].owner.note_save_failed(&writes),
                 }
             }
         }
@@ -841,20 +845,20 @@
     fn write_progress(
         &mut self,
         token: u64,
-        saves: &[ProgressWrite],
+        writes: &[ProgressWrite],
     ) -> Result<Revision, Vec<(JobId, Revision)>> {
         let at = |job: &JobId| self.progress.get(job).map_or(0, |(_, revision)| *revision);
-        let conflicts = saves.iter().filter(|save| at(&save.job) != save.expected_revision.0);
+        let conflicts = writes.iter().filter(|write| at(&write.job) != write.expected_revision.0);
         let conflicts: Vec<(JobId, Revision)> =
-            conflicts.map(|save| (save.job, Revision(at(&save.job)))).collect();
+            conflicts.map(|write| (write.job, Revision(at(&write.job)))).collect();
         if token != self.token || !conflicts.is_empty() {
             return Err(if token == self.token { conflicts } else { Vec::new() });
         }
         self.revision += 1;
-        for save in saves {
-            let progress: Progress = serde_json::from_slice(&save.value).unwrap();
-            self.check_progress(save.job, &progress);
-            self.progress.insert(save.job, (progress, self.revision));
+        for write in writes {
+            let progress: Progress = serde_json::from_slice(&write.value).unwrap();
+            self.check_progress(write.job, &progress);
+            self.progress.insert(write.job, (progress, self.revision));
         }
         Ok(Revision(self.revision))
     }
@@ -926,11 +930,11 @@
     /// Another owner takes over, and the earlier one, which is not notified, keeps working.
     fn overlap(&mut self, rounds: u8) {
         self.replace_owner(true);
-        let (before, present) = (self.current_owner() - 1, self.current_owner());
+        let (earlier, current) = (self.current_owner() - 1, self.current_owner());
         for _ in 0..rounds {
-            self.round(before);
+            self.round(earlier);
             self.advance(20);
-            self.round(present);
+            self.round(current);
             self.advance(40);
         }
     }
@@ -981,13 +985,13 @@
 
     fn deliver_late(&mut self, index: usize) {
         if !self.late_rosters.is_empty() {
-            let (token, expects, note) = self.late_rosters.remove(0);
-            self.write_roster(token, expects, &note);
+            let (token, expects, write) = self.late_rosters.remove(0);
+            self.write_roster(token, expects, &write);
         }
-        if !self.late_saves.is_empty() {
-            let (token, saves) = self.late_saves.remove(0);
+        if !self.late_progress.is_empty() {
+            let (token, writes) = self.late_progress.remove(0);
             // No owner receives the result.
-            let _ = self.write_progress(token, &saves);
+            let _ = self.write_progress(token, &writes);
         }
         if self.late_orders.is_empty() {
             return;
@@ -1030,7 +1034,7 @@
         self.run_to_completion();
         for (job, stored) in &self.jobs {
             let state = self.progress.get(job).map(|(progress, _)| progress.state);
-            let never = self.is_poison(*job) || self.crashes_worker(first_task(*job));
+            let never = self.always_fails(*job) || self.crashes_worker(first_task(*job));
             let as_wanted = match state {
                 Some(JobState::Failed) => self.may_fail(*job),
                 Some(JobState::Succeeded) => !never,
--- a/src/jobs/tests/handover.rs
+++ b/src/jobs/tests/handover.rs
@@ -43,11 +43,11 @@
     workers: usize,
     jobs: impl Iterator<Item = (u64, u32)>,
 ) -> Harness {
-    let away = harness.owner.handover_record(harness.at()).unwrap_or_default();
+    let silent_workers = harness.owner.handover_record(harness.at()).unwrap_or_default();
     let names: Vec<(String, String)> =
         (0..workers).map(|number| (format!("w{number}"), format!("h{number}"))).collect();
     let listed: Vec<(&str, &str)> = names.iter().map(|(w, h)| (w.as_str(), h.as_str())).collect();
-    let mut next = Harness::inheriting(&listed, away);
+    let mut next = Harness::inheriting(&listed, silent_workers);
     for (number, tasks) in jobs {
         next.deliver(Event::Job(stored(number, vec![step(tasks)], 50)));
     }
@@ -70,7 +70,7 @@
     const WORKERS: usize = 550;
     const RESPONDING: usize = 250;
     let (mut earlier, runs) = busy_owner(WORKERS);
-    // That the first job has begun is durable: its tasks are held back because they run.
+    // The begin of the first job is durable: its tasks are held back only because they run.
     earlier.persist_progress();
     let mut harness =
         next_owner(&earlier, WORKERS, [(1, 2_200)].into_iter().chain((2..386).map(|n| (n, 9))));
--- a/src/jobs/tests/resizing.rs
+++ b/src/jobs/tests/resizing.rs
@@ -12,8 +12,8 @@
 
 /// Reports other resources of a worker.
 fn resize(harness: &mut Harness, name: &str, host: &str, cpu: u32) {
-    let room = TaskResources { cpu: Millicores(cpu), memory: Megabytes(8_000), gpus: 0 };
-    harness.deliver(Event::Worker(super::WorkerReport { capacity: room, ..report(name, host) }));
+    let capacity = TaskResources { cpu: Millicores(cpu), memory: Megabytes(8_000), gpus: 0 };
+    harness.deliver(Event::Worker(super::WorkerReport { capacity, ..report(name, host) }));
 }
 
 /// A worker with resources for four tasks, which runs three.
@@ -70,7 +70,7 @@
 }
 
 /// The resources of a worker had shrunk below what its runs use. Its negative remainder counted as
-/// the largest one when resources were reserved for a lasting task: nothing was started in the
+/// the largest one when resources were reserved for a long-running task: nothing was started in the
 /// pool, and the node's processes ended.
 #[test]
 fn no_resources_are_reserved_at_a_worker_whose_runs_use_more_than_it_has() {
