--- a/src/measure/owner.rs
+++ b/src/measure/owner.rs
@@ -182,14 +182,14 @@
                 let Some((run, _)) = simulated.runs.remove(&task) else {
                     continue;
                 };
-                let (number, saved) = (simulated.next_end, String::new());
+                let (number, checkpoint) = (simulated.next_end, String::new());
                 simulated.next_end += 1;
                 simulated.ends.push_back(EndedRun {
                     number,
                     task,
                     run,
                     how: RunOutcome::Done,
-                    checkpoint: saved,
+                    checkpoint,
                 });
             }
             let is_due = |(_, until): &(Steady, u64)| !simulated.ends.is_empty() || *until <= now;
@@ -305,7 +305,7 @@
     Now { steady: Steady::from_millis(now), wall: Time::from_millis(1_000_000 + now) }
 }
 
-fn report(number: usize, room: TaskResources) -> WorkerReport {
+fn report(number: usize, capacity: TaskResources) -> WorkerReport {
     let id = |kind: &str| format!("{kind}-{number}");
     WorkerReport {
         id: id("w").parse().expect("worker name is valid"),
@@ -313,7 +313,7 @@
         pool: "pool".parse().expect("pool name is valid"),
         address: format!("10.0.{}.{}:80", number / 250, number % 250),
         zone: "zone".parse().expect("zone name is valid"),
-        capacity: room,
+        capacity,
         labels: vec!["kind".to_owned(), format!("r{}", number / 12)],
         leaves_ms: None,
     }
--- a/src/platform/tests/silent_connections.rs
+++ b/src/platform/tests/silent_connections.rs
@@ -125,17 +125,17 @@
 #[tokio::test]
 async fn an_order_after_a_timeout_uses_a_new_connection() {
     let (server, address) = Server::start(r#"{"clock_ms":5}"#).await;
-    let runners = WorkerClient::with_timeout(CALL_TIMEOUT);
+    let worker_client = WorkerClient::with_timeout(CALL_TIMEOUT);
     let to = Addressee { worker: "w1".parse().unwrap(), address, token: 7 };
     let task = "00e0f5a2b4c6d801.0.0.0".parse().unwrap();
-    let calls = (0..OPEN_CONNECTIONS).map(|_| runners.stop(&to, task, 1));
+    let calls = (0..OPEN_CONNECTIONS).map(|_| worker_client.stop(&to, task, 1));
     for end in futures_util::future::join_all(calls).await {
         assert_eq!(end, OrderResult::Done(5));
     }
     server.stop_responding();
-    let timed_out = server.run_until_timeout(runners.stop(&to, task, 1)).await;
+    let timed_out = server.run_until_timeout(worker_client.stop(&to, task, 1)).await;
     assert_eq!(timed_out, OrderResult::Unknown, "the call on the old connection times out");
-    assert_eq!(runners.stop(&to, task, 1).await, OrderResult::Done(5));
+    assert_eq!(worker_client.stop(&to, task, 1).await, OrderResult::Done(5));
 }
 
 #[tokio::test]
--- a/src/platform/tests/sockets.rs
+++ b/src/platform/tests/sockets.rs
@@ -52,9 +52,12 @@
 async fn a_start_on_a_closing_connection_is_sent_at_most_once() {
     for _ in 0..REPETITIONS {
         let server = ScriptedServer::new(|_| Action::AnswerAndClose(CLOCK)).await;
-        let runners = WorkerClient::new();
-        assert_eq!(runners.start(&to(&server.address), &start(1)).await, OrderResult::Done(5));
-        let end = runners.start(&to(&server.address), &start(2)).await;
+        let worker_client = WorkerClient::new();
+        assert_eq!(
+            worker_client.start(&to(&server.address), &start(1)).await,
+            OrderResult::Done(5)
+        );
+        let end = worker_client.start(&to(&server.address), &start(2)).await;
         match server.count_containing(&run(2)) {
             0 => assert_eq!(end, OrderResult::Unknown),
             1 => assert!(matches!(end, OrderResult::Done(5) | OrderResult::Unknown), "{end:?}"),
@@ -75,12 +78,15 @@
                 false => last.clone(),
             };
             let server = ScriptedServer::new(script).await;
-            let runners = WorkerClient::new();
+            let worker_client = WorkerClient::new();
             for number in 0..before {
                 let first = start(10 + number as u32);
-                assert_eq!(runners.start(&to(&server.address), &first).await, OrderResult::Done(5));
+                assert_eq!(
+                    worker_client.start(&to(&server.address), &first).await,
+                    OrderResult::Done(5)
+                );
             }
-            let end = runners.start(&to(&server.address), &start(2)).await;
+            let end = worker_client.start(&to(&server.address), &start(2)).await;
             assert_eq!(end, OrderResult::Unknown, "{action:?} after {before}");
             assert_eq!(server.count_containing(&run(2)), 1, "{action:?} after {before}");
         }
@@ -181,10 +187,10 @@
 async fn a_burst_of_starts_opens_few_connections_to_a_worker() {
     const BURST: u32 = 40;
     let server = ScriptedServer::new(|_| Action::Answer(CLOCK)).await;
-    let runners = WorkerClient::new();
+    let worker_client = WorkerClient::new();
     let starts = (1..=BURST).map(|number| {
-        let (runners, to) = (runners.clone(), to(&server.address));
-        tokio::spawn(async move { runners.start(&to, &start(number)).await })
+        let (worker_client, to) = (worker_client.clone(), to(&server.address));
+        tokio::spawn(async move { worker_client.start(&to, &start(number)).await })
     });
     for started in starts.collect::<Vec<_>>() {
         assert_eq!(started.await.unwrap(), OrderResult::Done(5));
--- a/src/platform/worker_client.rs
+++ b/src/platform/worker_client.rs
@@ -284,19 +284,21 @@
 }
 
 fn present(wire: WirePresentRun) -> Option<PresentRun> {
-    let (task, run, saved, percent, gauge) = match wire {
-        WirePresentRun::Gauged(task, run, saved, percent, gauge) => {
-            (task, run, saved, percent, gauge)
+    let (task, run, checkpoint, percent, gauge) = match wire {
+        WirePresentRun::Gauged(task, run, checkpoint, percent, gauge) => {
+            (task, run, checkpoint, percent, gauge)
+        }
+        WirePresentRun::Plain(task, run, checkpoint, percent) => {
+            (task, run, checkpoint, percent, 0.0)
         }
-        WirePresentRun::Plain(task, run, saved, percent) => (task, run, saved, percent, 0.0),
     };
     let (percent, gauge) = (percent as u32, gauge as u64);
-    Some(PresentRun { task: task.parse().ok()?, run, checkpoint: saved, percent, gauge })
+    Some(PresentRun { task: task.parse().ok()?, run, checkpoint, percent, gauge })
 }
 
 fn ended(wire: WireEndedRun) -> Option<EndedRun> {
-    let WireEndedRun(number, task, run, how, saved) = wire;
-    let how = match how.as_str() {
+    let WireEndedRun(number, task, run, outcome, checkpoint) = wire;
+    let how = match outcome.as_str() {
         "done" => RunOutcome::Done,
         "failed" => RunOutcome::Failed,
         "stopped" => RunOutcome::Stopped,
@@ -305,5 +307,5 @@
         "alone" => RunOutcome::GangIncomplete,
         _ => return None,
     };
-    Some(EndedRun { number, task: task.parse().ok()?, run, how, checkpoint: saved })
+    Some(EndedRun { number, task: task.parse().ok()?, run, how, checkpoint })
 }
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -64,10 +64,10 @@
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
-        if let Some(runners) = &self.orders
+        if let Some(worker_client) = &self.orders
             && request.uri().path() == dispatch::ORDERS_PATH
         {
-            return Ok(dispatch::serve::upgrade(&request, runners.clone()));
+            return Ok(dispatch::serve::upgrade(&request, worker_client.clone()));
         }
         let received = Instant::now();
         let method = method_name(request.method());
--- a/src/scheduler/control_loop.rs
+++ b/src/scheduler/control_loop.rs
@@ -135,8 +135,8 @@
     pub(super) node: Arc<Node>,
     pub(super) lease: Arc<Lease>,
     instance_id: u64,
-    runners: WorkerClient,
-    adviser: Option<AdviceClient>,
+    worker_client: WorkerClient,
+    advice_client: Option<AdviceClient>,
     advice_slot: Arc<Semaphore>,
     links: Links,
     /// Orders of the current iteration, by the node that is to make the calls.
@@ -152,7 +152,7 @@
     /// Earliest time of the next request to the store to confirm that the fleet has no later owner.
     next_fleet_confirmation: Steady,
     next_summary: Steady,
-    pub(super) machines: HostClient,
+    pub(super) host_client: HostClient,
     /// Ownerships that were won but are not in the view yet, by name.
     won: BTreeMap<String, Ownership>,
     vacant: BTreeMap<String, Vacancy>,
@@ -168,19 +168,19 @@
     pub(crate) fn new(
         node: Arc<Node>,
         lease: Arc<Lease>,
-        runners: WorkerClient,
+        worker_client: WorkerClient,
         sender: mpsc::UnboundedSender<Input>,
     ) -> ControlLoop {
         let hosts = node.settings.platform.hosts.to_string();
-        let machines = HostClient::new(&hosts, node.settings.node.clone());
-        let adviser = node.settings.platform.advice;
-        let adviser = adviser.map(|address| AdviceClient::new(&address.to_string()));
+        let host_client = HostClient::new(&hosts, node.settings.node.clone());
+        let advice_client = node.settings.platform.advice;
+        let advice_client = advice_client.map(|address| AdviceClient::new(&address.to_string()));
         ControlLoop {
             node,
             lease,
             instance_id: rand::random(),
-            runners,
-            adviser,
+            worker_client,
+            advice_client,
             // The service answers one request of a node at a time.
             advice_slot: Arc::new(Semaphore::new(1)),
             links: Links::default(),
@@ -193,7 +193,7 @@
             next_fleet_summary: Steady::default(),
             next_fleet_confirmation: Steady::default(),
             next_summary: Steady::default(),
-            machines,
+            host_client,
             won: BTreeMap::new(),
             vacant: BTreeMap::new(),
             next_rebalance: Steady::default(),
@@ -261,9 +261,9 @@
             Input::ReportWritten { name, token, counts, sent, result } => {
                 self.note_report_written(&name, token, (counts, sent), &result, now);
             }
-            Input::WatchAnswered { name, token, asked, at } => {
+            Input::WatchAnswered { name, token, sent, revision } => {
                 if let Some(owned) = self.owned_under(&name, token) {
-                    owned.waiting_report.note_jobs(asked, at);
+                    owned.waiting_report.note_jobs(sent, revision);
                 }
             }
             Input::JobsRemoved { name, token, jobs, done } => {
@@ -274,13 +274,13 @@
                     fleet.update_hosts(sent, hosts);
                 }
             }
-            Input::HostCalled { token, host, leave, end } => {
+            Input::HostCalled { token, host, action, result } => {
                 if let Some(fleet) = self.fleet_under(token) {
-                    fleet.note_call_result(&host, leave, end, now.steady);
+                    fleet.note_call_result(&host, action, result, now.steady);
                 }
             }
-            Input::FleetWritten { token, ends, wave } => {
-                self.note_fleet_write(token, &ends, wave, now);
+            Input::FleetWritten { token, results, wave } => {
+                self.note_fleet_write(token, &results, wave, now);
             }
             Input::DelegateFailed(worker) => self.note_delegate_failure(worker, now.steady),
             Input::Shutdown => self.release_all(),
--- a/src/scheduler/control_loop/input.rs
+++ b/src/scheduler/control_loop/input.rs
@@ -61,9 +61,9 @@
     WatchAnswered {
         name: String,
         token: u64,
-        asked: Steady,
+        sent: Steady,
         /// The revision up to which the watch is complete.
-        at: Revision,
+        revision: Revision,
     },
     /// Result of a removal of ended jobs.
     JobsRemoved {
@@ -82,13 +82,13 @@
     HostCalled {
         token: u64,
         host: HostId,
-        leave: HostAction,
-        end: CallResult,
+        action: HostAction,
+        result: CallResult,
     },
     /// Results of writes of the fleet's owner, and the wave record after them.
     FleetWritten {
         token: u64,
-        ends: Vec<(FleetEffect, WriteResult)>,
+        results: Vec<(FleetEffect, WriteResult)>,
         wave: Option<(u64, Versioned<WaveRecord>)>,
     },
     /// A worker did not answer its delegate.
--- a/src/scheduler/control_loop/orders.rs
+++ b/src/scheduler/control_loop/orders.rs
@@ -37,13 +37,14 @@
             match effect {
                 Effect::Advise { step, workers, needs } => {
                     let send_event = self.event_sender(name, token);
-                    let (adviser, advice_slot) = (self.adviser.clone(), self.advice_slot.clone());
+                    let (advice_client, advice_slot) =
+                        (self.advice_client.clone(), self.advice_slot.clone());
                     let node = self.node.clone();
                     tokio::spawn(async move {
                         let slot = advice_slot.acquire().await;
                         let sent = node.now().steady;
-                        let end = match &adviser {
-                            Some(adviser) => adviser.ask(step, &workers, needs).await,
+                        let end = match &advice_client {
+                            Some(advice_client) => advice_client.ask(step, &workers, needs).await,
                             None => AdviceResult::Failed,
                         };
                         drop(slot);
@@ -90,14 +91,14 @@
 
     /// Makes the call on this node.
     fn call_directly(&self, name: &str, token: u64, effect: Effect) {
-        let (send_event, may_go) = (self.event_sender(name, token), self.send_check(name));
-        let runners = self.runners.clone();
+        let (send_event, may_send) = (self.event_sender(name, token), self.send_check(name));
+        let worker_client = self.worker_client.clone();
         let metrics = self.node.metrics.clone();
         let pending = self.count_order(name, CallingNode::Own);
         let (sent, began) = (self.node.now().steady, Instant::now());
         tokio::spawn(async move {
-            let answer = match may_go() {
-                true => call(&runners, &effect).await,
+            let answer = match may_send() {
+                true => call(&worker_client, &effect).await,
                 false => Answer::Order(OrderResult::Unsent),
             };
             metrics.record_order(order_kind(&effect), outcome(&answer), began.elapsed());
@@ -128,8 +129,8 @@
             }
             send_event(event);
         };
-        let (sent, may_go) = (self.node.now().steady, Box::new(self.send_check(name)));
-        let order = Outgoing { effect, sent, may_send: may_go, on_result: Box::new(finish) };
+        let (sent, may_send) = (self.node.now().steady, Box::new(self.send_check(name)));
+        let order = Outgoing { effect, sent, may_send, on_result: Box::new(finish) };
         self.outbox.entry(address).or_default().push(order);
     }
 
--- a/src/scheduler/control_loop/tests.rs
+++ b/src/scheduler/control_loop/tests.rs
@@ -59,7 +59,7 @@
     Tick,
 }
 
-struct World {
+struct Simulation {
     node: Arc<Node>,
     lease: Arc<Lease>,
     control_loop: ControlLoop,
@@ -73,8 +73,8 @@
     held_tokens: usize,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let settings = json!({
             "node": "one", "zone": "hall-a",
             "listen": { "callers": UNREACHABLE, "readiness": UNREACHABLE, "metrics": UNREACHABLE },
@@ -87,7 +87,7 @@
         let (inputs, _) = mpsc::unbounded_channel();
         let control_loop =
             ControlLoop::new(node.clone(), lease.clone(), WorkerClient::new(), inputs);
-        World {
+        Simulation {
             node,
             lease,
             control_loop,
@@ -191,9 +191,9 @@
     fuzz(300, 60, |ops: &[Op]| {
         let runtime = runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let _entered = runtime.enter();
-        let mut world = World::new();
-        ops.iter().for_each(|op| world.apply(*op));
-        held_tokens.set(held_tokens.get() + world.held_tokens);
+        let mut simulation = Simulation::new();
+        ops.iter().for_each(|op| simulation.apply(*op));
+        held_tokens.set(held_tokens.get() + simulation.held_tokens);
     });
     assert!(1_000 < held_tokens.get(), "only {} tokens checked: too few", held_tokens.get());
 }
@@ -208,7 +208,7 @@
     for pause_ms in [1_100, 2_500, 3_300] {
         let runtime = runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let _entered = runtime.enter();
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for op in [
             Op::RenewLease,
             Op::Acquire { fleet: false },
@@ -216,16 +216,16 @@
             Op::ShowOwner,
             Op::Tick,
         ] {
-            world.apply(op);
+            simulation.apply(op);
         }
-        let send_check = world.control_loop.send_check("pool-work");
+        let send_check = simulation.control_loop.send_check("pool-work");
         assert!(send_check());
-        world.node.clock.simulate_pause(pause_ms);
+        simulation.node.clock.simulate_pause(pause_ms);
         assert!(!send_check(), "an order decided before a pause of {pause_ms} ms may be sent");
-        world.apply(Op::RenewLease);
+        simulation.apply(Op::RenewLease);
         assert!(!send_check(), "a lease renewal does not confirm the owner");
-        let tenure = world.control_loop.owned["pool-work"].tenure.clone();
-        tenure.confirm(world.node.now().steady);
+        let tenure = simulation.control_loop.owned["pool-work"].tenure.clone();
+        tenure.confirm(simulation.node.now().steady);
         assert!(send_check());
     }
 }
@@ -236,19 +236,19 @@
 fn ends_of_unknown_jobs_are_kept_until_the_job_is_known_to_be_over() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let _entered = runtime.enter();
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     for op in
         [Op::RenewLease, Op::Acquire { fleet: false }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick]
     {
-        world.apply(op);
+        simulation.apply(op);
     }
     let [absent, unreadable, ended] = [1, 2, 3].map(JobId::from_number);
     let record = bytes(&sample::job_record(Vec::new()));
     let over = Progress { state: JobState::Succeeded, ..Progress::default() };
-    world.apply_write(keys::job(&"work".parse().unwrap(), unreadable), record);
-    world.apply_write(keys::progress(unreadable), b"{".to_vec());
-    world.apply_write(keys::progress(ended), bytes(&over));
-    let now = world.node.now();
+    simulation.apply_write(keys::job(&"work".parse().unwrap(), unreadable), record);
+    simulation.apply_write(keys::progress(unreadable), b"{".to_vec());
+    simulation.apply_write(keys::progress(ended), bytes(&over));
+    let now = simulation.node.now();
     let ends = [absent, unreadable, ended].map(|job| {
         let task = TaskId { of: StepId { job, occurrence: 0, step: 0 }, index: 0 };
         EndedRun {
@@ -259,7 +259,7 @@
             checkpoint: String::new(),
         }
     });
-    let owned = world.control_loop.owned.get_mut("pool-work").unwrap();
+    let owned = simulation.control_loop.owned.get_mut("pool-work").unwrap();
     let mut out = Vec::new();
     let worker = WorkerReport::placeholder(&"w1".parse().unwrap(), "work").unwrap();
     owned.owner.handle(Event::Worker(worker), now, &mut out);
@@ -268,19 +268,19 @@
     let end = OrderResult::Done(response);
     let polled = Event::Polled { worker: "w1".parse().unwrap(), sent: now.steady, end };
     owned.owner.handle(polled, now, &mut out);
-    let unknown = |world: &World| {
-        let jobs = world.control_loop.owned["pool-work"].owner.unknown_jobs();
+    let unknown = |simulation: &Simulation| {
+        let jobs = simulation.control_loop.owned["pool-work"].owner.unknown_jobs();
         jobs.into_iter().map(|(job, _)| job).collect::<Vec<JobId>>()
     };
-    assert_eq!(unknown(&world), [absent, unreadable, ended]);
-    world.control_loop.resolve_unknown_jobs("pool-work", now);
-    assert_eq!(unknown(&world), [absent, unreadable]);
+    assert_eq!(unknown(&simulation), [absent, unreadable, ended]);
+    simulation.control_loop.resolve_unknown_jobs("pool-work", now);
+    assert_eq!(unknown(&simulation), [absent, unreadable]);
     let later = Now { steady: now.steady.after(10_000), ..now };
-    world.control_loop.resolve_unknown_jobs("pool-work", later);
-    assert_eq!(unknown(&world), [absent, unreadable], "the view may not include the job yet");
-    world.answer_watches(later.steady);
-    world.control_loop.resolve_unknown_jobs("pool-work", later);
-    assert_eq!(unknown(&world), [unreadable], "its progress may become readable");
+    simulation.control_loop.resolve_unknown_jobs("pool-work", later);
+    assert_eq!(unknown(&simulation), [absent, unreadable], "the view may not include the job yet");
+    simulation.answer_watches(later.steady);
+    simulation.control_loop.resolve_unknown_jobs("pool-work", later);
+    assert_eq!(unknown(&simulation), [unreadable], "its progress may become readable");
 }
 
 /// A task that must run once ran twice: the owner's own watch was silent and the mirror lagged, so
@@ -291,13 +291,13 @@
 fn a_job_missing_from_a_stale_view_is_not_assumed_to_be_over() {
     let runtime = runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let _entered = runtime.enter();
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     for op in
         [Op::RenewLease, Op::Acquire { fleet: false }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick]
     {
-        world.apply(op);
+        simulation.apply(op);
     }
-    let (now, job) = (world.node.now(), JobId::from_number(1));
+    let (now, job) = (simulation.node.now(), JobId::from_number(1));
     let task = TaskId { of: StepId { job, occurrence: 0, step: 0 }, index: 0 };
     let ended = vec![EndedRun {
         number: 1,
@@ -306,7 +306,7 @@
         how: RunOutcome::Done,
         checkpoint: String::new(),
     }];
-    let owned = world.control_loop.owned.get_mut("pool-work").unwrap();
+    let owned = simulation.control_loop.owned.get_mut("pool-work").unwrap();
     let mut out = Vec::new();
     let worker = WorkerReport::placeholder(&"w1".parse().unwrap(), "work").unwrap();
     owned.owner.handle(Event::Worker(worker), now, &mut out);
@@ -315,8 +315,8 @@
     let polled = Event::Polled { worker: "w1".parse().unwrap(), sent: now.steady, end };
     owned.owner.handle(polled, now, &mut out);
     let later = Now { steady: now.steady.after(10_000), ..now };
-    world.control_loop.resolve_unknown_jobs("pool-work", later);
-    assert_eq!(world.control_loop.owned["pool-work"].owner.unknown_jobs().len(), 1);
+    simulation.control_loop.resolve_unknown_jobs("pool-work", later);
+    assert_eq!(simulation.control_loop.owned["pool-work"].owner.unknown_jobs().len(), 1);
 }
 
 /// After a change of owners, the first polls of 550 workers were all sent by the new owner's node,
@@ -328,26 +328,26 @@
     const WORKERS: usize = 550;
     let runtime = runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let _entered = runtime.enter();
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     // It owns nothing yet, and has just chosen its delegates.
     for op in [Op::RenewLease, Op::Tick] {
-        world.apply(op);
+        simulation.apply(op);
     }
     for number in 0..60u16 {
         let record =
             NodeRecord { cpu: Millicores(120), peers: Some(([127, 0, 0, 1], 1 + number).into()) };
-        world.apply_write(keys::node(&format!("n{number}")), bytes(&record));
+        simulation.apply_write(keys::node(&format!("n{number}")), bytes(&record));
     }
     for number in 0..WORKERS {
         let entry = json!({ "service": "work", "address": UNREACHABLE, "zone": "z",
             "state": "ready", "machine": format!("h{number}"),
             "capacity": { "cpu": 32_000, "mem_mb": 64_000 }, "labels": ["a", "r"] });
-        world.apply_write(format!("servers/w{number}"), bytes(&entry));
+        simulation.apply_write(format!("servers/w{number}"), bytes(&entry));
     }
     for op in [Op::Acquire { fleet: false }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick] {
-        world.apply(op);
+        simulation.apply(op);
     }
-    let orders = world.control_loop.owned["pool-work"].order_counts.take_summary();
+    let orders = simulation.control_loop.owned["pool-work"].order_counts.take_summary();
     assert_eq!(orders.pending, WORKERS as u64, "one poll for each worker");
     assert_eq!(orders.own, 0, "polls called directly by the owner's node");
 }
--- a/src/scheduler/control_loop/tests/load.rs
+++ b/src/scheduler/control_loop/tests/load.rs
@@ -7,7 +7,7 @@
     model::unit::Revision,
     platform::kv::Change,
     scheduler::{
-        control_loop::{Input, json, pause_after, tests::World, updates::MARKS_CHECKED},
+        control_loop::{Input, json, pause_after, tests::Simulation, updates::MARKS_CHECKED},
         keys,
     },
 };
@@ -24,25 +24,25 @@
 fn the_cost_of_a_drain_mark_does_not_depend_on_the_number_of_marks() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let _entered = runtime.enter();
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     for op in
         [Op::RenewLease, Op::Acquire { fleet: false }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick]
     {
-        world.apply(op);
+        simulation.apply(op);
     }
-    assert_eq!(world.control_loop.owned.len(), 1);
+    assert_eq!(simulation.control_loop.owned.len(), 1);
     let mark = json(&HostAction::Move("other".parse().unwrap()));
     let changes = (0..MARKED).map(|number| Change {
         key: keys::drain_mark(&format!("m-{number}").parse().unwrap()),
         revision: Revision(1_000 + number as u64),
         value: Some(mark.clone().into()),
     });
-    let mut view = world.node.view();
+    let mut view = simulation.node.view();
     let deltas: Vec<_> = changes.filter_map(|change| view.apply(change)).collect();
     drop(view);
     assert_eq!(deltas.len(), MARKED);
     MARKS_CHECKED.set(0);
-    world.control_loop.handle(Input::Deltas(deltas));
+    simulation.control_loop.handle(Input::Deltas(deltas));
     let checked = MARKS_CHECKED.get();
     assert!((MARKED..=2 * MARKED).contains(&checked), "{checked} marks checked");
 }
--- a/src/scheduler/control_loop/tests/stale_view.rs
+++ b/src/scheduler/control_loop/tests/stale_view.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use tokio::runtime::{Builder, Runtime};
 
-use super::{Op, World};
+use super::{Op, Simulation};
 use crate::{
     jobs::owner::LEASE_MS,
     model::{
@@ -24,7 +24,7 @@
 
 /// A node whose lease is always renewed, and the current time.
 struct Harness {
-    world: World,
+    simulation: Simulation,
     now: Now,
 }
 
@@ -35,46 +35,46 @@
 impl Harness {
     /// A node that owns nothing.
     fn start() -> Harness {
-        let mut world = World::new();
-        world.apply(Op::RenewLease);
-        let now = world.node.now();
-        let mut harness = Harness { world, now };
+        let mut simulation = Simulation::new();
+        simulation.apply(Op::RenewLease);
+        let now = simulation.node.now();
+        let mut harness = Harness { simulation, now };
         harness.list_node("one");
         harness
     }
 
     /// Lists a node that may own work.
     fn list_node(&mut self, node: &str) {
-        self.world.apply_write(keys::node(node), bytes(&json!({ "cpu": 500 })));
+        self.simulation.apply_write(keys::node(node), bytes(&json!({ "cpu": 500 })));
     }
 
     fn configure(&self, config: QueueConfig) {
-        self.world.node.view().config = Some(Arc::new(config));
+        self.simulation.node.view().config = Some(Arc::new(config));
     }
 
     /// The node acquires the fleet's work, or a pool.
     fn acquire(&mut self, fleet: bool) {
         for op in [Op::Acquire { fleet }, Op::ConfirmAcquired, Op::ShowOwner, Op::Tick] {
-            self.world.apply(op);
+            self.simulation.apply(op);
         }
         assert!(self.owns(fleet));
     }
 
     fn owns(&self, fleet: bool) -> bool {
-        let control_loop = &self.world.control_loop;
+        let control_loop = &self.simulation.control_loop;
         if fleet { control_loop.fleet.is_some() } else { control_loop.owned.contains_key(POOL) }
     }
 
     /// The watches are answered: nothing has changed until now.
     fn answer_watches(&self) {
-        self.world.answer_watches(self.now.steady);
+        self.simulation.answer_watches(self.now.steady);
     }
 
     fn advance(&mut self, millis: u64) {
         let now = self.now.steady.after(millis);
         self.now.steady = now;
-        let lease = self.world.lease.last().unwrap();
-        self.world.lease.note_renewed(lease, now, Duration::from_millis(LEASE_MS), now);
+        let lease = self.simulation.lease.last().unwrap();
+        self.simulation.lease.note_renewed(lease, now, Duration::from_millis(LEASE_MS), now);
     }
 }
 
@@ -93,9 +93,9 @@
         if is_answered {
             harness.answer_watches();
         }
-        let before = harness.world.control_loop.next_fleet_summary;
-        harness.world.control_loop.fleet_tick(harness.now);
-        harness.world.control_loop.next_fleet_summary != before
+        let before = harness.simulation.control_loop.next_fleet_summary;
+        harness.simulation.control_loop.fleet_tick(harness.now);
+        harness.simulation.control_loop.next_fleet_summary != before
     };
     assert!(!plans(1_500, false), "the watches have not answered yet");
     assert!(plans(1_500, true));
@@ -112,13 +112,13 @@
         let mut harness = Harness::start();
         harness.acquire(fleet);
         harness.answer_watches();
-        harness.world.control_loop.release_if_stale(harness.now);
+        harness.simulation.control_loop.release_if_stale(harness.now);
         let mut owns_after = |millis, successor| {
             harness.advance(millis);
             if successor {
                 harness.list_node("two");
             }
-            harness.world.control_loop.release_if_stale(harness.now);
+            harness.simulation.control_loop.release_if_stale(harness.now);
             harness.owns(fleet)
         };
         assert!(owns_after(4_000, true), "it may still catch up");
@@ -133,10 +133,10 @@
     let mut harness = Harness::start();
     harness.acquire(true);
     harness.answer_watches();
-    harness.world.control_loop.release_if_stale(harness.now);
+    harness.simulation.control_loop.release_if_stale(harness.now);
     for _ in 0..5 {
         harness.advance(1_500);
-        harness.world.control_loop.release_if_stale(harness.now);
+        harness.simulation.control_loop.release_if_stale(harness.now);
     }
     assert!(harness.owns(true));
 }
@@ -149,21 +149,21 @@
     let mut harness = Harness::start();
     harness.list_node("two");
     let early = harness.now.steady;
-    harness.world.node.clock.simulate_pause(MAX_RECORDS_AGE_MS + 1);
-    harness.world.apply(Op::RenewLease);
-    harness.now = harness.world.node.now();
-    harness.world.answer_watches(early);
+    harness.simulation.node.clock.simulate_pause(MAX_RECORDS_AGE_MS + 1);
+    harness.simulation.apply(Op::RenewLease);
+    harness.now = harness.simulation.node.now();
+    harness.simulation.answer_watches(early);
     harness.acquire(true);
     for _ in 0..5 {
         harness.advance(1_500);
-        harness.world.control_loop.release_if_stale(harness.now);
+        harness.simulation.control_loop.release_if_stale(harness.now);
     }
     assert!(harness.owns(true), "its view was never fresh while it owned the fleet");
     harness.answer_watches();
-    harness.world.control_loop.release_if_stale(harness.now);
+    harness.simulation.control_loop.release_if_stale(harness.now);
     for _ in 0..5 {
         harness.advance(1_500);
-        harness.world.control_loop.release_if_stale(harness.now);
+        harness.simulation.control_loop.release_if_stale(harness.now);
     }
     assert!(!harness.owns(true));
 }
@@ -179,18 +179,18 @@
         .insert("work".parse().unwrap(), PoolRules { headroom: false, admission_check: true });
     harness.configure(config);
     for prefix in [OPERATOR_PREFIX, keys::ALL, keys::ROOT, WORKER_PREFIX] {
-        harness.world.node.view().note_answer(prefix, harness.now.steady);
+        harness.simulation.node.view().note_answer(prefix, harness.now.steady);
     }
     let tries_to_acquire = |harness: &mut Harness| {
-        harness.world.control_loop.acquire(harness.now);
-        harness.world.control_loop.vacant.values().any(|vacancy| vacancy.acquiring)
+        harness.simulation.control_loop.acquire(harness.now);
+        harness.simulation.control_loop.vacant.values().any(|vacancy| vacancy.acquiring)
     };
     assert!(!tries_to_acquire(&mut harness));
     harness.advance(1_500);
     assert!(!tries_to_acquire(&mut harness), "other nodes come first");
     harness.advance(1_500);
     assert!(tries_to_acquire(&mut harness), "no other node acquired it");
-    harness.world.control_loop.vacant.clear();
+    harness.simulation.control_loop.vacant.clear();
     harness.answer_watches();
     tries_to_acquire(&mut harness);
     harness.advance(600);
@@ -208,9 +208,9 @@
     harness.acquire(false);
     // The lease is renewed too late, and the owner's own watch stays silent.
     harness.advance(2 * MAX_RECORDS_AGE_MS);
-    let before = harness.world.control_loop.owned[POOL].waiting_report.pending;
-    harness.world.control_loop.request_confirmation(POOL, harness.now);
-    let owned = &harness.world.control_loop.owned[POOL];
+    let before = harness.simulation.control_loop.owned[POOL].waiting_report.pending;
+    harness.simulation.control_loop.request_confirmation(POOL, harness.now);
+    let owned = &harness.simulation.control_loop.owned[POOL];
     assert!(harness.now.steady < owned.next_confirmation, "a confirmation was requested");
     assert_eq!(owned.waiting_report.pending, before);
 }
@@ -224,7 +224,7 @@
     let mut harness = Harness::start();
     harness.acquire(true);
     harness.acquire(false);
-    let control_loop = &mut harness.world.control_loop;
+    let control_loop = &mut harness.simulation.control_loop;
     let calls = control_loop.fleet.as_ref().unwrap().tenure.clone();
     let orders = control_loop.owned[POOL].tenure.clone();
     assert!(calls.holds(harness.now.steady) && orders.allows_orders(harness.now.steady));
@@ -249,10 +249,10 @@
     let (mut last_published, mut longest) = (harness.now.steady, 0);
     for _ in 0..100 {
         harness.advance(100);
-        let (now, control_loop) = (harness.now, &mut harness.world.control_loop);
+        let (now, control_loop) = (harness.now, &mut harness.simulation.control_loop);
         let (name, token) = (POOL.to_owned(), control_loop.owned[POOL].owner.token);
-        let (asked, at) = (now.steady, Revision(token));
-        control_loop.handle(Input::WatchAnswered { name: name.clone(), token, asked, at });
+        let (sent, revision) = (now.steady, Revision(token));
+        control_loop.handle(Input::WatchAnswered { name: name.clone(), token, sent, revision });
         control_loop.publish_report(POOL, now);
         if control_loop.owned[POOL].waiting_report.pending == 0 {
             continue;
--- a/src/scheduler/control_loop/tests/waiting_report.rs
+++ b/src/scheduler/control_loop/tests/waiting_report.rs
@@ -5,7 +5,7 @@
 
 use tokio::runtime::{self, Runtime};
 
-use super::{Op, World, bytes};
+use super::{Op, Simulation, bytes};
 use crate::{
     model::{
         job::{JobId, JobRecord},
@@ -30,26 +30,26 @@
 }
 
 /// A node that has won a pool, but whose view does not have its owner record yet.
-fn world_with_won_pool() -> World {
-    let mut world = World::new();
+fn simulation_with_won_pool() -> Simulation {
+    let mut simulation = Simulation::new();
     // Another write came before.
-    world.won_leases.insert(1, 0);
+    simulation.won_leases.insert(1, 0);
     for op in [Op::RenewLease, Op::Acquire { fleet: false }, Op::ConfirmAcquired] {
-        world.apply(op);
+        simulation.apply(op);
     }
-    world
+    simulation
 }
 
 /// A node that owns a pool, with its first report in flight.
-fn world_with_owned_pool() -> World {
-    let mut world = world_with_won_pool();
-    world.apply(Op::ShowOwner);
-    world.apply(Op::Tick);
-    assert_eq!(world.pending_reports(), 1);
-    world
+fn simulation_with_owned_pool() -> Simulation {
+    let mut simulation = simulation_with_won_pool();
+    simulation.apply(Op::ShowOwner);
+    simulation.apply(Op::Tick);
+    assert_eq!(simulation.pending_reports(), 1);
+    simulation
 }
 
-impl World {
+impl Simulation {
     fn owned(&self) -> &OwnedPool {
         &self.control_loop.owned[POOL]
     }
@@ -84,13 +84,13 @@
     }
 
     /// The owner's watch returns all jobs that existed when it was sent.
-    fn answer_watch(&mut self, asked: Steady) {
+    fn answer_watch(&mut self, sent: Steady) {
         let token = self.owned().owner.token;
         self.control_loop.handle(Input::WatchAnswered {
             name: POOL.to_owned(),
             token,
-            asked,
-            at: Revision(token),
+            sent,
+            revision: Revision(token),
         });
     }
 }
@@ -105,10 +105,10 @@
     let runtime = runtime();
     let _entered = runtime.enter();
     for result in [OverwriteResult::Failed, OverwriteResult::Rebase(Revision(77))] {
-        let mut world = world_with_owned_pool();
-        let now = world.node.now();
-        world.finish_write(now.steady, result);
-        assert!(world.publishes(after(now, 300)));
+        let mut simulation = simulation_with_owned_pool();
+        let now = simulation.node.now();
+        simulation.finish_write(now.steady, result);
+        assert!(simulation.publishes(after(now, 300)));
     }
 }
 
@@ -117,14 +117,14 @@
 fn a_report_replaces_the_previous_one_and_only_one_is_in_flight() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = world_with_owned_pool();
-    let now = world.node.now();
-    assert!(!world.publishes(after(now, 900)));
-    world.finish_write(now.steady, OverwriteResult::Rebase(Revision(77)));
-    assert_eq!(world.owned().waiting_report.revision, Revision(77));
-    assert!(world.publishes(after(now, 300)));
-    world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
-    assert_eq!(world.owned().waiting_report.revision, Revision(78));
+    let mut simulation = simulation_with_owned_pool();
+    let now = simulation.node.now();
+    assert!(!simulation.publishes(after(now, 900)));
+    simulation.finish_write(now.steady, OverwriteResult::Rebase(Revision(77)));
+    assert_eq!(simulation.owned().waiting_report.revision, Revision(77));
+    assert!(simulation.publishes(after(now, 300)));
+    simulation.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
+    assert_eq!(simulation.owned().waiting_report.revision, Revision(78));
 }
 
 /// Nodes use a report for two seconds after it was written.
@@ -132,35 +132,35 @@
 fn an_unchanged_report_is_repeated_every_second() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = world_with_owned_pool();
-    let now = world.node.now();
-    world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
-    world.answer_watch(after(now, 1_100).steady);
-    assert!(!world.publishes(after(now, 510)), "nothing has changed");
-    assert!(world.publishes(after(now, 1_100)));
+    let mut simulation = simulation_with_owned_pool();
+    let now = simulation.node.now();
+    simulation.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
+    simulation.answer_watch(after(now, 1_100).steady);
+    assert!(!simulation.publishes(after(now, 510)), "nothing has changed");
+    assert!(simulation.publishes(after(now, 1_100)));
 }
 
 #[test]
 fn the_first_report_of_an_owner_counts_all_earlier_jobs() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = world_with_won_pool();
-    let token = world.last_won.clone().unwrap().1;
+    let mut simulation = simulation_with_won_pool();
+    let token = simulation.last_won.clone().unwrap().1;
     let owner = bytes(&OwnerRecord { node: "one".to_owned(), life: 1 });
-    world.apply_record(keys::owner(POOL), token, owner);
-    world.apply(Op::Tick);
+    simulation.apply_record(keys::owner(POOL), token, owner);
+    simulation.apply(Op::Tick);
     assert!(
-        world.control_loop.owned.is_empty(),
+        simulation.control_loop.owned.is_empty(),
         "it may not know all jobs accepted before token {token}"
     );
     let pool = "work".parse().unwrap();
     let record = JobRecord { pool, ..sample::job_record(Vec::new()) };
     let key = keys::job(&record.pool, JobId::from_number(1));
-    world.apply_record(key, token - 1, bytes(&record));
-    world.apply(Op::ShowOwner);
-    world.apply(Op::Tick);
-    assert_eq!(world.pending_reports(), 1);
-    assert_eq!(world.owned().owner.queued(), BTreeMap::from([("q".to_owned(), 1)]));
+    simulation.apply_record(key, token - 1, bytes(&record));
+    simulation.apply(Op::ShowOwner);
+    simulation.apply(Op::Tick);
+    assert_eq!(simulation.pending_reports(), 1);
+    assert_eq!(simulation.owned().owner.queued(), BTreeMap::from([("q".to_owned(), 1)]));
 }
 
 /// If its own watch hangs, or its node lags far behind, an owner's report is as old as what it
@@ -169,14 +169,18 @@
 fn an_owner_with_stale_jobs_sends_no_report() {
     let runtime = runtime();
     let _entered = runtime.enter();
-    let mut world = world_with_owned_pool();
-    let now = world.node.now();
-    world.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
-    assert!(!world.publishes(after(now, MAX_RECORDS_AGE_MS)));
+    let mut simulation = simulation_with_owned_pool();
+    let now = simulation.node.now();
+    simulation.finish_write(now.steady, OverwriteResult::Kept(Revision(78)));
+    assert!(!simulation.publishes(after(now, MAX_RECORDS_AGE_MS)));
     let later = after(now, STALE_JOBS_MS);
-    assert!(!world.publishes(later));
-    world.control_loop.request_confirmation(POOL, later);
-    assert_eq!(world.pending_reports(), 0, "no report is sent to request a confirmation either");
-    world.answer_watch(later.steady);
-    assert!(world.publishes(later));
+    assert!(!simulation.publishes(later));
+    simulation.control_loop.request_confirmation(POOL, later);
+    assert_eq!(
+        simulation.pending_reports(),
+        0,
+        "no report is sent to request a confirmation either"
+    );
+    simulation.answer_watch(later.steady);
+    assert!(simulation.publishes(later));
 }
--- a/src/scheduler/dispatch/call.rs
+++ b/src/scheduler/dispatch/call.rs
@@ -9,15 +9,15 @@
 
 /// Makes the call of one order and returns its result. Requests for advice are not orders to
 /// workers.
-pub(crate) async fn call(runners: &WorkerClient, effect: &Effect) -> Answer {
+pub(crate) async fn call(worker_client: &WorkerClient, effect: &Effect) -> Answer {
     match effect {
-        Effect::Start { to, start } => Answer::Order(runners.start(to, start).await),
-        Effect::Stop { to, task, run } => Answer::Order(runners.stop(to, *task, *run).await),
+        Effect::Start { to, start } => Answer::Order(worker_client.start(to, start).await),
+        Effect::Stop { to, task, run } => Answer::Order(worker_client.stop(to, *task, *run).await),
         Effect::Throttle { to, task, run, percent } => {
-            Answer::Order(runners.throttle(to, *task, *run, *percent).await)
+            Answer::Order(worker_client.throttle(to, *task, *run, *percent).await)
         }
         Effect::Poll { to, acknowledged, until_ms, wait } => {
-            Answer::Poll(runners.poll(to, *acknowledged, *until_ms, *wait).await)
+            Answer::Poll(worker_client.poll(to, *acknowledged, *until_ms, *wait).await)
         }
         Effect::Advise { .. } => Answer::Order(OrderResult::Unsent),
     }
--- a/src/scheduler/dispatch/link.rs
+++ b/src/scheduler/dispatch/link.rs
@@ -65,9 +65,9 @@
 impl Outgoing {
     fn finish(self, answer: Answer) {
         let unanswered = answer == Answer::Order(OrderResult::Unknown);
-        let Outgoing { effect, sent, on_result: tell, .. } = self;
+        let Outgoing { effect, sent, on_result, .. } = self;
         if let Some(event) = result_event(effect, sent, answer) {
-            tell(event, unanswered);
+            on_result(event, unanswered);
         }
     }
 
--- a/src/scheduler/dispatch/serve.rs
+++ b/src/scheduler/dispatch/serve.rs
@@ -48,7 +48,7 @@
 }
 
 /// Accepts a request for a link, and serves the link until it ends.
-pub(crate) fn upgrade(request: &Request, runners: WorkerClient) -> Response {
+pub(crate) fn upgrade(request: &Request, worker_client: WorkerClient) -> Response {
     let key =
         request.header(header::SEC_WEBSOCKET_KEY).map(|key| derive_accept_key(key.as_bytes()));
     let (Some(key), Ok(upgrade)) = (key, request.take_upgrade()) else {
@@ -60,7 +60,7 @@
                 log::info!("orders: link opened by another node");
                 let config = Some(config());
                 let link = WebSocketStream::from_raw_socket(stream, Role::Server, config).await;
-                if let Err(error) = serve(link, runners).await {
+                if let Err(error) = serve(link, worker_client).await {
                     log::info!("orders: link failed: {error}");
                 }
             }
@@ -75,7 +75,7 @@
         .finish()
 }
 
-async fn serve<S>(link: WebSocketStream<S>, runners: WorkerClient) -> eyre::Result<()>
+async fn serve<S>(link: WebSocketStream<S>, worker_client: WorkerClient) -> eyre::Result<()>
 where
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
@@ -89,9 +89,9 @@
         };
         let batch: Batch = ciborium::from_reader(&bytes[..])?;
         for order in wire::orders(&mut table, batch) {
-            let (runners, done) = (runners.clone(), done.clone());
+            let (worker_client, done) = (worker_client.clone(), done.clone());
             tokio::spawn(async move {
-                let answer = call(&runners, &order.effect).await;
+                let answer = call(&worker_client, &order.effect).await;
                 // Fails if the link has ended: the next owner polls the workers.
                 let _ = done.send((order.number, answer));
             });
--- a/src/scheduler/dispatch/wire.rs
+++ b/src/scheduler/dispatch/wire.rs
@@ -187,7 +187,7 @@
         table.workers.insert(number, Addressee { worker, address, token });
     }
     let payloads: Vec<Arc<str>> = batch.payloads.into_iter().map(Into::into).collect();
-    let known = |number: u32| {
+    let addressee = |number: u32| {
         let to = table.workers.get(&number).cloned();
         if to.is_none() {
             log::error!("orders: unknown worker number {number}");
@@ -196,7 +196,7 @@
     };
     let mut orders = Vec::new();
     for StartRow(number, worker, task, run, payload, until_ms, checkpoint, ticket) in batch.starts {
-        let (Some(to), Some(payload)) = (known(worker), payloads.get(payload as usize)) else {
+        let (Some(to), Some(payload)) = (addressee(worker), payloads.get(payload as usize)) else {
             continue;
         };
         let (task, payload) = (task.into(), payload.clone());
@@ -204,17 +204,17 @@
         orders.push(Order { number, effect: Effect::Start { to, start } });
     }
     for StopRow(number, worker, task, run) in batch.stops {
-        let stop = known(worker).map(|to| Effect::Stop { to, task: task.into(), run });
+        let stop = addressee(worker).map(|to| Effect::Stop { to, task: task.into(), run });
         orders.extend(stop.map(|effect| Order { number, effect }));
     }
     for ThrottleRow(number, worker, task, run, percent) in batch.throttles {
         let throttle =
-            known(worker).map(|to| Effect::Throttle { to, task: task.into(), run, percent });
+            addressee(worker).map(|to| Effect::Throttle { to, task: task.into(), run, percent });
         orders.extend(throttle.map(|effect| Order { number, effect }));
     }
     for PollRow(number, worker, acknowledged, until_ms, wait) in batch.polls {
         let wait = Duration::from_millis(wait);
-        let poll = known(worker).map(|to| Effect::Poll { to, acknowledged, until_ms, wait });
+        let poll = addressee(worker).map(|to| Effect::Poll { to, acknowledged, until_ms, wait });
         orders.extend(poll.map(|effect| Order { number, effect }));
     }
     orders
@@ -225,12 +225,12 @@
     match answer {
         Answer::Poll(OrderResult::Done(poll)) => {
             let present = poll.present.into_iter().map(|present| {
-                let PresentRun { task, run, checkpoint: saved, percent, gauge } = present;
-                PresentRow(task.into(), run, saved, percent, gauge)
+                let PresentRun { task, run, checkpoint, percent, gauge } = present;
+                PresentRow(task.into(), run, checkpoint, percent, gauge)
             });
             let ended = poll.ended.into_iter().map(|ended| {
-                let EndedRun { number, task, run, how, checkpoint: saved } = ended;
-                EndedRow(number, task.into(), run, outcome_code(how), saved)
+                let EndedRun { number, task, run, how, checkpoint } = ended;
+                EndedRow(number, task.into(), run, outcome_code(how), checkpoint)
             });
             let (present, ended) = (present.collect(), ended.collect());
             answers.start_times.extend(poll.born.map(|born| (number, born)));
@@ -272,18 +272,19 @@
         answers.polls.into_iter().map(move |PollResultRow(number, clock_ms, present, ended)| {
             let born = start_times.get(&number).copied();
             let present =
-                present.into_iter().map(|PresentRow(task, run, saved, percent, gauge)| {
-                    PresentRun { task: task.into(), run, checkpoint: saved, percent, gauge }
+                present.into_iter().map(|PresentRow(task, run, checkpoint, percent, gauge)| {
+                    PresentRun { task: task.into(), run, checkpoint, percent, gauge }
+                });
+            let ended =
+                ended.into_iter().map(|EndedRow(number, task, run, outcome, checkpoint)| {
+                    Some(EndedRun {
+                        number,
+                        task: task.into(),
+                        run,
+                        how: outcome_of(outcome)?,
+                        checkpoint,
+                    })
                 });
-            let ended = ended.into_iter().map(|EndedRow(number, task, run, how, saved)| {
-                Some(EndedRun {
-                    number,
-                    task: task.into(),
-                    run,
-                    how: outcome_of(how)?,
-                    checkpoint: saved,
-                })
-            });
             // A run whose end is missing would count as lost.
             let end = match ended.collect::<Option<Vec<EndedRun>>>() {
                 Some(ended) => OrderResult::Done(PollResponse {
@@ -301,14 +302,14 @@
 
 impl From<TaskId> for TaskRow {
     fn from(task: TaskId) -> TaskRow {
-        let StepId { job, occurrence: time, step } = task.of;
-        TaskRow(job.number(), time, step, task.index)
+        let StepId { job, occurrence, step } = task.of;
+        TaskRow(job.number(), occurrence, step, task.index)
     }
 }
 
 impl From<TaskRow> for TaskId {
-    fn from(TaskRow(job, time, step, index): TaskRow) -> TaskId {
-        TaskId { of: StepId { job: JobId::from_number(job), occurrence: time, step }, index }
+    fn from(TaskRow(job, occurrence, step, index): TaskRow) -> TaskId {
+        TaskId { of: StepId { job: JobId::from_number(job), occurrence, step }, index }
     }
 }
 
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -121,7 +121,7 @@
             match effect {
                 FleetEffect::Mark(..) => marks.push(effect),
                 FleetEffect::Unmark(..) => unmarks.push(effect),
-                other => self.carry_out_fleet(other, token, now),
+                other => self.execute_fleet(other, token, now),
             }
         }
         for batch in marks.chunks(MARK_BATCH).chain(unmarks.chunks(UNMARK_BATCH)) {
@@ -133,7 +133,7 @@
     pub(super) fn note_fleet_write(
         &mut self,
         token: u64,
-        ends: &[(FleetEffect, WriteResult)],
+        results: &[(FleetEffect, WriteResult)],
         wave: Option<(u64, Versioned<WaveRecord>)>,
         now: Now,
     ) {
@@ -144,7 +144,7 @@
         if let Some((number, record)) = wave {
             owned.waves.insert(number, record);
         }
-        for (effect, result) in ends {
+        for (effect, result) in results {
             owned.fleet.note_write_result(effect, result, now.steady);
         }
     }
@@ -179,7 +179,7 @@
         self.write(token, txn, batch.to_vec(), None);
     }
 
-    fn carry_out_fleet(&self, effect: FleetEffect, token: u64, now: Now) {
+    fn execute_fleet(&self, effect: FleetEffect, token: u64, now: Now) {
         match effect {
             FleetEffect::List => self.list_hosts(token, now),
             FleetEffect::Mark(..) | FleetEffect::Unmark(..) => self.write_marks(&[effect], token),
@@ -242,16 +242,16 @@
     }
 
     fn list_hosts(&self, token: u64, now: Now) {
-        let (machines, inputs) = (self.machines.clone(), self.inputs.clone());
+        let (host_client, inputs) = (self.host_client.clone(), self.inputs.clone());
         tokio::spawn(async move {
-            let hosts = machines.list().await;
+            let hosts = host_client.list().await;
             let _ = inputs.send(Input::HostList { token, sent: now.steady, hosts });
         });
     }
 
-    fn call_host(&self, token: u64, host: HostId, leave: HostAction) {
-        let (machines, inputs, node) =
-            (self.machines.clone(), self.inputs.clone(), self.node.clone());
+    fn call_host(&self, token: u64, host: HostId, action: HostAction) {
+        let (host_client, inputs, node) =
+            (self.host_client.clone(), self.inputs.clone(), self.node.clone());
         let tenure = self.fleet.as_ref().map(|owned| owned.tenure.clone());
         tokio::spawn(async move {
             // The record is written first, under the condition that there is no later owner, so
@@ -267,29 +267,29 @@
             let holds = tenure.is_some_and(|tenure| tenure.holds(node.now().steady));
             if !written || late || !holds {
                 log::info!(
-                    "host {host}: {leave:?}: not called: record written {written}, late {late}, \
+                    "host {host}: {action:?}: not called: record written {written}, late {late}, \
                      lease held {holds}"
                 );
                 let _ = inputs.send(Input::HostCalled {
                     token,
                     host,
-                    leave,
-                    end: CallResult::NotBegun,
+                    action,
+                    result: CallResult::NotBegun,
                 });
                 return;
             }
-            let answer = match &leave {
-                HostAction::Upkeep(wave) => machines.maintain(&host, *wave, token).await,
-                HostAction::Move(pool) => machines.move_to(&host, pool, token).await,
+            let answer = match &action {
+                HostAction::Upkeep(wave) => host_client.maintain(&host, *wave, token).await,
+                HostAction::Move(pool) => host_client.move_to(&host, pool, token).await,
             };
-            log::info!("host {host}: {leave:?}: {answer:?}");
-            let end = match answer {
+            log::info!("host {host}: {action:?}: {answer:?}");
+            let result = match answer {
                 HostCallResult::Done => CallResult::Begun,
                 HostCallResult::Unknown | HostCallResult::Busy => CallResult::Unknown,
                 HostCallResult::Limited => CallResult::RateLimited,
                 HostCallResult::Refused | HostCallResult::Invalid => CallResult::NotBegun,
             };
-            let _ = inputs.send(Input::HostCalled { token, host, leave, end });
+            let _ = inputs.send(Input::HostCalled { token, host, action, result });
         });
     }
 
@@ -304,7 +304,7 @@
     ) {
         let (node, inputs) = (self.node.clone(), self.inputs.clone());
         tokio::spawn(async move {
-            let (end, items) = match node.kv.commit(&txn).await {
+            let (result, items) = match node.kv.commit(&txn).await {
                 Ok(CommitResult::Done(revision)) => (WriteResult::Done(revision), Vec::new()),
                 Ok(CommitResult::Conflict(items)) => (WriteResult::Refused(None), items),
                 Ok(CommitResult::LeaseExpired) => (WriteResult::Unknown, Vec::new()),
@@ -313,13 +313,13 @@
                     (WriteResult::Unknown, Vec::new())
                 }
             };
-            if matches!(end, WriteResult::Refused(_)) {
+            if matches!(result, WriteResult::Refused(_)) {
                 log::info!(
                     "fleet: write of {} refused: a condition does not hold",
                     describe(&effects)
                 );
             }
-            let written = wave.and_then(|(number, record)| match &end {
+            let written = wave.and_then(|(number, record)| match &result {
                 WriteResult::Done(revision) => {
                     Some((number, Versioned { value: record, revision: *revision }))
                 }
@@ -328,7 +328,7 @@
                 }
                 WriteResult::Unknown => None,
             });
-            let result_of = |effect: &FleetEffect| match (effect, &end) {
+            let result_of = |effect: &FleetEffect| match (effect, &result) {
                 (
                     FleetEffect::Mark(host, _) | FleetEffect::Unmark(host, _),
                     WriteResult::Refused(_),
@@ -337,11 +337,11 @@
                     let mark = mark.map(|at| DrainMark { action: at.value, revision: at.revision });
                     WriteResult::Refused(mark)
                 }
-                _ => end.clone(),
+                _ => result.clone(),
             };
-            let ends =
+            let results =
                 effects.into_iter().map(|effect| (effect.clone(), result_of(&effect))).collect();
-            let _ = inputs.send(Input::FleetWritten { token, ends, wave: written });
+            let _ = inputs.send(Input::FleetWritten { token, results, wave: written });
         });
     }
 }
--- a/src/scheduler/keys.rs
+++ b/src/scheduler/keys.rs
@@ -15,13 +15,13 @@
 /// job.
 const JOB_STATE: &str = "ch/job/";
 const TERM: &str = "ch/term/";
-const LEAVE: &str = "ch/leave/";
-const EMPTY: &str = "ch/empty/";
+const DRAIN_MARK: &str = "ch/leave/";
+const DRAINED: &str = "ch/empty/";
 const WAVE: &str = "ch/wave/";
 const CALLED: &str = "ch/called/";
 const USAGE: &str = "ch/usage/";
 const ROSTER: &str = "ch/roster/";
-const AWAY: &str = "ch/away/";
+const SILENT_WORKERS: &str = "ch/away/";
 const NODE: &str = "ch/all/node/";
 const QUEUED: &str = "ch/all/queued/";
 
@@ -89,17 +89,17 @@
         if let Some(name) = rest(TERM) {
             return Some(Key::Term(name.to_owned()));
         }
-        if let Some(host) = rest(LEAVE) {
+        if let Some(host) = rest(DRAIN_MARK) {
             return host.parse().ok().map(Key::DrainMark);
         }
-        if let Some(host) = rest(EMPTY) {
+        if let Some(host) = rest(DRAINED) {
             return host.parse().ok().map(Key::Drained);
         }
         if let Some(listed) = rest(ROSTER) {
             let (name, worker) = listed.split_once('/')?;
             return Some(Key::Roster(name.to_owned(), worker.parse().ok()?));
         }
-        if let Some(name) = rest(AWAY) {
+        if let Some(name) = rest(SILENT_WORKERS) {
             return Some(Key::SilentWorkers(name.to_owned()));
         }
         if let Some(name) = rest(USAGE) {
@@ -157,11 +157,11 @@
 }
 
 pub(crate) fn drain_mark(host: &HostId) -> String {
-    format!("{LEAVE}{host}")
+    format!("{DRAIN_MARK}{host}")
 }
 
 pub(crate) fn drained(host: &HostId) -> String {
-    format!("{EMPTY}{host}")
+    format!("{DRAINED}{host}")
 }
 
 pub(crate) fn wave(wave: u64) -> String {
@@ -182,7 +182,7 @@
 }
 
 pub(crate) fn silent_workers(name: &str) -> String {
-    format!("{AWAY}{name}")
+    format!("{SILENT_WORKERS}{name}")
 }
 
 pub(crate) fn usage(name: &str) -> String {
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -82,7 +82,7 @@
     /// Records that the lease was granted or renewed by a call sent at `sent` and answered now.
     pub(crate) fn note_renewed(&self, id: LeaseId, sent: Steady, ttl: Duration, now: Steady) {
         // Later owners rely on the requested time to live, so a longer one is not used.
-        let left = (ttl.min(TTL).as_millis() as u64).saturating_sub(MARGIN_MS);
+        let remaining_ms = (ttl.min(TTL).as_millis() as u64).saturating_sub(MARGIN_MS);
         let mut state = self.state();
         let before = state.last.filter(|(held, _)| *held == id).map(|(_, until)| until);
         if let Some(until) = before.filter(|until| *until <= now) {
@@ -94,7 +94,7 @@
         for gap in passed {
             state.barrier = state.barrier.max(gap.renewed);
         }
-        state.last = Some((id, sent.after(left)));
+        state.last = Some((id, sent.after(remaining_ms)));
         state.failing = false;
     }
 
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -115,7 +115,7 @@
     }
     let (node, inputs) = (node.clone(), inputs.clone());
     tokio::spawn(async move {
-        until_replica(&node).await;
+        wait_until_replica(&node).await;
         log::info!("node {}: hears of everything from now on", node.settings.node);
         for prefix in [RECORDS, WORKERS] {
             spawn(&node, prefix, &inputs);
@@ -128,7 +128,7 @@
     tokio::spawn(async move { mirror(&node, prefix, &inputs).await });
 }
 
-async fn until_replica(node: &Node) {
+async fn wait_until_replica(node: &Node) {
     while !node.view().is_ready() {
         sleep(REPLICA_CHECK_INTERVAL / 10).await;
     }
@@ -189,8 +189,13 @@
                     }
                     if !may_be_cut {
                         let (name, token) = (self.name.clone(), self.token);
-                        let asked = call.sent;
-                        let _ = inputs.send(Input::WatchAnswered { name, token, asked, at: since });
+                        let sent = call.sent;
+                        let _ = inputs.send(Input::WatchAnswered {
+                            name,
+                            token,
+                            sent,
+                            revision: since,
+                        });
                         sleep(OWNER_WATCH_PAUSE).await;
                     }
                 }
--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -146,25 +146,25 @@
     }
 
     async fn relay_to(&self, peer: SocketAddr, call: &Call) -> Relayed {
-        let left = call.deadline.saturating_duration_since(Instant::now());
+        let remaining = call.deadline.saturating_duration_since(Instant::now());
         let url = format!("http://{peer}{}", call.path);
         let request = |client: &Client| {
             let request = client.request(call.method.clone(), url);
             request
                 .header(header::HOST, &call.host)
-                .header(DEADLINE_HEADER, left.as_millis() as u64)
+                .header(DEADLINE_HEADER, remaining.as_millis() as u64)
                 .header(RELAYED_HEADER, call.config)
                 .body(call.body.clone())
         };
-        let whole = match self.connections.call(&peer.to_string(), request).await {
-            Ok(whole) => whole,
+        let response = match self.connections.call(&peer.to_string(), request).await {
+            Ok(response) => response,
             Err(error) if error.is_connect() => return Relayed::NotAccepted,
             Err(error) => {
                 log::info!("{}: no complete answer from {peer}: {error}", call.subject);
                 return Relayed::Unknown;
             }
         };
-        let FullResponse { status, headers, body } = whole;
+        let FullResponse { status, headers, body } = response;
         match status {
             StatusCode::SERVICE_UNAVAILABLE => return Relayed::NotAccepted,
             StatusCode::GATEWAY_TIMEOUT => return Relayed::Unknown,
--- a/src/scheduler/run.rs
+++ b/src/scheduler/run.rs
@@ -71,16 +71,16 @@
     tokio::spawn(lease::maintain(node.clone(), lease.clone()));
     tokio::spawn(accept::write(node.clone(), waiting));
     mirror::start(&node, &inputs);
-    let runners = WorkerClient::new();
+    let worker_client = WorkerClient::new();
     let control_loop =
-        ControlLoop::new(node.clone(), lease.clone(), runners.clone(), inputs.clone());
+        ControlLoop::new(node.clone(), lease.clone(), worker_client.clone(), inputs.clone());
     tokio::spawn(control_loop.run(received));
     let stop = http::Stop::default();
     let api =
         |orders| Api { node: node.clone(), lease: lease.clone(), relay: Relay::new(), orders };
     let serving = tokio::spawn(http::serve(callers, MAX_CONNECTIONS, api(None), stop.clone()));
     if let Some(peers) = peers {
-        tokio::spawn(http::serve(peers, MAX_CONNECTIONS, api(Some(runners)), stop.clone()));
+        tokio::spawn(http::serve(peers, MAX_CONNECTIONS, api(Some(worker_client)), stop.clone()));
     }
     let probe = Readiness { node: node.clone(), lease };
     tokio::spawn(http::serve(readiness, 64, probe, http::Stop::default()));
--- a/src/scheduler/tests/lagging_watches.rs
+++ b/src/scheduler/tests/lagging_watches.rs
@@ -58,7 +58,7 @@
 }
 
 /// The store, the worker, and the view and owner of one node.
-struct World {
+struct Simulation {
     now: u64,
     /// All changes, in their order. The first one's revision is 1.
     history: Vec<Change>,
@@ -93,9 +93,9 @@
     }
 }
 
-impl World {
-    fn new() -> World {
-        let mut world = World {
+impl Simulation {
+    fn new() -> Simulation {
+        let mut simulation = Simulation {
             now: 1_000,
             history: Vec::new(),
             view: View::default(),
@@ -110,8 +110,8 @@
             acknowledged_tasks: BTreeSet::new(),
             progress_at: BTreeMap::new(),
         };
-        world.replace_owner();
-        world
+        simulation.replace_owner();
+        simulation
     }
 
     fn at(&self) -> Now {
@@ -290,15 +290,9 @@
         self.owner.tick(now, &mut out);
         self.execute(out);
         for (task, run) in std::mem::take(&mut self.runs) {
-            let (number, saved) = (self.next_end, String::new());
+            let (number, checkpoint) = (self.next_end, String::new());
             self.next_end += 1;
-            self.ends.push(EndedRun {
-                number,
-                task,
-                run,
-                how: RunOutcome::Done,
-                checkpoint: saved,
-            });
+            self.ends.push(EndedRun { number, task, run, how: RunOutcome::Done, checkpoint });
         }
         self.persist_progress();
         if let Some(roster_write) = self.owner.roster_note(29) {
@@ -310,17 +304,17 @@
     }
 
     fn persist_progress(&mut self) {
-        let saves = self.owner.take_saves(15);
-        for save in saves {
-            let at = self.progress_at.get(&save.job).copied().unwrap_or_default();
-            if at != save.expected_revision {
-                self.owner.rebase(save.job, at);
-                self.owner.note_save_failed(&[save]);
+        let writes = self.owner.take_saves(15);
+        for write in writes {
+            let at = self.progress_at.get(&write.job).copied().unwrap_or_default();
+            if at != write.expected_revision {
+                self.owner.rebase(write.job, at);
+                self.owner.note_save_failed(&[write]);
                 continue;
             }
-            let revision = self.write(keys::progress(save.job), Some(save.value.to_vec()));
-            self.progress_at.insert(save.job, revision);
-            self.owner.note_saved(&[save], revision);
+            let revision = self.write(keys::progress(write.job), Some(write.value.to_vec()));
+            self.progress_at.insert(write.job, revision);
+            self.owner.note_saved(&[write], revision);
         }
     }
 
@@ -353,12 +347,12 @@
 #[test]
 fn ended_tasks_stay_ended_however_far_two_watches_lag_apart() {
     fuzz(400, 60, |ops: &[Op]| {
-        let mut world = World::new();
-        world.submit();
+        let mut simulation = Simulation::new();
+        simulation.submit();
         for op in ops {
-            world.apply_op(*op);
+            simulation.apply_op(*op);
         }
-        world.run_to_end();
+        simulation.run_to_end();
     });
 }
 
@@ -366,12 +360,12 @@
 /// has reported the job.
 #[test]
 fn a_removed_job_does_not_start_anew_when_the_other_watch_reports_it() {
-    let mut world = World::new();
-    world.submit();
-    world.advance_owner_watch(9);
-    (0..8).for_each(|_| world.tick());
-    world.advance_owner_watch(9);
-    world.advance_mirror(1);
-    (0..3).for_each(|_| world.tick());
-    assert_eq!(world.owner.summary().jobs, 0, "the job has ended");
+    let mut simulation = Simulation::new();
+    simulation.submit();
+    simulation.advance_owner_watch(9);
+    (0..8).for_each(|_| simulation.tick());
+    simulation.advance_owner_watch(9);
+    simulation.advance_mirror(1);
+    (0..3).for_each(|_| simulation.tick());
+    assert_eq!(simulation.owner.summary().jobs, 0, "the job has ended");
 }
--- a/src/scheduler/tests/lease_fuzz.rs
+++ b/src/scheduler/tests/lease_fuzz.rs
@@ -71,7 +71,7 @@
 type Renewal = (Steady, Option<LeaseId>, u64);
 
 /// The store, and one node.
-struct World {
+struct Simulation {
     now: u64,
     /// Leases that are held, and when they expire.
     leases: BTreeMap<LeaseId, u64>,
@@ -93,9 +93,9 @@
     sent: (u64, u64),
 }
 
-impl World {
-    fn new() -> World {
-        World {
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
             now: 10_000,
             leases: BTreeMap::new(),
             ended: BTreeMap::new(),
@@ -294,10 +294,10 @@
 fn orders_end_within_the_time_that_later_owners_rely_on() {
     let sent = Cell::new((0, 0));
     fuzz(4_000, 60, |ops: &[Op]| {
-        let mut world = World::new();
-        ops.iter().for_each(|op| world.apply(*op));
+        let mut simulation = Simulation::new();
+        ops.iter().for_each(|op| simulation.apply(*op));
         let (all, late) = sent.get();
-        sent.set((all + world.sent.0, late + world.sent.1));
+        sent.set((all + simulation.sent.0, late + simulation.sent.1));
     });
     let (all, late) = sent.get();
     assert!(
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -201,7 +201,7 @@
     last_tick: u64,
 }
 
-struct World {
+struct Simulation {
     now: u64,
     history: Vec<Change>,
     nodes: [Node; 2],
@@ -284,9 +284,9 @@
     }
 }
 
-impl World {
-    fn new() -> World {
-        let mut world = World {
+impl Simulation {
+    fn new() -> Simulation {
+        let mut simulation = Simulation {
             now: 1_000,
             history: Vec::new(),
             nodes: [node(), node()],
@@ -306,10 +306,10 @@
             handovers: 0,
         };
         for number in 0..WORKERS {
-            world.write(format!("servers/w{number}"), Some(entry(number, number, "ready")));
+            simulation.write(format!("servers/w{number}"), Some(entry(number, number, "ready")));
         }
-        world.acquire(0);
-        world
+        simulation.acquire(0);
+        simulation
     }
 
     fn at(&self) -> Now {
@@ -710,26 +710,26 @@
         let Some(owner) = self.nodes[number].owner.as_mut() else {
             return;
         };
-        let saves = owner.take_saves(15);
+        let writes = owner.take_saves(15);
         if !holds {
             // The write is refused, which reports the end of the ownership.
-            if !saves.is_empty() {
+            if !writes.is_empty() {
                 self.nodes[number].release();
             }
             return;
         }
-        for save in saves {
-            let at = self.progress.get(&save.job).map(|(at, _)| *at).unwrap_or_default();
-            if at != save.expected_revision {
+        for write in writes {
+            let at = self.progress.get(&write.job).map(|(at, _)| *at).unwrap_or_default();
+            if at != write.expected_revision {
                 let owner = self.nodes[number].owner.as_mut().unwrap();
-                owner.rebase(save.job, at);
-                owner.note_save_failed(&[save]);
+                owner.rebase(write.job, at);
+                owner.note_save_failed(&[write]);
                 continue;
             }
-            let progress = serde_json::from_slice(&save.value).unwrap();
-            let revision = self.write(keys::progress(save.job), Some(save.value.to_vec()));
-            self.progress.insert(save.job, (revision, progress));
-            self.nodes[number].owner.as_mut().unwrap().note_saved(&[save], revision);
+            let progress = serde_json::from_slice(&write.value).unwrap();
+            let revision = self.write(keys::progress(write.job), Some(write.value.to_vec()));
+            self.progress.insert(write.job, (revision, progress));
+            self.nodes[number].owner.as_mut().unwrap().note_saved(&[write], revision);
         }
     }
 
@@ -981,16 +981,16 @@
 fn nothing_runs_twice_however_owners_change() {
     let handovers = Cell::new(0);
     fuzz(600, 120, |ops: &[Op]| {
-        let mut world = World::new();
-        world.submit();
-        world.advance_mirror(0, usize::MAX / 2);
-        (0..3).for_each(|_| world.tick(0, PROMPT));
+        let mut simulation = Simulation::new();
+        simulation.submit();
+        simulation.advance_mirror(0, usize::MAX / 2);
+        (0..3).for_each(|_| simulation.tick(0, PROMPT));
         for op in ops {
-            world.apply_op(*op);
+            simulation.apply_op(*op);
         }
-        world.run_to_end();
-        assert!(0 < world.starts, "every case must start tasks");
-        handovers.set(handovers.get() + world.handovers);
+        simulation.run_to_end();
+        assert!(0 < simulation.starts, "every case must start tasks");
+        handovers.set(handovers.get() + simulation.handovers);
     });
     assert!(0 < handovers.get(), "some case must write a handover record");
 }
--- a/src/scheduler/view.rs
+++ b/src/scheduler/view.rs
@@ -363,8 +363,9 @@
             }
             Key::Owner(name) => {
                 // The key exists, and the next owner's write needs its revision as a condition.
-                let nobody = Versioned { value: OwnerRecord::default(), revision };
-                let owner = value.map(|_| read(&text, value, revision, refused).unwrap_or(nobody));
+                let no_owner = Versioned { value: OwnerRecord::default(), revision };
+                let owner =
+                    value.map(|_| read(&text, value, revision, refused).unwrap_or(no_owner));
                 set(&mut self.owners, name.clone(), owner);
                 Some(Delta::Owner(name))
             }
@@ -403,11 +404,11 @@
                 None
             }
             Key::Queued(name) => {
-                let heard = self.call_sent;
+                let received = self.call_sent;
                 match read(&text, value, revision, refused) {
                     Some(Versioned { value: WaitingRecord { known, counts }, .. }) => self
                         .waiting_reports
-                        .insert(name, WaitingReport { counts, revision, known, received: heard }),
+                        .insert(name, WaitingReport { counts, revision, known, received }),
                     None => self.waiting_reports.remove(&name),
                 };
                 None
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -502,7 +502,7 @@
 /// or goes silent without closing its connections, must cause no lost job and no second run.
 #[tokio::test]
 async fn other_nodes_make_an_owners_calls_and_may_fall_silent() {
-    let site = Site::start("helpers", 4).await;
+    let site = Site::start("delegates", 4).await;
     let nodes = site.small_nodes().await;
     let ids: Vec<String> = (1..20).map(|n| format!("{n:016x}")).collect();
     let delegate = wait_until("an order by way of another node", async || {
