--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -67,7 +67,7 @@
     key: String,
     settings: Claims,
     /// The bucket that a conflicting write found.
-    known: Option<(Revision, Bucket)>,
+    cached: Option<(Revision, Bucket)>,
     pending: Arc<AtomicUsize>,
 }
 
@@ -82,7 +82,7 @@
                 node: node.clone(),
                 key: format!("{CLAIMS_PREFIX}{number:04}"),
                 settings: settings.clone(),
-                known: None,
+                cached: None,
                 pending: pending.clone(),
             };
             tokio::spawn(writer.run(receiver));
@@ -164,7 +164,7 @@
                     }
                 }
                 Err(error) => {
-                    self.known = None;
+                    self.cached = None;
                     let error = ClaimError::Store(error.to_string());
                     for (change, reply) in claims {
                         // The write may have taken effect: release the key later.
@@ -186,8 +186,8 @@
     ) -> Result<Vec<GrantResult>, StoreError> {
         for _ in 0..MAX_CONFLICTS {
             // Other nodes write here too, and a read costs the store less than a conflicting write.
-            let (revision, bucket) = match self.known.take() {
-                Some(known) => known,
+            let (revision, bucket) = match self.cached.take() {
+                Some(cached) => cached,
                 None => read_bucket(self.store.get(&self.key).await?),
             };
             let limits = self.settings.keep;
@@ -201,7 +201,7 @@
                 serde_json::to_vec(&next).expect("a bucket can be serialized to JSON").into();
             match self.store.swap_with_read_back(&self.key, revision, Vec::new(), value).await? {
                 Swap::Done(_) => return Ok(granted),
-                Swap::Conflict(entry) => self.known = Some(read_bucket(entry)),
+                Swap::Conflict(entry) => self.cached = Some(read_bucket(entry)),
             }
         }
         let (step, peer) = ("claim", "store".to_owned());
--- a/src/entry/routes.rs
+++ b/src/entry/routes.rs
@@ -139,8 +139,8 @@
     /// Requests that this node has in flight at a host.
     pub(crate) fn in_flight(&self, host: &HostId) -> u32 {
         let table = self.table.read().unwrap_or_else(PoisonError::into_inner);
-        let there = table.by_address.values().filter(|endpoint| endpoint.host == *host);
-        there.map(|endpoint| endpoint.own.load(Ordering::Acquire)).sum()
+        let at_host = table.by_address.values().filter(|endpoint| endpoint.host == *host);
+        at_host.map(|endpoint| endpoint.own.load(Ordering::Acquire)).sum()
     }
 }
 
@@ -197,10 +197,10 @@
         if !serving || dead {
             continue;
         }
-        let known = previous
+        let existing = previous
             .get(&report.address)
             .filter(|endpoint| endpoint.host == assigned.host && endpoint.slots == service.slots);
-        let endpoint = known.cloned().unwrap_or_else(|| {
+        let endpoint = existing.cloned().unwrap_or_else(|| {
             Arc::new(Endpoint {
                 address: report.address.clone(),
                 host: assigned.host.clone(),
--- a/src/measure/mirror/mix.rs
+++ b/src/measure/mirror/mix.rs
@@ -217,8 +217,8 @@
     /// Marks the hosts that change pools at a demand peak, all at once.
     fn mark_hosts(&mut self) -> Vec<Change> {
         let to = pool((self.answers / PEAK_INTERVAL + 1) % POOLS);
-        let marks = (0..MOVED_PER_PEAK).map(|place| {
-            let number = (self.answers / PEAK_INTERVAL * MOVED_PER_PEAK + place) % HOSTS;
+        let marks = (0..MOVED_PER_PEAK).map(|index| {
+            let number = (self.answers / PEAK_INTERVAL * MOVED_PER_PEAK + index) % HOSTS;
             let change =
                 self.write(keys::drain_mark(&host(number)), bytes(&HostAction::Move(to.clone())));
             self.moving.push_back((number, self.revision));
--- a/src/measure/owner.rs
+++ b/src/measure/owner.rs
@@ -153,7 +153,7 @@
             let effects = self.decide();
             let effects = self.send(effects);
             for effect in effects {
-                self.carry_out(effect);
+                self.execute(effect);
             }
         }
         self.totals.waiting = self.owner.summary().waiting;
@@ -277,7 +277,7 @@
         others
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         let (now, clock) = (self.now, 500 + self.now);
         match effect {
             Effect::Start { to, start } => {
--- a/src/platform/machines.rs
+++ b/src/platform/machines.rs
@@ -27,7 +27,7 @@
     Done,
     /// The host is not up, or is already being moved or maintained.
     Busy,
-    /// A later holder has sent a newer fencing token, or the host is not part of the wave.
+    /// A later owner has sent a newer fencing token, or the host is not part of the wave.
     Refused,
     /// The host does not exist, or the pool is for hosts of another kind.
     Invalid,
--- a/src/scheduler/api.rs
+++ b/src/scheduler/api.rs
@@ -162,7 +162,7 @@
         let subject = Subject::Job(id);
         let call = relay_call(&request, subject, config, body.clone(), deadline);
         if !store_reachable {
-            match self.relay.forward(&self.node, &call).await {
+            match self.relay.relay(&self.node, &call).await {
                 Relayed::Answered(response) => return response,
                 Relayed::Unknown if method != Method::GET => return unknown_outcome(),
                 Relayed::Unknown | Relayed::NotAccepted => {}
@@ -179,7 +179,7 @@
         if !is_unavailable(&response) {
             return response;
         }
-        match self.relay.forward(&self.node, &call).await {
+        match self.relay.relay(&self.node, &call).await {
             Relayed::Answered(response) => response,
             Relayed::NotAccepted => self.last_known_response(id, &method).unwrap_or(response),
             Relayed::Unknown => {
@@ -246,7 +246,7 @@
         if request.header(RELAYED_HEADER).is_none() {
             let subject = Subject::Queue(queue.name.clone());
             let call = relay_call(request, subject, config, Bytes::new(), deadline);
-            if let Relayed::Answered(response) = self.relay.forward(&self.node, &call).await {
+            if let Relayed::Answered(response) = self.relay.relay(&self.node, &call).await {
                 self.node.metrics.record_queue_count("another node");
                 return response;
             }
--- a/src/scheduler/control_loop/tests.rs
+++ b/src/scheduler/control_loop/tests.rs
@@ -198,7 +198,7 @@
     assert!(1_000 < held_tokens.get(), "only {} tokens checked: too few", held_tokens.get());
 }
 
-/// A process stood still for 3.3 s. Meanwhile its lease ran out, and another node won the pool,
+/// A process was paused for 3.3 s. Meanwhile its lease expired, and another node acquired the pool,
 /// received the end of a task's first run and reported the job as succeeded. The first owner had
 /// rightly assumed that run to have lapsed, and the next run had failed. Two milliseconds after it
 /// resumed, it ordered a third run, within the grace period of its lease and before any call to the
@@ -244,10 +244,10 @@
     }
     let [absent, unreadable, ended] = [1, 2, 3].map(JobId::from_number);
     let record = bytes(&sample::job_record(Vec::new()));
-    let over = Progress { state: JobState::Succeeded, ..Progress::default() };
+    let succeeded = Progress { state: JobState::Succeeded, ..Progress::default() };
     simulation.apply_write(keys::job(&"work".parse().unwrap(), unreadable), record);
     simulation.apply_write(keys::progress(unreadable), b"{".to_vec());
-    simulation.apply_write(keys::progress(ended), bytes(&over));
+    simulation.apply_write(keys::progress(ended), bytes(&succeeded));
     let now = simulation.node.now();
     let ends = [absent, unreadable, ended].map(|job| {
         let task = TaskId { of: StepId { job, occurrence: 0, step: 0 }, index: 0 };
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -139,8 +139,8 @@
             accepted: record.accepted,
             arriving: arriving(record),
         };
-        let left_ms = demand.add_steps(record, job, due);
-        demand.late_after = late_after(record, left_ms);
+        let remaining_ms = demand.add_steps(record, job, due);
+        demand.late_after = late_after(record, remaining_ms);
         demand
     }
 
@@ -152,12 +152,12 @@
             .filter_map(|(name, progress)| Some((step_number(name)?, progress.done.len() as u32)))
             .collect();
         let done = |occurrence: u32, step: u32| done.get(&(occurrence, step)).copied().unwrap_or(0);
-        let mut left_ms = 0;
+        let mut remaining_ms = 0;
         for occurrence in 0..due {
             for (number, step) in record.steps.iter().enumerate() {
-                let left = step.count.saturating_sub(done(occurrence, number as u32));
-                if left != 0 {
-                    left_ms += step.estimate_ms;
+                let remaining = step.count.saturating_sub(done(occurrence, number as u32));
+                if remaining != 0 {
+                    remaining_ms += step.estimate_ms;
                 }
                 let ready = step.after.iter().all(|earlier| {
                     record
@@ -168,14 +168,14 @@
                 if !ready {
                     continue;
                 }
-                self.finite |= !step.long_running && left != 0;
-                self.cpu += u64::from(left) * u64::from(step.charge().cpu.0);
+                self.finite |= !step.long_running && remaining != 0;
+                self.cpu += u64::from(remaining) * u64::from(step.charge().cpu.0);
                 if step.max_per_worker != 0 && step.long_running {
-                    self.spread = self.spread.max(left.div_ceil(step.max_per_worker) as usize);
+                    self.spread = self.spread.max(remaining.div_ceil(step.max_per_worker) as usize);
                 }
             }
         }
-        left_ms
+        remaining_ms
     }
 
     /// Whether this is still the demand of the job.
@@ -210,15 +210,15 @@
     work.sum()
 }
 
-/// The time after which a job with so much work left cannot end in time, by what its caller
+/// The time after which a job with so much remaining work cannot end in time, by what its caller
 /// declared.
-fn late_after(record: &JobRecord, left_ms: u64) -> Option<Time> {
+fn late_after(record: &JobRecord, remaining_ms: u64) -> Option<Time> {
     if record.is_long_running() || record.occurrences() != 1 {
         return None;
     }
     let chain: u64 = record.steps.iter().map(|step| step.estimate_ms).sum();
     let objective = chain * u64::from(record.stretch_percent) / 100 + record.target_ms;
-    let certain = left_ms * CERTAIN_PERCENT / 100;
+    let certain = remaining_ms * CERTAIN_PERCENT / 100;
     Some(match objective.checked_sub(certain) {
         Some(spare) => record.due(0) + Duration::from_millis(spare),
         // Late from the start, even by a clock that is behind.
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -44,8 +44,8 @@
 struct Gap {
     /// Until when it held for certain.
     until: Steady,
-    /// When the renewal was known. A write sent before that may have been done before the renewal,
-    /// and confirms nothing about the gap.
+    /// When the answer to the renewal was received. A write that was sent earlier may have been
+    /// executed before the renewal, and confirms nothing about the gap.
     renewed: Steady,
 }
 
@@ -117,8 +117,8 @@
 /// the node acquires later does not show whether another node has acquired the work meanwhile.
 ///
 /// Three questions, from the strictest to the most lenient:
-/// - [`Tenure::confirmed`]: until when had certainly no other node acquired it? Conclusions from
-///   the time that has passed are valid up to then.
+/// - [`Tenure::confirmed`]: up to when is it certain that no other node had acquired it? Conclusions
+///   from elapsed time are valid up to then.
 /// - [`Tenure::holds`]: is the lease held now, by the node's clock? Calls that change hosts need
 ///   this, and each follows a write of its own.
 /// - [`Tenure::allows_orders`]: may orders be sent to workers, which reject those of earlier owners
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -181,13 +181,13 @@
                     let answered = self.node.now().steady;
                     let extent = Extent::of_watch(call, WATCH_WAIT, &answer, answered);
                     since = answer.at.max(since);
-                    let may_be_cut = answer.may_be_truncated();
+                    let may_be_truncated = answer.may_be_truncated();
                     let deltas = self.receive(call, answer.changes, extent);
                     // Cannot fail: the receiver lives as long as the process.
                     if !deltas.is_empty() {
                         let _ = inputs.send(Input::Deltas(deltas));
                     }
-                    if !may_be_cut {
+                    if !may_be_truncated {
                         let (name, token) = (self.name.clone(), self.token);
                         let sent = call.sent;
                         let _ = inputs.send(Input::WatchAnswered {
--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -115,7 +115,7 @@
     }
 
     /// Has another node answer a request.
-    pub(crate) async fn forward(&self, node: &Node, call: &Call) -> Relayed {
+    pub(crate) async fn relay(&self, node: &Node, call: &Call) -> Relayed {
         let (now, subject) = (node.now().steady, &call.subject);
         let not_before = match subject {
             Subject::Job(_) => &self.jobs_not_before,
--- a/src/scheduler/tests/catch_up.rs
+++ b/src/scheduler/tests/catch_up.rs
@@ -85,11 +85,11 @@
     let (mut received, mut since) = (Vec::new(), Revision(0));
     while received.len() < written.len() {
         let answer = kv.watch("ch/x/", since, Duration::from_millis(800)).await.unwrap();
-        let left = written.len() - received.len();
+        let dropped = written.len() - received.len();
         assert_eq!(
             answer.may_be_truncated(),
-            500 < left,
-            "{} of {left} received",
+            500 < dropped,
+            "{} of {dropped} received",
             answer.changes.len()
         );
         assert!(answer.changes.len() <= 520 && answer.changes.len() % 26 == 0);
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -250,13 +250,13 @@
             let step_progress = steps.and_then(|steps| steps.get(&format!("{occurrence}.{step}")));
             step_progress.map_or(0, |step_progress| step_progress.done.len() as u32)
         };
-        let (mut cpu, mut left_ms) = (0, 0);
+        let (mut cpu, mut remaining_ms) = (0, 0);
         for occurrence in
             (0..record.occurrences()).filter(|occurrence| record.due(*occurrence) <= wall)
         {
             for (number, step) in record.steps.iter().enumerate() {
-                let left = step.count.saturating_sub(done(occurrence, number as u32));
-                left_ms += if left != 0 { step.estimate_ms } else { 0 };
+                let remaining = step.count.saturating_sub(done(occurrence, number as u32));
+                remaining_ms += if remaining != 0 { step.estimate_ms } else { 0 };
                 let waits = |earlier: &u32| {
                     let earlier_step = record.steps.get(*earlier as usize);
                     earlier_step.is_some_and(|step| done(occurrence, *earlier) < step.count)
@@ -264,10 +264,11 @@
                 if step.after.iter().any(waits) {
                     continue;
                 }
-                demand.finite |= !step.long_running && left != 0;
-                cpu += u64::from(left) * u64::from(step.charge().cpu.0);
+                demand.finite |= !step.long_running && remaining != 0;
+                cpu += u64::from(remaining) * u64::from(step.charge().cpu.0);
                 if step.max_per_worker != 0 && step.long_running {
-                    demand.spread = demand.spread.max(left.div_ceil(step.max_per_worker) as usize);
+                    demand.spread =
+                        demand.spread.max(remaining.div_ceil(step.max_per_worker) as usize);
                 }
             }
         }
@@ -275,7 +276,7 @@
         let objective = chain * u64::from(record.stretch_percent) / 100 + record.target_ms;
         let age = wall.since(record.due(0)).as_millis() as u64;
         // At least 60 % of the estimated work is assumed to be left.
-        let is_late = objective < age + left_ms * 60 / 100;
+        let is_late = objective < age + remaining_ms * 60 / 100;
         if is_late && !record.is_long_running() && record.occurrences() == 1 {
             demand.late_cpu += cpu;
         } else {
--- a/src/scheduler/tests/lagging_watches.rs
+++ b/src/scheduler/tests/lagging_watches.rs
@@ -195,8 +195,8 @@
         self.mirror_position = until;
     }
 
-    /// Everything is read as it is now, and the watch continues from an earlier revision, but from
-    /// none before the one that it had reached.
+    /// Everything is read as it is now, and the watch continues from an earlier revision, but not
+    /// from one before the revision that it had reached.
     fn reread(&mut self, older: usize) {
         let mut state: BTreeMap<String, Change> = BTreeMap::new();
         for change in &self.history {
--- a/src/scheduler/tests/lease_fuzz.rs
+++ b/src/scheduler/tests/lease_fuzz.rs
@@ -15,7 +15,7 @@
     tests::fuzz,
 };
 
-/// From so many steps on a wait is a long one, of some seconds.
+/// A wait of at least this many steps is extended to some seconds.
 const LONG_WAIT_STEPS: u64 = 200;
 
 /// The outcome of a call of the store.
--- a/src/scheduler/tests/ownership_gaps.rs
+++ b/src/scheduler/tests/ownership_gaps.rs
@@ -71,7 +71,7 @@
 }
 
 /// A task that must run once may run twice. A renewal was sent while the lease held and was
-/// delayed. A write that was sent after it was done before it, on another connection. Then the
+/// delayed. A write that was sent later was executed earlier, on another connection. Then the
 /// ownership was removed, and the renewal succeeded. If the write confirmed the time up to the
 /// renewal because it was sent later, renewals in time would keep the ownership without end.
 #[test]
--- a/src/scheduler/tests/readiness.rs
+++ b/src/scheduler/tests/readiness.rs
@@ -23,9 +23,9 @@
     probe.call(Request::default()).await.unwrap().status() == StatusCode::OK
 }
 
-/// Callers are refused by queues that exist, and get old states. A node's open connections had
-/// fallen silent, while its calls for the lease went out over new ones and were answered: it was
-/// ready however long its watches had received nothing.
+/// Callers were refused although their queues existed, and got old states. A node's open
+/// connections had fallen silent, while its calls for the lease were sent over new connections and
+/// answered: it was ready however long its watches had received nothing.
 #[tokio::test]
 async fn a_node_whose_watches_hang_is_not_ready() {
     let settings = json!({
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -144,7 +144,7 @@
 
 /// A worker.
 #[derive(Default)]
-struct Runner {
+struct SimWorker {
     token: u64,
     until_ms: u64,
     runs: BTreeMap<TaskId, u32>,
@@ -154,7 +154,7 @@
     next_end: u64,
 }
 
-impl Runner {
+impl SimWorker {
     fn end(&mut self, task: TaskId, run: u32, how: RunOutcome) {
         self.next_end += 1;
         let highest = self.ended_runs.entry(task).or_default();
@@ -205,13 +205,13 @@
     now: u64,
     history: Vec<Change>,
     nodes: [Node; 2],
-    runners: [Runner; WORKERS],
+    workers: [SimWorker; WORKERS],
     owners: u32,
     /// The token in force, and the node that has it.
-    holder: Option<(u64, usize)>,
+    current_owner: Option<(u64, usize)>,
     jobs: BTreeSet<JobId>,
     cancelled: BTreeSet<JobId>,
-    garbled: BTreeSet<JobId>,
+    unreadable: BTreeSet<JobId>,
     progress: BTreeMap<JobId, (Revision, Progress)>,
     silent_workers_at: Revision,
     /// Tasks with a run that ended as done.
@@ -290,12 +290,12 @@
             now: 1_000,
             history: Vec::new(),
             nodes: [node(), node()],
-            runners: Default::default(),
+            workers: Default::default(),
             owners: 0,
-            holder: None,
+            current_owner: None,
             jobs: BTreeSet::new(),
             cancelled: BTreeSet::new(),
-            garbled: BTreeSet::new(),
+            unreadable: BTreeSet::new(),
             progress: BTreeMap::new(),
             silent_workers_at: Revision(0),
             done: BTreeSet::new(),
@@ -330,8 +330,10 @@
     fn advance_clock(&mut self, ms: u64) {
         self.now += ms;
         let clock_ms = self.clock_ms();
-        for runner in self.runners.iter_mut().filter(|runner| runner.until_ms < clock_ms) {
-            runner.end_all(RunOutcome::Lapsed);
+        for sim_worker in
+            self.workers.iter_mut().filter(|sim_worker| sim_worker.until_ms < clock_ms)
+        {
+            sim_worker.end_all(RunOutcome::Lapsed);
         }
     }
 
@@ -353,12 +355,12 @@
     }
 
     fn end_ownership(&mut self) {
-        if self.holder.take().is_some() {
+        if self.current_owner.take().is_some() {
             self.write(keys::owner(&pool_name()), None);
         }
     }
 
-    /// The holder releases the pool, with a handover record if it has one.
+    /// The owner releases the pool, with a handover record if it has one.
     fn hand_over(&mut self, number: usize) {
         let now = self.at();
         let Some(owner) = &self.nodes[number].owner else {
@@ -373,7 +375,7 @@
         self.end_ownership();
     }
 
-    /// The holder releases the pool by a write that is delayed.
+    /// The owner releases the pool by a write that is delayed.
     fn release_late(&mut self, number: usize) {
         let now = self.at();
         if let Some(owner) = &self.nodes[number].owner {
@@ -388,7 +390,7 @@
         let Some((token, record)) = self.delayed_release.take() else {
             return;
         };
-        if self.holder.is_some_and(|(holder, _)| holder == token) {
+        if self.current_owner.is_some_and(|(current, _)| current == token) {
             if let Some(record) = record {
                 self.handovers += 1;
                 self.silent_workers_at =
@@ -399,12 +401,12 @@
     }
 
     fn acquire(&mut self, node: usize) {
-        if self.holder.is_some() || MAX_OWNERS <= self.owners || self.nodes[node].paused {
+        if self.current_owner.is_some() || MAX_OWNERS <= self.owners || self.nodes[node].paused {
             return;
         }
         let record = OwnerRecord { node: format!("n{node}"), life: 1 };
         let token = self.write(keys::owner(&pool_name()), Some(bytes(&record))).0;
-        self.holder = Some((token, node));
+        self.current_owner = Some((token, node));
         self.nodes[node].acquired = Some((token, self.owners));
         self.owners += 1;
     }
@@ -515,7 +517,7 @@
         }
         take_over(node, now, &mut out);
         if let Some(owner) = node.owner.as_mut() {
-            if self.holder.is_some_and(|(token, _)| token == owner.token) {
+            if self.current_owner.is_some_and(|(token, _)| token == owner.token) {
                 owner.set_confirmed(now.steady);
             }
             owner.tick(now, &mut out);
@@ -552,15 +554,15 @@
     }
 
     /// The worker that an order reaches, if it is the addressee.
-    fn receiver(&mut self, to: &Addressee) -> Result<&mut Runner, Refusal> {
-        let runner = (0..WORKERS).find(|number| to.address == format!("h{number}:80"));
-        let runner = runner.filter(|number| worker_id(*number) == to.worker);
-        let runner = &mut self.runners[runner.ok_or(Refusal::OtherLife)?];
-        if to.token < runner.token {
+    fn receiver(&mut self, to: &Addressee) -> Result<&mut SimWorker, Refusal> {
+        let sim_worker = (0..WORKERS).find(|number| to.address == format!("h{number}:80"));
+        let sim_worker = sim_worker.filter(|number| worker_id(*number) == to.worker);
+        let sim_worker = &mut self.workers[sim_worker.ok_or(Refusal::OtherLife)?];
+        if to.token < sim_worker.token {
             return Err(Refusal::Fenced);
         }
-        runner.token = to.token;
-        Ok(runner)
+        sim_worker.token = to.token;
+        Ok(sim_worker)
     }
 
     /// The unknown result of an order to the unreachable worker.
@@ -609,12 +611,12 @@
             Effect::Stop { to, task, run } => {
                 let clock_ms = self.clock_ms();
                 let end = match self.receiver(&to) {
-                    Ok(runner) => {
-                        if runner.runs.get(&task) == Some(&run) {
-                            runner.runs.remove(&task);
-                            runner.end(task, run, RunOutcome::Stopped);
+                    Ok(sim_worker) => {
+                        if sim_worker.runs.get(&task) == Some(&run) {
+                            sim_worker.runs.remove(&task);
+                            sim_worker.end(task, run, RunOutcome::Stopped);
                         }
-                        let highest = runner.ended_runs.entry(task).or_default();
+                        let highest = sim_worker.ended_runs.entry(task).or_default();
                         *highest = run.max(*highest);
                         OrderResult::Done(clock_ms)
                     }
@@ -631,22 +633,23 @@
 
     fn start(&mut self, to: &Addressee, start: &Start) -> Result<(), Refusal> {
         let (task, clock_ms) = (start.task, self.clock_ms());
-        let runner = self.receiver(to)?;
-        if runner.runs.get(&task) == Some(&start.run) {
+        let sim_worker = self.receiver(to)?;
+        if sim_worker.runs.get(&task) == Some(&start.run) {
             return Ok(());
         }
-        if runner.ended_runs.get(&task).is_some_and(|ended| start.run <= *ended) {
+        if sim_worker.ended_runs.get(&task).is_some_and(|ended| start.run <= *ended) {
             return Err(Refusal::Old);
         }
         if start.until_ms < clock_ms {
             return Err(Refusal::Late);
         }
-        runner.until_ms = runner.until_ms.max(start.until_ms);
-        let runs = self.runners.iter().filter(|runner| runner.runs.contains_key(&task)).count();
+        sim_worker.until_ms = sim_worker.until_ms.max(start.until_ms);
+        let runs =
+            self.workers.iter().filter(|sim_worker| sim_worker.runs.contains_key(&task)).count();
         assert_eq!(runs, 0, "{task} is already running and is started at {}", to.worker);
         assert!(!self.done.contains(&task), "{task} is done and is started again at {}", to.worker);
         let number = (0..WORKERS).find(|number| worker_id(*number) == to.worker).unwrap();
-        self.runners[number].runs.insert(task, start.run);
+        self.workers[number].runs.insert(task, start.run);
         self.starts += 1;
         Ok(())
     }
@@ -654,18 +657,20 @@
     fn poll(&mut self, to: &Addressee, acknowledged: u64, until_ms: Option<u64>) -> Event {
         let (worker, sent) = (to.worker.clone(), Steady::from_millis(self.now));
         let clock_ms = self.clock_ms();
-        let runner = match self.receiver(to) {
-            Ok(runner) => runner,
+        let sim_worker = match self.receiver(to) {
+            Ok(sim_worker) => sim_worker,
             Err(why) => {
                 let end = OrderResult::Refused { why, clock_ms: None };
                 return Event::Polled { worker, sent, end };
             }
         };
-        runner.until_ms = runner.until_ms.max(until_ms.unwrap_or_default());
-        let (confirmed, left): (Vec<EndedRun>, Vec<EndedRun>) =
-            std::mem::take(&mut runner.ends).into_iter().partition(|e| e.number <= acknowledged);
-        runner.ends = left;
-        let present = runner.runs.iter().map(|(task, run)| PresentRun {
+        sim_worker.until_ms = sim_worker.until_ms.max(until_ms.unwrap_or_default());
+        let (confirmed, remaining): (Vec<EndedRun>, Vec<EndedRun>) =
+            std::mem::take(&mut sim_worker.ends)
+                .into_iter()
+                .partition(|e| e.number <= acknowledged);
+        sim_worker.ends = remaining;
+        let present = sim_worker.runs.iter().map(|(task, run)| PresentRun {
             task: *task,
             run: *run,
             checkpoint: String::new(),
@@ -676,7 +681,7 @@
             born: None,
             clock_ms,
             present: present.collect(),
-            ended: runner.ends.clone(),
+            ended: sim_worker.ends.clone(),
         };
         for end in confirmed.iter().filter(|end| end.how == RunOutcome::Done) {
             assert!(
@@ -696,13 +701,13 @@
             progress.state.is_final() || step.is_some_and(|step| step.done.contains(&task.index))
         };
         self.cancelled.contains(&job)
-            || self.garbled.contains(&job)
+            || self.unreadable.contains(&job)
             || self.progress.get(&job).is_some_and(|(_, progress)| is_recorded(progress))
     }
 
     fn holds(&self, number: usize) -> bool {
         let token = self.nodes[number].owner.as_ref().map(|owner| owner.token);
-        token.is_some() && token == self.holder.map(|(token, _)| token)
+        token.is_some() && token == self.current_owner.map(|(token, _)| token)
     }
 
     fn persist_progress(&mut self, number: usize) {
@@ -788,13 +793,13 @@
         let revision = self.write(keys::progress(job), Some(b"{".to_vec()));
         let progress = self.progress.get(&job).map(|(_, progress)| progress.clone());
         self.progress.insert(job, (revision, progress.unwrap_or_default()));
-        self.garbled.insert(job);
+        self.unreadable.insert(job);
     }
 
     fn finish(&mut self, number: usize) {
-        let runner = &mut self.runners[number];
-        self.done.extend(runner.runs.keys());
-        runner.end_all(RunOutcome::Done);
+        let sim_worker = &mut self.workers[number];
+        self.done.extend(sim_worker.runs.keys());
+        sim_worker.end_all(RunOutcome::Done);
     }
 
     fn deliver_starts(&mut self) {
@@ -839,7 +844,7 @@
             }
             Rare::EndLease => self.end_ownership(),
             Rare::Reacquire { node } => {
-                if self.holder.is_some_and(|(_, holder)| holder == node as usize) {
+                if self.current_owner.is_some_and(|(_, owner)| owner == node as usize) {
                     self.nodes[node as usize].release();
                     self.end_ownership();
                     self.acquire(node as usize);
@@ -896,7 +901,7 @@
         }
         for id in &self.jobs {
             let state = self.nodes[1].view.jobs[id].state();
-            let is_exempt = self.cancelled.contains(id) || self.garbled.contains(id);
+            let is_exempt = self.cancelled.contains(id) || self.unreadable.contains(id);
             assert!(is_exempt || state == JobState::Succeeded, "{id} at the end: {state:?}");
         }
         assert!(
--- a/src/scheduler/view/key_revisions.rs
+++ b/src/scheduler/view/key_revisions.rs
@@ -74,7 +74,7 @@
         self.forget();
     }
 
-    /// The number of removals that are still kept.
+    /// The number of remembered removals.
     #[cfg(test)]
     pub(crate) fn removal_count(&self) -> usize {
         self.removed.len()
@@ -83,9 +83,9 @@
     /// Forgets the removals that all sources have passed, the oldest first.
     fn forget(&mut self) {
         while let Some((revision, key)) = self.removed.first() {
-            let is_behind =
+            let has_not_passed =
                 |source: &Source| source.at < *revision && key.starts_with(&source.prefix);
-            if self.sources.values().any(is_behind) {
+            if self.sources.values().any(has_not_passed) {
                 return;
             }
             let Some((revision, key)) = self.removed.pop_first() else {
--- a/src/settings/scheduler.rs
+++ b/src/settings/scheduler.rs
@@ -50,7 +50,7 @@
     pub(crate) callers: SocketAddr,
     pub(crate) readiness: SocketAddr,
     pub(crate) metrics: SocketAddr,
-    /// For callers' requests that other nodes forward; `None` if they must not forward any.
+    /// For callers' requests that other nodes relay; `None` if they must not relay any.
     pub(crate) peers: Option<SocketAddr>,
 }
 
--- a/src/standin/site/store.rs
+++ b/src/standin/site/store.rs
@@ -131,18 +131,18 @@
 
     /// Ends the leases that have expired, and returns whether there were any.
     pub(super) fn expire(&mut self, now: u64) -> bool {
-        let over = self.leases.iter().filter(|(_, (_, end))| *end <= now);
-        let over: Vec<u64> = over.map(|(lease, _)| *lease).collect();
-        over.iter().for_each(|lease| self.end_lease(*lease));
-        !over.is_empty()
+        let expired = self.leases.iter().filter(|(_, (_, end))| *end <= now);
+        let expired: Vec<u64> = expired.map(|(lease, _)| *lease).collect();
+        expired.iter().for_each(|lease| self.end_lease(*lease));
+        !expired.is_empty()
     }
 
     /// Ends all leases, or the one with an index, modulo their number.
     pub(super) fn end_leases(&mut self, index: Option<usize>) {
         let leases: Vec<u64> = self.leases.keys().copied().collect();
         let chosen = |at: usize| index.is_none_or(|index| index % leases.len() == at);
-        let over = leases.iter().enumerate().filter(|(at, _)| chosen(*at));
-        over.for_each(|(_, lease)| self.end_lease(*lease));
+        let ended = leases.iter().enumerate().filter(|(at, _)| chosen(*at));
+        ended.for_each(|(_, lease)| self.end_lease(*lease));
     }
 
     fn end_lease(&mut self, lease: u64) {
--- a/src/standin/site/worker.rs
+++ b/src/standin/site/worker.rs
@@ -194,12 +194,12 @@
             () if run.ends_at <= now => Some(if run.fails { Kind::Failed } else { Kind::Done }),
             () => None,
         };
-        let over: Vec<(String, Run, Kind)> = self
+        let ended: Vec<(String, Run, Kind)> = self
             .runs
             .iter()
             .filter_map(|(task, run)| Some((task.clone(), run.clone(), outcome(run)?)))
             .collect();
-        for (task, run, outcome) in &over {
+        for (task, run, outcome) in &ended {
             counted.done += u32::from(*outcome == Kind::Done);
             log.record(now, (&self.id, run.token), *outcome, (task, run.run));
             self.runs.remove(task);
@@ -217,7 +217,7 @@
             log.record(now, (&self.id, self.fencing_token), Kind::Expired, ("", 0));
         }
         self.expired = lapsed;
-        !over.is_empty()
+        !ended.is_empty()
     }
 
     fn add_start_time(&self, target: &mut Value) {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -221,7 +221,7 @@
         row.is_none_or(|row| row["registered"] == false).then_some(())
     })
     .await;
-    // A wave completes without the frozen node.
+    // A wave completes without the paused node.
     let id = fleet.drain(0, &["w0000"]).await;
     fleet.wait_until_done(0, &id).await;
     fleet.nodes[1].process.signal(Signal::SIGCONT);
@@ -393,7 +393,7 @@
     fleet.platform_once("compact").await;
     fleet.platform_once("cut-watches").await;
     fleet.nodes[1].process.signal(Signal::SIGCONT);
-    eventually("the frozen node to have every change", || async {
+    eventually("the paused node to have every change", || async {
         let now = own_config_version(&fleet, 1).await;
         assert!(before <= now, "change {before} in force was replaced by {now}");
         (before + 2 <= now).then_some(())
--- a/tests/lateness.rs
+++ b/tests/lateness.rs
@@ -2,7 +2,7 @@
 //! because the figures depend on the machine:
 //! `cargo test --locked --test lateness -- --ignored --nocapture`. It asserts nothing.
 //!
-//! A worker ends expired runs when one of its own timers fires; an owner that cannot reach the
+//! A worker ends lapsed runs when one of its own timers fires; an owner that cannot reach the
 //! worker adds a margin for this delay.
 
 use std::{
@@ -19,7 +19,7 @@
 /// Duration of the measurement.
 const MEASUREMENT_TIME: Duration = Duration::from_secs(60);
 
-/// Interval at which a worker checks for expired runs.
+/// Interval at which a worker checks for lapsed runs.
 const TICK: Duration = Duration::from_millis(20);
 
 /// A process that only consumes processor time; killed when dropped.
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -421,10 +421,10 @@
     assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A node that cannot reach the store forwards its callers' requests to another node: submitted
+/// A node that cannot reach the store relays its callers' requests to another node: submitted
 /// jobs are persisted, states are current, and cancellations take effect.
 #[tokio::test]
-async fn a_node_cut_off_from_the_store_forwards_requests() {
+async fn a_node_cut_off_from_the_store_relays_requests() {
     let site = Site::start("relay", 3).await;
     let gate = Gate::in_front_of(&site.address).await;
     let (one, two) = (site.node_with_store("one", &gate.address).await, site.node("two").await);
@@ -444,9 +444,9 @@
     assert_eq!(site.run_counts().await["twice"], json!(0));
 }
 
-/// A node refuses a forwarded request if its configuration is older than that of the sender.
+/// A node refuses a relayed request if its configuration is older than that of the sender.
 #[tokio::test]
-async fn a_forwarded_request_is_refused_by_a_node_with_an_older_configuration() {
+async fn a_relayed_request_is_refused_by_a_node_with_an_older_configuration() {
     let site = Site::start("older", 1).await;
     let node = site.node("one").await;
     let ask = async |version: &str| {
@@ -529,7 +529,7 @@
 /// A process that resumes after a pause longer than its lease and the waits of later owners gets a
 /// new lease within a millisecond, while its failed watches back off for 150 ms. Until a watch
 /// reports the later owner, the node must send no orders from its stale view: runs that have
-/// expired at a worker that never received the later token run elsewhere by then.
+/// lapsed at a worker that never received the later token run elsewhere by then.
 #[tokio::test]
 async fn an_owner_paused_past_its_lease_sends_no_orders_after_it_resumes() {
     let site = Site::start("still", 2).await;
@@ -575,7 +575,7 @@
 /// An owner that shuts down leaves a handover record of the tasks that may run. A waiting job then
 /// begins under the next owner at a worker that answers, although another worker, which may run a
 /// task of an earlier job, does not. Without the record no waiting job begins before the new owner
-/// reports that all other runs have expired.
+/// reports that all other runs have lapsed.
 #[tokio::test]
 async fn a_waiting_job_begins_promptly_after_its_owner_shuts_down() {
     let site = Site::start("given", 2).await;
@@ -609,7 +609,7 @@
     assert_eq!((&run_counts["twice"], &run_counts["starts"]), (&json!(0), &json!(2)));
 }
 
-/// When no node reaches the store, requests are not forwarded in a loop.
+/// When no node reaches the store, requests are not relayed in a loop.
 #[tokio::test]
 async fn nodes_refuse_requests_when_none_reaches_the_store() {
     let site = Site::start("nobody", 2).await;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Soak test: real nodes, workers and callers under faults drawn from a seed. No task runs twice,
 //! no accepted job is lost, no refused job runs.
 //!
-//! `cargo test` plays a short run. A long one is started by hand and prints, for each seed, the
+//! `cargo test` does a short run. A long one is started by hand and prints, for each seed, the
 //! violations and the timeline of the first one:
 //!
 //! ```text
@@ -51,7 +51,7 @@
     std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Plays one seed and returns the violations.
+/// Runs one seed and returns the violations.
 async fn run_seed(name: &str, seed: u64, setup: Setup) -> Vec<Violation> {
     let plan = plan::draw(seed, setup);
     println!("seed {seed}: {} injections in {} ms", plan.len(), setup.millis);
--- a/tests/soak/cases.rs
+++ b/tests/soak/cases.rs
@@ -91,7 +91,7 @@
 /// the store and to the worker that runs its task. Its lease expires, and a later owner takes over
 /// the run and renews the worker's lease. During its grace period the earlier owner still sends
 /// orders: when the lease that it had itself granted to the worker expires, it must not assume that
-/// the run has expired and start the task at a worker that the later owner does not reach, because
+/// the run has lapsed and start the task at a worker that the later owner does not reach, because
 /// after the end of its own lease another owner may have extended the worker's lease.
 #[tokio::test]
 async fn an_owner_without_a_lease_does_not_assume_that_a_run_has_expired() {
