--- a/src/scheduler/metrics.rs
+++ b/src/scheduler/metrics.rs
@@ -270,15 +270,15 @@
 
     /// Adds the counts of an owner.
     pub(crate) fn add_counts(&self, counts: &Counts) {
-        for (why, count) in &counts.restarts {
-            self.task_restarts.get_or_create(&ReasonLabels { why }).inc_by(*count);
+        for (reason, count) in &counts.restarts {
+            self.task_restarts.get_or_create(&ReasonLabels { why: reason }).inc_by(*count);
         }
         self.task_crashes.inc_by(counts.crashes);
         self.abandoned_tasks.inc_by(counts.given_up);
         self.worker_restarts.inc_by(counts.worker_restarts);
         self.resent_orders.inc_by(counts.resent_orders);
-        for (why, count) in &counts.unexpected_runs {
-            self.unexpected_runs.get_or_create(&ReasonLabels { why }).inc_by(*count);
+        for (reason, count) in &counts.unexpected_runs {
+            self.unexpected_runs.get_or_create(&ReasonLabels { why: reason }).inc_by(*count);
         }
     }
 
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -134,7 +134,7 @@
         entry: u8,
     },
     /// Another writer overwrites the progress of a job.
-    Garble {
+    OverwriteProgress {
         job: u8,
     },
     Wait {
@@ -155,7 +155,7 @@
 }
 
 impl SimWorker {
-    fn end(&mut self, task: TaskId, run: u32, how: RunOutcome) {
+    fn end(&mut self, task: TaskId, run: u32, outcome: RunOutcome) {
         self.next_end += 1;
         let highest = self.ended_runs.entry(task).or_default();
         *highest = run.max(*highest);
@@ -163,14 +163,14 @@
             number: self.next_end,
             task,
             run,
-            how,
+            how: outcome,
             checkpoint: String::new(),
         });
     }
 
-    fn end_all(&mut self, how: RunOutcome) {
+    fn end_all(&mut self, outcome: RunOutcome) {
         for (task, run) in std::mem::take(&mut self.runs) {
-            self.end(task, run, how);
+            self.end(task, run, outcome);
         }
     }
 }
@@ -789,7 +789,7 @@
         self.write(format!("servers/w{number}"), value);
     }
 
-    fn garble_progress(&mut self, job: JobId) {
+    fn overwrite_progress(&mut self, job: JobId) {
         let revision = self.write(keys::progress(job), Some(b"{".to_vec()));
         let progress = self.progress.get(&job).map(|(_, progress)| progress.clone());
         self.progress.insert(job, (revision, progress.unwrap_or_default()));
@@ -868,9 +868,9 @@
                 self.deliver_release();
             }
             Rare::ChangeEntry { worker, entry } => self.set_entry(worker as usize % WORKERS, entry),
-            Rare::Garble { job } => {
+            Rare::OverwriteProgress { job } => {
                 if let Some(job) = self.some_job(job).filter(|_| job % 8 == 0) {
-                    self.garble_progress(job);
+                    self.overwrite_progress(job);
                 }
             }
             Rare::Wait { ticks } => self.advance_clock(u64::from(ticks % 32) * 200),
--- a/src/standin/site/log.rs
+++ b/src/standin/site/log.rs
@@ -16,7 +16,7 @@
     Lapsed,
     /// The worker's incarnation ended, and the run with it.
     Crashed,
-    /// A caller has acknowledged the end of a run.
+    /// An owner has acknowledged the end of a run.
     Acknowledged,
     /// The worker's lease has expired: its runs have lapsed.
     Expired,
--- a/src/standin/site/worker.rs
+++ b/src/standin/site/worker.rs
@@ -293,7 +293,7 @@
         http::json(StatusCode::OK, &answer)
     }
 
-    /// Renews the lease, and drops the ends that the caller has acknowledged.
+    /// Renews the lease, and drops the ends that the owner has acknowledged.
     fn renew(&mut self, order: &Order, now: u64, log: &mut Log) {
         self.lease_end = self.lease_end.max(order.until_ms.unwrap_or(0));
         for end in self.ended.extract_if(.., |end| end.number <= order.last_seen) {
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -58,7 +58,7 @@
     pub maybe_accepted: Option<u64>,
     pub cancelled: Option<u64>,
     /// When a node first reported the accepted job as unknown.
-    pub lost: Option<u64>,
+    pub unknown_at: Option<u64>,
     pub states: Vec<(u64, String)>,
     pub replies: Vec<(u64, String)>,
 }
@@ -164,7 +164,7 @@
         {
             add_violation("is reported as succeeded before its tasks are done", shown);
         }
-        if let Some(at) = history.lost {
+        if let Some(at) = history.unknown_at {
             add_violation("was accepted but is unknown to a node", at);
         }
         let may_be_accepted = history.accepted.is_some() || history.maybe_accepted.is_some();
@@ -215,7 +215,7 @@
     violations.collect()
 }
 
-/// Indexes of the `done` events that a caller acknowledged before the worker's lease expired.
+/// Indexes of the `done` events that an owner acknowledged before the worker's lease expired.
 fn acknowledged_ends(log: &[Entry]) -> BTreeSet<usize> {
     let mut unacknowledged: HashMap<(&str, &str, u32), usize> = HashMap::new();
     let mut acknowledged = BTreeSet::new();
--- a/tests/soak/load.rs
+++ b/tests/soak/load.rs
@@ -226,7 +226,7 @@
             (&Method::POST, Reply::Accepted) => history.accepted.get_or_insert(now_ms()),
             (&Method::POST, Reply::Unknown) => history.maybe_accepted.get_or_insert(now_ms()),
             (&Method::GET, Reply::Gone) if history.accepted.is_some_and(|at| at + 1_000 < sent) => {
-                history.lost.get_or_insert(now_ms())
+                history.unknown_at.get_or_insert(now_ms())
             }
             _ => &mut 0,
         };
