--- a/src/scheduler/relay.rs
+++ b/src/scheduler/relay.rs
@@ -156,15 +156,15 @@
                 .header(RELAYED_HEADER, call.config)
                 .body(call.body.clone())
         };
-        let response = match self.connections.call(&peer.to_string(), request).await {
-            Ok(response) => response,
+        let answer = match self.connections.call(&peer.to_string(), request).await {
+            Ok(answer) => answer,
             Err(error) if error.is_connect() => return Relayed::NotAccepted,
             Err(error) => {
                 log::info!("{}: no complete answer from {peer}: {error}", call.subject);
                 return Relayed::Unknown;
             }
         };
-        let FullResponse { status, headers, body } = response;
+        let FullResponse { status, headers, body } = answer;
         match status {
             StatusCode::SERVICE_UNAVAILABLE => return Relayed::NotAccepted,
             StatusCode::GATEWAY_TIMEOUT => return Relayed::Unknown,
--- a/src/standin/site/worker_faults.rs
+++ b/src/standin/site/worker_faults.rs
@@ -34,7 +34,7 @@
     crash_ms: u64,
     /// The highest token that the worker had seen when the faults were set.
     #[serde(skip)]
-    fencing_token: u64,
+    fence: u64,
 }
 
 impl WorkerFaults {
@@ -43,8 +43,8 @@
         match self.cut {
             Cut::None => false,
             Cut::All => true,
-            Cut::Newer => self.fencing_token < token,
-            Cut::Older => token <= self.fencing_token,
+            Cut::Newer => self.fence < token,
+            Cut::Older => token <= self.fence,
         }
     }
 
@@ -72,7 +72,7 @@
     let Some(worker) = number.and_then(|number| state.workers.get_mut(number)) else {
         return http::text(StatusCode::BAD_REQUEST, "no such worker\n");
     };
-    worker.faults = WorkerFaults { fencing_token: worker.fencing_token(), ..faults };
+    worker.faults = WorkerFaults { fence: worker.fencing_token(), ..faults };
     if faults.crash_ms != 0 && worker.is_up() {
         worker.end_incarnation("down", now, faults.crash_ms, &mut state.log);
     }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -604,7 +604,7 @@
     let next_log = log(names[1 - index]);
     let ended = next_log.find(&format!("job {waiting_id}: succeeded")).unwrap();
     let clear = next_log.find("starts tasks of earlier jobs").unwrap_or(usize::MAX);
-    assert!(ended < clear, "the job waited until all other runs had expired");
+    assert!(ended < clear, "the job waited until all other runs had lapsed");
     let run_counts = site.run_counts().await;
     assert_eq!((&run_counts["twice"], &run_counts["starts"]), (&json!(0), &json!(2)));
 }
