--- a/src/node/sync.rs
+++ b/src/node/sync.rs
@@ -125,7 +125,7 @@
         // The watch may be about to deliver the change: check again before reading everything.
         tokio::time::sleep(Duration::from_millis(300)).await;
         if node.view().newest() < newest {
-            log::info!("view is behind the store ({own} < {newest}): reading all records");
+            log::info!("view is stale ({own} < {newest}): reading all records");
             return load(node).await;
         }
     }
--- a/src/scheduler/control_loop/persist.rs
+++ b/src/scheduler/control_loop/persist.rs
@@ -35,7 +35,7 @@
 
 /// Minimum time between two removals of ended jobs, in milliseconds: jobs that end close together
 /// share one. A node that starts in between reads some 70 more jobs at 145 a second. All 2,400 jobs
-/// of half a day were 3.3 MB, which put nodes with 10 Mbit/s seconds behind.
+/// of half a day were 3.3 MB, which nodes with 10 Mbit/s received with a delay of seconds.
 const REMOVAL_PAUSE_MS: u64 = 500;
 
 /// Worker records per transaction, in addition to two conditions and the record of silent workers.
--- a/src/scheduler/control_loop/tests/waiting_report.rs
+++ b/src/scheduler/control_loop/tests/waiting_report.rs
@@ -163,8 +163,8 @@
     assert_eq!(simulation.owned().owner.queued(), BTreeMap::from([("q".to_owned(), 1)]));
 }
 
-/// If its own watch hangs, or its node lags far behind, an owner's report is as old as what it
-/// knows, but looks fresh.
+/// If its own watch hangs, or the view of its node is stale, an owner's report is as old as its
+/// data on jobs, but looks fresh.
 #[test]
 fn an_owner_with_stale_jobs_sends_no_report() {
     let runtime = runtime();
--- a/src/scheduler/keys.rs
+++ b/src/scheduler/keys.rs
@@ -36,7 +36,7 @@
 pub(crate) enum Key {
     /// A job, as it was accepted.
     Job(JobId),
-    /// The name of a job is in use, whichever its pool.
+    /// The name of a job is in use, in whichever pool.
     Id(JobId),
     /// The progress of a job that has begun.
     Progress(JobId),
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -101,14 +101,15 @@
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(8);
 
 /// The minimum number of changes to apply at once, about as many as the store sends in one answer.
-/// A large deployment has 10,000 and more, which at once locked the view for 25 ms on a whole core.
+/// A large deployment has 10,000 and more, which locked the view for 25 ms on a whole core when
+/// applied in one step.
 pub(super) const MIN_SLICE: usize = 512;
 
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Starts to mirror the store until the node ends: the prefixes that all nodes mirror at once, and
-/// the others when the node becomes a replica. It then stays one.
+/// Starts to mirror the store until the node ends: immediately the prefixes that all nodes
+/// mirror, and the others when the node becomes a replica. It then stays one.
 pub(crate) fn start(node: &Arc<Node>, inputs: &mpsc::UnboundedSender<Input>) {
     for prefix in [OPERATOR, COMMON] {
         spawn(node, prefix, inputs);
@@ -267,7 +268,7 @@
     }
 }
 
-/// Waits before the next call of a watch, unless the node comes to own work meanwhile.
+/// Waits before the next call of a watch, unless the node acquires work in between.
 async fn wait_pause(node: &Node, pause: Duration) {
     if pause.is_zero() {
         return;
@@ -282,8 +283,8 @@
 }
 
 /// The pause after an answer of a prefix's watch. After an answer that may be cut there is none:
-/// with one of 120 ms a view applied at most 3,125 changes a second, and one that had fallen behind
-/// never caught up with the store.
+/// with one of 120 ms a node applied at most 3,125 changes a second, and a stale view never caught up
+/// with the store.
 pub(super) fn pause_after(answer: &WatchBatch, prefix: &Prefix, owns: bool) -> Duration {
     match (answer.may_be_truncated(), owns) {
         (true, _) => Duration::ZERO,
--- a/src/scheduler/tests/catch_up.rs
+++ b/src/scheduler/tests/catch_up.rs
@@ -47,13 +47,13 @@
 
 /// The store puts at most some 500 changes into one answer, without saying that there are more, and
 /// the node paused after each answer as after a complete one. From some 3,000 changes/s on its view
-/// fell ever further behind: a node answered that no job waited where 36 did, and the fleet's owner
+/// became ever older: a node answered that no job waited where 36 did, and the fleet's owner
 /// decided on a state 6 to 9 s old.
 #[test]
 fn a_view_keeps_up_with_twice_the_load_when_answers_are_truncated() {
     for (prefix, owns) in [(RECORDS, false), (RECORDS, true), (WORKERS, false), (WORKERS, true)] {
         let age = age_of_view(&prefix, owns);
-        assert!(age < MAX_AGE_MS, "{prefix:?}, owns {owns}: {age} ms behind");
+        assert!(age < MAX_AGE_MS, "{prefix:?}, owns {owns}: the view is {age} ms old");
     }
 }
 
--- a/src/scheduler/tests/link_failures.rs
+++ b/src/scheduler/tests/link_failures.rs
@@ -83,8 +83,8 @@
             // The test may have ended.
             let _ = report.send(result);
         };
-        let (sent, may_go) = (Steady::from_millis(0), Box::new(|| true));
-        let order = Outgoing { effect, sent, may_send: may_go, on_result: Box::new(on_result) };
+        let (sent, may_send) = (Steady::from_millis(0), Box::new(|| true));
+        let order = Outgoing { effect, sent, may_send, on_result: Box::new(on_result) };
         self.links.send(self.delegate, vec![order]);
     }
 
@@ -104,12 +104,12 @@
 }
 
 /// The runs whose starts are in the next message; `None` once the link has ended.
-async fn read(link: &mut WebSocketStream<TcpStream>, names: &mut WorkerTable) -> Option<Vec<u32>> {
+async fn read(link: &mut WebSocketStream<TcpStream>, table: &mut WorkerTable) -> Option<Vec<u32>> {
     let Some(Ok(Message::Binary(bytes))) = link.next().await else {
         return None;
     };
     let batch: Batch = ciborium::from_reader(&bytes[..]).unwrap();
-    let runs = wire::orders(names, batch).into_iter().filter_map(|order| match order.effect {
+    let runs = wire::orders(table, batch).into_iter().filter_map(|order| match order.effect {
         Effect::Start { start, .. } => Some(start.run),
         _ => None,
     });
@@ -123,10 +123,10 @@
     owner.send(start(1));
     owner.send(poll());
     let mut link = accept(&listener).await;
-    let mut names = WorkerTable::default();
-    let mut read_runs = read(&mut link, &mut names).await.unwrap();
+    let mut table = WorkerTable::default();
+    let mut read_runs = read(&mut link, &mut table).await.unwrap();
     if read_runs.is_empty() {
-        read_runs = read(&mut link, &mut names).await.unwrap();
+        read_runs = read(&mut link, &mut table).await.unwrap();
     }
     assert_eq!(read_runs, vec![1]);
     drop(link);
@@ -164,8 +164,8 @@
     let (listener, mut owner) = delegate().await;
     owner.send(start(1));
     let mut link = accept(&listener).await;
-    let mut names = WorkerTable::default();
-    assert_eq!(read(&mut link, &mut names).await, Some(vec![1]));
+    let mut table = WorkerTable::default();
+    assert_eq!(read(&mut link, &mut table).await, Some(vec![1]));
     owner.send(start(2));
     owner.send(start(3));
     let mut results = Vec::new();
@@ -176,7 +176,7 @@
     assert_eq!(results, vec![(1, "unknown"), (2, "unknown"), (3, "unknown")]);
     let mut runs = Vec::new();
     while runs.len() < 2 {
-        runs.extend(read(&mut link, &mut names).await.expect("the link is open"));
+        runs.extend(read(&mut link, &mut table).await.expect("the link is open"));
     }
     assert_eq!(runs, vec![2, 3], "they were in the socket's buffer");
 }
@@ -188,8 +188,8 @@
         let (listener, mut owner) = delegate().await;
         owner.send(start(1));
         let mut link = accept(&listener).await;
-        let mut names = WorkerTable::default();
-        let mut runs = read(&mut link, &mut names).await.unwrap();
+        let mut table = WorkerTable::default();
+        let mut runs = read(&mut link, &mut table).await.unwrap();
         let closing = tokio::spawn(async move {
             for _ in 0..attempt % 3 {
                 tokio::task::yield_now().await;
@@ -200,7 +200,7 @@
                 return Vec::new();
             }
             drop(listener);
-            let more = read(&mut link, &mut names).await;
+            let more = read(&mut link, &mut table).await;
             more.unwrap_or_default()
         });
         owner.send(start(2));
--- a/src/scheduler/tests/order_wire.rs
+++ b/src/scheduler/tests/order_wire.rs
@@ -114,7 +114,7 @@
     ciborium::from_reader(&bytes[..]).unwrap()
 }
 
-/// All orders arrive as they were sent, in whatever batches.
+/// All orders arrive as they were sent, however they are batched.
 #[test]
 fn orders_survive_the_wire_format() {
     fuzz(200, 40, |all: &[Sample]| {
--- a/src/scheduler/tests/ownership.rs
+++ b/src/scheduler/tests/ownership.rs
@@ -153,11 +153,11 @@
     let (accepting, waiting) = accept::queue();
     let kv = Kv::new(store, STORE_TIMEOUT, |_, _, _| {});
     let node = node(settings, kv, Arc::new(Metrics::new()), accepting);
-    let (lease, (to, from)) = (Arc::new(Lease::default()), mpsc::unbounded_channel());
+    let (lease, (inputs, receiver)) = (Arc::new(Lease::default()), mpsc::unbounded_channel());
     tokio::spawn(lease::maintain(node.clone(), lease.clone()));
     tokio::spawn(accept::write(node.clone(), waiting));
-    mirror::start(&node, &to);
-    tokio::spawn(ControlLoop::new(node.clone(), lease, WorkerClient::new(), to).run(from));
+    mirror::start(&node, &inputs);
+    tokio::spawn(ControlLoop::new(node.clone(), lease, WorkerClient::new(), inputs).run(receiver));
     node
 }
 
--- a/src/scheduler/tests/plan_interval.rs
+++ b/src/scheduler/tests/plan_interval.rs
@@ -12,7 +12,7 @@
 }
 
 /// Plans that took 100 ms were made ten times a second: the node that also answered callers and
-/// applied the store's changes did nothing else, and its view fell 6 to 9 s behind.
+/// applied the store's changes did nothing else, and its view was 6 to 9 s old.
 #[test]
 fn plans_take_at_most_a_quarter_of_the_time_whatever_one_takes() {
     for took in [30, 100, 400, 3_000] {
--- a/src/scheduler/tests/stale_view.rs
+++ b/src/scheduler/tests/stale_view.rs
@@ -283,8 +283,8 @@
     let lease = Arc::new(Lease::default());
     let now = node.now().steady;
     lease.note_renewed(1, now, TTL, now);
-    let (to, _) = mpsc::unbounded_channel();
-    mirror::start(&node, &to);
+    let (inputs, _) = mpsc::unbounded_channel();
+    mirror::start(&node, &inputs);
     let api = Api { node: node.clone(), lease: lease.clone(), relay: Relay::new(), orders: None };
     (node, lease, api)
 }
--- a/src/scheduler/tests/takeovers.rs
+++ b/src/scheduler/tests/takeovers.rs
@@ -134,7 +134,7 @@
         entry: u8,
     },
     /// Another writer overwrites the progress of a job.
-    OverwriteProgress {
+    Garble {
         job: u8,
     },
     Wait {
@@ -868,7 +868,7 @@
                 self.deliver_release();
             }
             Rare::ChangeEntry { worker, entry } => self.set_entry(worker as usize % WORKERS, entry),
-            Rare::OverwriteProgress { job } => {
+            Rare::Garble { job } => {
                 if let Some(job) = self.some_job(job).filter(|_| job % 8 == 0) {
                     self.overwrite_progress(job);
                 }
--- a/src/scheduler/tests/view_age.rs
+++ b/src/scheduler/tests/view_age.rs
@@ -181,8 +181,8 @@
 
 #[test]
 fn a_stale_view_is_logged_once_and_so_is_its_recovery() {
-    let mut lateness = AgeMonitor::default();
-    let mut check = |age, now| lateness.check(age, at(now));
+    let mut monitor = AgeMonitor::default();
+    let mut check = |age, now| monitor.check(age, at(now));
     assert_eq!(check(MAX_RECORDS_AGE_MS, 10_000), None);
     assert_eq!(
         check(MAX_RECORDS_AGE_MS + 1, 10_200),
--- a/src/standin/site.rs
+++ b/src/standin/site.rs
@@ -62,7 +62,7 @@
     store_down: bool,
     /// Writes are executed but not answered.
     store_lost: bool,
-    /// Watches that are far behind get no answer, as if the answer were too long for the link.
+    /// Watches that have missed many changes get no answer, as if it were too long for the link.
     store_long_history: bool,
     /// Watches receive nothing while all other calls are answered, and are cut once this is
     /// switched off.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -212,7 +212,7 @@
 }
 
 #[tokio::test]
-async fn a_node_frozen_past_its_lease_registers_again() {
+async fn a_node_paused_past_its_lease_registers_again() {
     let fleet = Fleet::start(3).await;
     fleet.nodes[1].process.signal(Signal::SIGSTOP);
     eventually("the registration to expire", || async {
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -140,7 +140,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 #[ignore = "long: started by hand"]
-async fn no_promise_is_broken_under_many_seeds() {
+async fn no_guarantee_is_violated_under_many_seeds() {
     let first = env_number("CAPERHOLLOW_SOAK_SEED", 1);
     let millis = env_number("CAPERHOLLOW_SOAK_SECONDS", 30) * 1_000;
     let frequent_kind =
@@ -169,7 +169,7 @@
 const SHORT_RUN_SEEDS: [u64; 2] = [3, 5];
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_is_broken_in_a_short_run() {
+async fn no_guarantee_is_violated_in_a_short_run() {
     let setup = Setup {
         nodes: 4,
         workers: 8,
@@ -190,7 +190,7 @@
 const KEPT_IDS_SEED: u64 = 7;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_is_broken_though_workers_start_again_under_their_ids() {
+async fn no_guarantee_is_violated_when_workers_restart_under_their_ids() {
     let frequent_kind = Some(FREQUENT_KINDS - 1);
     let setup = Setup {
         nodes: 4,
--- a/tests/soak/cases.rs
+++ b/tests/soak/cases.rs
@@ -94,7 +94,7 @@
 /// the run has lapsed and start the task at a worker that the later owner does not reach, because
 /// after the end of its own lease another owner may have extended the worker's lease.
 #[tokio::test]
-async fn an_owner_without_a_lease_does_not_assume_that_a_run_has_expired() {
+async fn an_owner_without_a_lease_does_not_assume_that_a_run_has_lapsed() {
     let setup = Setup {
         nodes: 2,
         workers: 2,
