--- a/src/measure/mirror/mix.rs
+++ b/src/measure/mirror/mix.rs
@@ -291,8 +291,8 @@
     fn usage_report(&self, number: usize) -> (String, Vec<u8>) {
         let hosts = (0..HOSTS).filter(|host| self.hosts[*host].pool == number);
         let mut usage = HostUsage { idle: BTreeSet::new(), light: Vec::new(), busy: Vec::new() };
-        for (place, number) in hosts.enumerate() {
-            match place % 3 {
+        for (index, number) in hosts.enumerate() {
+            match index % 3 {
                 0 => _ = usage.idle.insert(host(number)),
                 1 => usage.light.push(host(number)),
                 _ => usage.busy.push(host(number)),
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -29,11 +29,11 @@
 
 fn node(name: &str, platform: &Platform) -> Arc<Node> {
     let url = &platform.url;
-    let nowhere = "127.0.0.1:1";
+    let unused = "127.0.0.1:1";
     let text = format!(
         r#"{{
             "node": "{name}", "zone": "hall-a",
-            "listen": {{ "callers": "{nowhere}", "operators": "{nowhere}", "peers": "{nowhere}" }},
+            "listen": {{ "callers": "{unused}", "operators": "{unused}", "peers": "{unused}" }},
             "platform": {{ "store": "{url}", "hosts": "{url}" }},
             "timing": {{ "store_ms": 30000 }},
         }}"#
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -161,8 +161,8 @@
     }
     assert_eq!(success, Some(true));
     let rows = fleet.status(1, "nodes").await.unwrap();
-    let left = rows["nodes"].as_array().unwrap().iter().find(|row| row["node"] == "entry-0");
-    assert!(left.is_none_or(|row| row["registered"] == false), "{rows}");
+    let departed = rows["nodes"].as_array().unwrap().iter().find(|row| row["node"] == "entry-0");
+    assert!(departed.is_none_or(|row| row["registered"] == false), "{rows}");
 }
 
 #[tokio::test]
