--- a/src/jobs/fleet/marks.rs
+++ b/src/jobs/fleet/marks.rs
@@ -1,7 +1,7 @@
 //! The drain marks of hosts, combined from the results of the owner's own writes and, where there
 //! are none, from the view.
 //!
-//! A view may be stale by seconds. An owner that relied on it for its own orders would repeat them
+//! A view may be stale by seconds. An owner that relied on it alone would repeat its own writes
 //! until the view shows them, and that load would delay the view further.
 
 use std::collections::BTreeMap;
--- a/src/jobs/fleet/wave.rs
+++ b/src/jobs/fleet/wave.rs
@@ -15,11 +15,11 @@
 /// The share of a pool's hosts that may be marked for upkeep at one time, in percent.
 const MAX_DRAINING_PERCENT: usize = 50;
 
-/// Hosts whose upkeep is recorded by one write, which also removes two records of each.
+/// The most hosts whose upkeep is recorded by one write, which also removes two records of each.
 pub(crate) const MAINTAINED_BATCH: usize = 14;
 
-/// The writes of a wave, by their results. Each write builds on the record that the previous one
-/// left, so only one is in flight at a time.
+/// The state of the writes of a wave. Each write is based on the record that the previous one has
+/// written, so only one is in flight at a time.
 #[derive(Debug, Default)]
 pub(super) struct WaveWrites {
     in_flight: bool,
@@ -62,8 +62,8 @@
         if allowed == 0 && begin_reported {
             return;
         }
-        // Counted once: counting again for each host of the wave, a plan for 1,100 hosts took 60 ms
-        // of a core.
+        // Counted once: counting again for each host of the wave took 60 ms of a core in a plan for
+        // 1,100 hosts.
         let draining = self.draining_by_pool();
         let sizes = self.pool_sizes();
         let is_off = |entry: &ListedHost| {
--- a/src/jobs/place.rs
+++ b/src/jobs/place.rs
@@ -14,7 +14,8 @@
     },
 };
 
-/// Tickets that expire sooner than this are not used, in milliseconds: an order takes a few.
+/// Tickets that expire sooner than this are not used, in milliseconds: an order takes a few
+/// milliseconds.
 pub(crate) const TICKET_MARGIN_MS: u64 = 150;
 
 /// How long a long-running task waits for a worker before it may use a host that is being drained,
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn no_more_hosts_are_away_for_a_wave_than_it_allows() {
+fn no_more_hosts_are_out_of_service_for_a_wave_than_it_allows() {
     let mut fixture = Fixture::new();
     let hosts: Vec<ListedHost> = (1..9).map(|n| listed_host(n, "busy")).collect();
     let all = (1..9).map(host).collect();
@@ -239,8 +239,8 @@
     assert!(fleet.plan(&fixture.snapshot(), at(200)).contains(&done));
 }
 
-/// Guards against counting hosts that never join as expected: a pool then had too few hosts to
-/// spread a long-running step over.
+/// Guards against expecting a host forever that never joins its pool: the pool then had too few
+/// hosts to spread a long-running step over.
 #[test]
 fn a_host_that_fails_to_join_is_replaced() {
     let mut fixture = Fixture::new();
@@ -272,11 +272,12 @@
     let mut fleet = fleet(hosts);
     let effects = fleet.plan(&fixture.snapshot(), at(100));
     let returned = |effect: &&FleetEffect| matches!(effect, FleetEffect::Mark(_, HostAction::Move(to)) if *to == pool("busy"));
-    // It has two hosts, and wants three.
+    // The pool has two hosts and needs three.
     assert_eq!(effects.iter().filter(returned).count(), 1, "{effects:?}");
 }
 
-/// When the peak moves to another pool, the hosts of the earlier one are seldom idle for long.
+/// When the peak moves to another pool, the hosts of the earlier one are seldom idle for long, so
+/// waiting for idle hosts would take too long.
 #[test]
 fn a_pool_below_its_share_gets_the_least_loaded_hosts() {
     let mut fixture = Fixture::new();
@@ -401,8 +402,8 @@
     assert!((500..760).contains(&expected_hosts), "{expected_hosts} hosts of 32 cores");
 }
 
-/// Guards against a pool with a late backlog, which earns nothing any more, keeping the hosts that
-/// another pool needs for work that can still end in time.
+/// Guards against a pool keeping hosts for a late backlog, which has no value any more, while
+/// another pool needs them for work that can still end in time.
 #[test]
 fn hosts_move_from_late_work_to_work_that_can_still_end_in_time() {
     let mut fixture = Fixture::new();
@@ -463,5 +464,5 @@
     fixture.demands.insert(pool("busy"), demand(100_000, 0));
     fleet.plan(&fixture.snapshot(), at(100));
     let called = count_moves(&fleet.plan(&fixture.snapshot(), at(200)));
-    assert_eq!(called, 0, "four hosts of 32 cores carry 100");
+    assert_eq!(called, 0, "the pool's hosts have enough cores for a demand of 100");
 }
