--- a/src/jobs/handover.rs
+++ b/src/jobs/handover.rs
@@ -1,9 +1,9 @@
 //! The record that an owner leaves to the next one when it hands over its pool: all tasks that may
 //! run at its workers.
 //!
-//! The owner sends no orders any more, so the record is exact, whereas the roster only says that
-//! anything may run. It is valid only for the very next owner: another owner in between may have
-//! sent orders.
+//! The owner sends no orders any more, so the record is exact, whereas the roster alone does not
+//! show which tasks may run. It is valid only for the very next owner: another owner in between may
+//! have sent orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/jobs/tests/crashes/isolated_retries.rs
+++ b/src/jobs/tests/crashes/isolated_retries.rs
@@ -1,9 +1,9 @@
 //! Isolated retries that are announced at all workers, and a more urgent job.
 //!
-//! The pool deadlocked with all its workers empty. Every worker was reserved for the isolated retry
-//! of a task. A more urgent job found no worker just before the retries started, the plan concluded
-//! that there were no resources for any task of that size, and skipped the retries as well, in each
-//! plan.
+//! Guards against a deadlock of a pool with all its workers empty. Every worker was reserved for
+//! the isolated retry of a task. A more urgent job found no worker just before the retries started,
+//! so the plan concluded that there were no resources for any task of that size and skipped the
+//! retries as well. The same happened in each later plan.
 
 use super::pool::Pool;
 use crate::{
@@ -11,8 +11,9 @@
     model::job::{JobState, Step},
 };
 
-/// Longer than both jobs take, and shorter than the second job remains more urgent.
-const BOTH_MS: u64 = 5_000;
+/// Longer than both jobs take together, and shorter than the time for which the second job remains
+/// the more urgent one, in milliseconds.
+const BOTH_JOBS_MS: u64 = 5_000;
 
 /// `number` consecutive steps of `count` tasks, each on a different worker.
 fn steps(number: u32, count: u32) -> Vec<Step> {
@@ -40,7 +41,7 @@
         }
         // With fewer steps it has less slack than the other job.
         let urgent = pool.submit(vec![step(1), Step { after: vec![0], ..step(1) }]);
-        pool.run(BOTH_MS);
+        pool.run(BOTH_JOBS_MS);
         assert_eq!(pool.status(urgent), Some(JobState::Succeeded));
         assert_eq!(pool.status(suspects), Some(JobState::Succeeded));
     }
--- a/src/jobs/tests/crashes/pool.rs
+++ b/src/jobs/tests/crashes/pool.rs
@@ -20,7 +20,7 @@
     },
 };
 
-/// The step of the simulated time.
+/// The simulated time of one round.
 const ROUND_MS: u64 = 10;
 
 /// The duration of a task that is not long-running.
@@ -29,7 +29,7 @@
 /// How long after its start a task crashes its worker.
 const CRASH_DELAY_MS: u64 = 10;
 
-/// How long after its sending an order to a host that is down fails.
+/// The time from sending an order to a host that is down until the order fails.
 const NO_ANSWER_MS: u64 = 300;
 
 /// How long the pool has no owner between two owners.
@@ -62,9 +62,9 @@
 
 struct Host {
     process: Process,
-    /// When it is up again, if it is down.
+    /// If the host is down: when it is up again.
     up_at: Option<u64>,
-    /// When a run crashes it, and the run's task.
+    /// When a run is going to crash the host, and the run's task.
     next_crash: Option<(u64, TaskId)>,
 }
 
@@ -465,8 +465,8 @@
     }
 }
 
-/// The report of an incarnation under the name of its host's worker. The wall clock has jumped back
-/// for each third one.
+/// The report of an incarnation under the name of its host's worker. For every third incarnation,
+/// the wall clock has jumped back.
 fn report_of(host: usize, process: u32, now: u64) -> WorkerReport {
     let born = if process.is_multiple_of(3) { 500_000 - now } else { 1_000_000 + now };
     report(&format!("w{host}@{born}"), &format!("h{host}"))
--- a/src/jobs/tests/roster.rs
+++ b/src/jobs/tests/roster.rs
@@ -105,7 +105,7 @@
     harness.poll("w1", vec![], vec![]);
     harness.deliver(Event::Job(stored(1, vec![step(1)], 110)));
     harness.work();
-    assert_eq!(harness.take_starts(), vec![], "the write may be done at any time");
+    assert_eq!(harness.take_starts(), vec![], "the write may still be committed at any time");
     harness.roster_persisted(&silent);
     harness.work();
     assert_eq!(harness.take_starts(), vec![], "a later owner would not expect tasks there");
--- a/src/jobs/urgency.rs
+++ b/src/jobs/urgency.rs
@@ -7,8 +7,7 @@
 /// The weight of the newest duration in the moving average of a queue, in percent.
 const NEWEST_WEIGHT_PERCENT: u64 = 10;
 
-/// A job that ends within this multiple of its objective still has a value, by the rules of the
-/// deployment.
+/// A job that ends within this multiple of its objective still has value to its caller.
 const LATE_FACTOR: u64 = 3;
 
 /// Moving averages of task durations, in milliseconds, by queue.
@@ -47,8 +46,8 @@
     priority: u32,
     /// 0: long-running or in time; 1: late, but still of value; 2: too late to be of value.
     lateness: u32,
-    /// How long the remaining work can be delayed so that the job ends in time, in milliseconds;
-    /// negative if it is late.
+    /// How long the remaining work can be delayed with the job still ending in time, in
+    /// milliseconds; negative if the job is late.
     slack: i64,
 }
 
