--- a/src/jobs/tests/fuzz/network.rs
+++ b/src/jobs/tests/fuzz/network.rs
@@ -22,7 +22,7 @@
 const MAX_ANSWER_DELAY_MS: u64 = 3_000;
 
 /// How late workers end their runs after their lease has expired, in milliseconds: the maximum that
-/// an owner allows for, less one step of simulated time, at the end of which they do it.
+/// an owner allows for, less one step of simulated time, since runs end only at the end of a step.
 const EXPIRY_LAG_MS: u64 = EXPIRY_DELAY_MS - 25;
 
 /// Longer than any of these tests runs, in milliseconds.
@@ -195,8 +195,8 @@
 /// A task must not run twice after a zone is cut off. The earlier owner no longer reaches the store
 /// and the task's worker; a later owner adopts the run and renews the worker's lease. In its grace
 /// period, 3.9 s after the last answer of the silent worker, the earlier owner must not assume that
-/// the lease has expired and start the task on a worker that the later owner does not reach. Seed
-/// 20011, shortened by hand.
+/// the lease has expired and start the task on a worker that the later owner does not reach. This
+/// is a shortened form of the fuzz test with seed 20011.
 #[test]
 fn an_earlier_owner_does_not_assume_that_the_lease_of_a_silent_worker_has_expired() {
     let mut simulation = Simulation::new(0);
--- a/src/model/host.rs
+++ b/src/model/host.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// How a plan ended with a host.
+/// The outcome of a plan for one host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum HostOutcome {
@@ -63,12 +63,12 @@
 const MAX_OUTCOMES: usize = 8;
 
 impl HostRecord {
-    /// How a plan ended with this host, if it has ended.
+    /// The outcome of a plan for this host, if the plan is done with the host.
     pub(crate) fn outcome(&self, plan: &PlanId) -> Option<&HostOutcome> {
         self.ended.iter().rev().find(|(id, _)| id == plan).map(|(_, outcome)| outcome)
     }
 
-    /// Records that a plan has ended with this host.
+    /// Records the outcome of a plan for this host, and releases the host from its plan.
     pub(crate) fn record_outcome(&mut self, plan: &PlanId, outcome: HostOutcome) {
         self.plan = None;
         self.ended.push((plan.clone(), outcome));
--- a/src/model/worker.rs
+++ b/src/model/worker.rs
@@ -23,7 +23,8 @@
 }
 
 impl WorkerReport {
-    /// A placeholder for a worker of which only its id and pool are known: it has no address.
+    /// A placeholder for a worker of which only the id and the pool are known: its name also stands
+    /// for its host, and it has no address.
     pub(crate) fn placeholder(id: &Incarnation, pool: &str) -> Result<WorkerReport, IdError> {
         Ok(WorkerReport {
             id: id.clone(),
