--- a/src/decide/simulate.rs
+++ b/src/decide/simulate.rs
@@ -32,7 +32,7 @@
 pub(crate) enum Event {
     /// A leaving host has no requests in flight.
     Quiet(HostId, Epoch),
-    /// The endpoint of a task's start answers.
+    /// The endpoint of this start of a task answers.
     Ready(TaskRef, u64),
     /// A host has finished its reboot.
     Rebooted(HostId, Epoch),
@@ -77,7 +77,8 @@
     /// The same if each has its own spare capacity: the sum of the two.
     pub(crate) separate_buffer: u64,
     pub(crate) services: BTreeMap<ServiceId, ServicePeaks>,
-    /// Leaves after which losing a service's largest failure domain would have exceeded its budget.
+    /// How often, after a host had left, the loss of a service's largest failure domain would have
+    /// exceeded the service's budget.
     pub(crate) voluntary_breaches: u32,
     /// Observations of a service that exceeded its budget, for any reason.
     pub(crate) breaches: u32,
@@ -375,8 +376,8 @@
         });
     }
 
-    /// Records the peak values of every service. With `left_host`, called right after that host has
-    /// left: its services must still be able to lose their largest failure domain.
+    /// Records the peak values of every service. With `left_host`, which has just left, also counts
+    /// the services on it that can no longer lose their largest failure domain within their budget.
     fn record_peaks(&mut self, left_host: Option<&HostId>) {
         let leaving = left_host.map(|host| budget::services_on(&self.fleet, host));
         let out: u64 = self.displaced.values().sum();
--- a/src/decide/tests.rs
+++ b/src/decide/tests.rs
@@ -141,8 +141,8 @@
     plan.pools.keys().flat_map(|pool| wave::advance(&context, plan, pool).0).collect()
 }
 
-/// With a stale host list every task counts as down already, so a host could leave without using
-/// any budget.
+/// Guards against a host leaving without using any budget: with a stale host list, every task
+/// counts as down already.
 #[test]
 fn stale_host_list_prevents_leave() {
     let (fleet, rules, plan, host) = fleet_with_closing_host();
--- a/src/decide/wave.rs
+++ b/src/decide/wave.rs
@@ -64,7 +64,7 @@
     RackReserve,
 }
 
-/// The first batch of a frugal plan has one in this many of its hosts.
+/// The first batch of a frugal plan holds one host for this many hosts of the plan.
 const FIRST_BATCH_DIVISOR: u32 = 10;
 
 /// Inputs for computing a plan's next steps.
@@ -84,7 +84,8 @@
     pool: &PoolId,
 ) -> (Vec<Step>, BTreeMap<HostId, WaitReason>) {
     let Some(part) = plan.pools.get(pool) else { return Default::default() };
-    // Without a current host list all tasks count as down, and taking them would use no budget.
+    // Without a current host list all tasks count as down, so taking out their hosts would use no
+    // budget.
     if !context.fleet.is_list_fresh(context.now, context.rules.list_limit) {
         let waiting = part.hosts().map(|host| (host.clone(), WaitReason::StaleHostList)).collect();
         return (Vec::new(), waiting);
