--- a/src/jobs/urgency.rs
+++ b/src/jobs/urgency.rs
@@ -7,7 +7,8 @@
 /// The weight of the newest duration in the moving average of a queue, in percent.
 const NEWEST_WEIGHT_PERCENT: u64 = 10;
 
-/// A job that ends within this multiple of its objective still has value to its caller.
+/// A job that ends within this multiple of its objective still has a value, by the rules of the
+/// deployment.
 const LATE_FACTOR: u64 = 3;
 
 /// Moving averages of task durations, in milliseconds, by queue.
--- a/src/scheduler/control_loop.rs
+++ b/src/scheduler/control_loop.rs
@@ -62,15 +62,17 @@
 /// more than the orders.
 const MIN_TICK_PAUSE: Duration = Duration::from_millis(4);
 
-/// The pause after an iteration is at least this many times as long as the iteration. Decisions
-/// thus take at most a quarter of the node's time, and the rest is left for calls, messages and
-/// callers. An owner of 900 workers takes some 3 ms per iteration on half a core.
+/// The pause after an iteration is at least this many times as long as the iteration, up to
+/// `MAX_TICK_PAUSE`. Decisions thus take at most a quarter of the node's time, and the rest is left
+/// for calls, messages and callers. An owner of 900 workers takes about 3 ms per iteration on half
+/// a core.
 const TICK_PAUSE_FACTOR: u32 = 3;
 
-/// Maximum pause between two iterations while inputs wait. When a task ends, the next one waits
-/// this long, and most tasks take 0.8 s. With 250 ms, which limited decisions to a quarter of the
-/// time even at 80 ms per iteration, a day of 1,100 hosts scored 0.259, against 0.575 with 60 ms
-/// (one run each, side by side). Plans of the fleet can take longest and have a limit of their own.
+/// Maximum pause between two iterations while inputs wait. When a task ends, its successor waits up
+/// to this long, and most tasks take only 0.8 s. A maximum of 250 ms limits decisions to a quarter
+/// of the time even at 80 ms per iteration, but a day of 1,100 hosts then scored 0.259, against
+/// 0.575 with 60 ms (one run each). Plans of the fleet can take longest and have a limit of their
+/// own.
 const MAX_TICK_PAUSE: Duration = Duration::from_millis(60);
 
 /// Interval between log summaries of the owned pools, in milliseconds.
@@ -288,7 +290,7 @@
     }
 
     /// Drops all ownerships whose lease has ended. Runs before anything else: another node may have
-    /// acquired them, and relies on how long this node may continue.
+    /// acquired them, and relies on this node not acting as the owner any longer.
     fn drop_expired(&mut self, now: Steady) {
         let is_valid = |name: &str, token: u64, tenure: &Tenure| {
             let is_valid = tenure.allows_orders(now);
@@ -385,7 +387,8 @@
         }
     }
 
-    /// Takes over what was won, once the view has reached the revision of the write that won it.
+    /// Takes over each ownership that was won, once the view has reached the revision of the write
+    /// that won it.
     fn take_over(&mut self, now: Now) {
         let view = self.node.view();
         let visible: Vec<String> = self
@@ -501,6 +504,6 @@
 }
 
 pub(crate) fn json<T: serde::Serialize>(value: &T) -> Vec<u8> {
-    // Our records contain nothing that cannot be written as JSON.
+    // The records contain nothing that cannot be written as JSON.
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/src/scheduler/control_loop/acquire.rs
+++ b/src/scheduler/control_loop/acquire.rs
@@ -142,7 +142,7 @@
 
     /// Releases the ownership of a unit of work, so that another node acquires it.
     pub(super) fn release_ownership(&mut self, name: String, now: Now) {
-        // Other nodes go first, even if this one sees the release before them.
+        // Other nodes may acquire it first, even if this one sees the release before them.
         let not_before = now.steady.after(ACQUIRE_RETRY_MS);
         let vacancy = Vacancy { since: now.steady, acquiring: false, not_before };
         if let Some(owned) = self.owned.remove(&name) {
@@ -150,8 +150,8 @@
             self.release_pool(name, &owned, now);
         } else if let Some(owned) = self.fleet.take_if(|_| name == keys::FLEET) {
             let token = owned.fleet.token;
-            // Host calls whose records are being written are not made: the next owner may have
-            // acquired the work before.
+            // A host call is made only after its record was written. Calls whose records are still
+            // being written are not made: the next owner may have acquired the work by then.
             owned.tenure.note_ended();
             log::info!("owner {name}: given back: token {token}");
             self.vacant.insert(name.clone(), vacancy);
@@ -226,15 +226,15 @@
         let node = self.node.clone();
         let key = keys::node(node.settings.node.as_str());
         tokio::spawn(async move {
-            // Work goes to nodes that stay.
+            // Without the record of this node, its work goes to nodes that stay.
             if let Err(error) = node.kv.commit(&Txn::default().remove(key)).await {
                 log::warn!("node {}: its record was not removed: {error}", node.settings.node);
             }
         });
     }
 
-    /// Releases a pool with a handover record of the tasks that may run, so that waiting tasks do
-    /// not wait for workers that the next owner cannot reach.
+    /// Releases a pool with a handover record of the tasks that may run, so that the other waiting
+    /// tasks need not wait for workers that the next owner cannot reach.
     fn release_pool(&self, name: String, owned: &OwnedPool, now: Now) {
         // Pending orders are not sent any more, but the handover record still includes them.
         owned.tenure.note_ended();
--- a/src/scheduler/control_loop/publish.rs
+++ b/src/scheduler/control_loop/publish.rs
@@ -22,7 +22,7 @@
 /// milliseconds: an accepted job is visible on every node within that time.
 const ABSENT_JOB_MS: u64 = 3_000;
 
-/// After this time the record of a drained host is written again if the view does not have it, in
+/// Time after which the record of a drained host is written again if the view does not show it, in
 /// milliseconds.
 const DRAINED_REPEAT_MS: u64 = 700;
 
@@ -130,8 +130,9 @@
     }
 
     /// Notifies the owner of unknown jobs that are over, among those whose ends workers list. A job
-    /// with unreadable records is not over: it may become readable. Nor is a job that is absent
-    /// from a view older than the listing of the end: it was accepted before that.
+    /// with unreadable records is not over: it may become readable. A job that is absent from a
+    /// view is not over either if the view is older than the listing of the end: the job may have
+    /// been accepted between the two.
     pub(super) fn resolve_unknown_jobs(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get(name) else {
             return;
@@ -175,8 +176,8 @@
         self.write_hint(name, token, tenure, keys::usage(name), value);
     }
 
-    /// The same for the fleet's work. It has no queues: the written record is empty and adds
-    /// nothing to the counts for callers.
+    /// Like `request_confirmation`, for the fleet's work. It has no queues: the written record is
+    /// empty and adds nothing to the counts for callers.
     pub(super) fn request_fleet_confirmation(&mut self, now: Now) {
         let Some(owned) = self.fleet.as_ref().filter(|owned| owned.tenure.is_unconfirmed()) else {
             return;
--- a/src/scheduler/control_loop/tests/stale_view.rs
+++ b/src/scheduler/control_loop/tests/stale_view.rs
@@ -234,9 +234,9 @@
     assert!(!orders.allows_orders(harness.now.steady), "an order to a worker");
 }
 
-/// The report of a pool whose counts did not change was repeated so rarely that it was too old for
-/// half a second of each pause at nodes that sum reports: their watch waits for half a second, and
-/// the next one is sent as long after it.
+/// A report whose counts did not change was repeated so rarely that nodes that sum reports had only
+/// one that was too old for half a second of each interval. Their watch waits for up to half a
+/// second, and the next watch is sent after a pause of the same length.
 #[test]
 fn a_report_is_renewed_before_it_is_too_old_on_other_nodes() {
     const WATCH_MS: u64 = 500;
