--- a/src/scheduler/accept.rs
+++ b/src/scheduler/accept.rs
@@ -109,8 +109,8 @@
         batch.sort_by_key(|acceptance| acceptance.id);
         batch.dedup_by(|later, earlier| later.id == earlier.id && reject_duplicate(later, earlier));
         for acceptance in &batch {
-            // The job's name is unique across pools, since its queue may lead to another pool
-            // later.
+            // The key of a job's id is the same in all pools, since its queue may lead to another
+            // pool later.
             let (id, pool) = (keys::id(acceptance.id), acceptance.pool.to_string());
             txn = txn
                 .expect(id.clone(), Revision(0))
@@ -141,7 +141,7 @@
 }
 
 /// Answers the later of two callers that submitted the same job at the same time: the outcome is
-/// unknown, and the caller is to ask again.
+/// reported as unknown, and the caller has to ask again.
 fn reject_duplicate(later: &mut Acceptance, _: &mut Acceptance) -> bool {
     let (reply, _) = oneshot::channel();
     let reply = std::mem::replace(&mut later.reply, reply);
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -23,11 +23,11 @@
 /// How long the ownership of a node that does not renew its lease lasts.
 const TTL: Duration = Duration::from_millis(LEASE_MS);
 
-/// How often the lease is renewed: three attempts fit into its time.
+/// How often the lease is renewed: three attempts fit into its time to live.
 const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long before the lease's end the node stops acting on it, in milliseconds: sending an order
-/// takes a few.
+/// takes a few milliseconds.
 const MARGIN_MS: u64 = 200;
 
 /// Delay after a failed call.
@@ -42,7 +42,7 @@
 /// An interval in which the lease may have expired.
 #[derive(Debug, Clone, Copy)]
 struct Gap {
-    /// Until when it held for certain.
+    /// Until when the lease held for certain.
     until: Steady,
     /// When the answer to the renewal was received. A write that was sent earlier may have been
     /// executed before the renewal, and confirms nothing about the gap.
@@ -56,8 +56,8 @@
     /// Gaps before renewals that came when the lease may have expired: another node may have
     /// acquired the work meanwhile.
     gaps: Vec<Gap>,
-    /// Ownership that was not confirmed since then is over, even if the lease is renewed: the grace
-    /// period of a gap that ended there has passed.
+    /// Ownership that was last confirmed before this time is over, even if the lease is renewed: the
+    /// grace period of a gap that ended at this time has passed.
     barrier: Steady,
     /// Whether the last renewal failed.
     failing: bool,
@@ -98,12 +98,12 @@
         state.failing = false;
     }
 
-    /// Records that it could not be renewed, or not for certain.
+    /// Records that the lease was not renewed, or that it is unknown whether it was.
     pub(crate) fn note_failed(&self) {
         self.state().failing = true;
     }
 
-    /// Records that the store has reported it as expired.
+    /// Records that the store has reported the lease as expired.
     pub(crate) fn note_ended(&self) {
         self.state().last = None;
     }
@@ -117,8 +117,8 @@
 /// the node acquires later does not show whether another node has acquired the work meanwhile.
 ///
 /// Three questions, from the strictest to the most lenient:
-/// - [`Tenure::confirmed`]: up to when is it certain that no other node had acquired it? Conclusions
-///   from elapsed time are valid up to then.
+/// - [`Tenure::confirmed`]: up to when is it certain that no other node had acquired the work?
+///   Conclusions from elapsed time are valid up to then.
 /// - [`Tenure::holds`]: is the lease held now, by the node's clock? Calls that change hosts need
 ///   this, and each follows a write of its own.
 /// - [`Tenure::allows_orders`]: may orders be sent to workers, which reject those of earlier owners
@@ -127,12 +127,12 @@
 pub(crate) struct Tenure {
     lease: Arc<Lease>,
     id: LeaseId,
-    /// When it was acquired.
+    /// When the ownership was acquired.
     since: Steady,
     /// When the last successful write with this ownership as a condition was sent, in milliseconds
     /// of the steady clock.
     confirmed: Arc<AtomicU64>,
-    /// Whether the store has reported it as over.
+    /// Whether the store has reported the ownership as over, or the node has released it.
     ended: Arc<AtomicBool>,
 }
 
@@ -149,12 +149,12 @@
         self.confirmed.fetch_max(sent.since(Steady::default()), Ordering::AcqRel);
     }
 
-    /// Records that the store has reported it as over.
+    /// Records that the store has reported the ownership as over, or that the node releases it.
     pub(crate) fn note_ended(&self) {
         self.ended.store(true, Ordering::Release);
     }
 
-    /// Until when it has lasted for certain.
+    /// The time up to which the ownership has lasted for certain.
     pub(crate) fn confirmed(&self) -> Steady {
         Steady::from_millis(self.confirmed.load(Ordering::Acquire))
     }
@@ -166,12 +166,13 @@
         self.lease.state().gaps.iter().any(|gap| confirmed < gap.renewed)
     }
 
-    /// Whether it was last confirmed before `moment`, when the node may have missed its end.
+    /// Whether the ownership was last confirmed before `moment`, when the node may have missed its
+    /// end.
     pub(crate) fn is_unconfirmed_since(&self, moment: Steady) -> bool {
         self.confirmed() < moment
     }
 
-    /// Whether it lasts for certain.
+    /// Whether the ownership lasts for certain.
     pub(crate) fn holds(&self, now: Steady) -> bool {
         self.lease.held(now) == Some(self.id) && !self.ended.load(Ordering::Acquire)
     }
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -32,15 +32,15 @@
     /// The minimum time between two answers of its watch, so that many small changes come in few
     /// answers: each has a cost.
     pause: Duration,
-    /// The same at a node that owns work: each host that changes pools takes four updates in
-    /// sequence to the owners, and work that could still end in time waits meanwhile.
+    /// The same at a node that owns work: each host that changes pools takes four successive updates
+    /// of the owners, and work that could still end in time waits meanwhile.
     owner_pause: Duration,
     /// How long a watch waits for a change: while nothing changes, the view of the prefix gets as
     /// old as this plus a pause.
     wait: Duration,
-    /// Whether the prefix is read again when its watch was lost. The changes meanwhile may be many
+    /// Whether the prefix is read again when its watch is lost. The changes since then may be many
     /// versions of one large configuration, too much for a slow link within the time of a watch,
-    /// and only the newest is needed.
+    /// and only the newest version is needed.
     rereads_on_loss: bool,
 }
 
@@ -93,16 +93,16 @@
 const WATCH_WAIT: Duration = Duration::from_millis(800);
 
 /// The same for records from which callers are answered: an answered watch covers what was written
-/// before it was sent, and two of them with their pauses stay well within the allowed age of an
-/// answer. On a site with work, a change ends the wait much earlier.
+/// before it was sent, and two watches with their pauses stay well within the allowed age of an
+/// answer. Where there is work, a change ends the wait much earlier.
 const COUNTS_WATCH_WAIT: Duration = Duration::from_millis(500);
 
 /// The minimum time between two answers of an owner's own watch.
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(8);
 
 /// The minimum number of changes to apply at once, about as many as the store sends in one answer.
-/// A large deployment has 10,000 and more, which locked the view for 25 ms on a whole core when
-/// applied in one step.
+/// The first read of a large deployment has 10,000 and more, which would lock the view for 25 ms of
+/// a whole core if they were applied in one step.
 pub(super) const MIN_SLICE: usize = 512;
 
 /// Delay after a failed call.
@@ -149,7 +149,8 @@
     inputs: &mpsc::UnboundedSender<Input>,
 ) {
     let (prefix, inputs) = (keys::work(name), inputs.clone());
-    // The owner already got the changes that the mirror had applied when it took the work up.
+    // The owner already got the changes that the mirror had applied when the node took over the
+    // work.
     let mut view = node.view();
     let since = view.known_revision.max(Revision(token));
     let source = view.key_revisions.add_source(&prefix, since);
@@ -282,9 +283,9 @@
     }
 }
 
-/// The pause after an answer of a prefix's watch. After an answer that may be cut there is none:
-/// with one of 120 ms a node applied at most 3,125 changes a second, and a stale view never caught up
-/// with the store.
+/// The pause after an answer of a prefix's watch. After an answer that may be truncated there is
+/// none: with a pause of 120 ms, a node applied at most 3,125 changes a second, and a stale view
+/// never caught up with the store.
 pub(super) fn pause_after(answer: &WatchBatch, prefix: &Prefix, owns: bool) -> Duration {
     match (answer.may_be_truncated(), owns) {
         (true, _) => Duration::ZERO,
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -4,8 +4,8 @@
 //! the call was sent. And a source that has reported everything up to a revision misses nothing
 //! that was written before the store was known to be at that revision. So a prefix is known as of
 //! the last moment at which any answer showed the store at a revision that the prefix has reached.
-//! Besides, an answered watch covers what was written before it was sent, unless its answer was cut
-//! short: then it ends below a revision that was known when it was sent.
+//! In addition, an answered watch covers what was written before it was sent, unless its answer was
+//! cut short: then it ends below a revision that was known when it was sent.
 //!
 //! An answer counts once its changes were applied.
 
@@ -23,8 +23,8 @@
 /// The minimum time between two recorded moments, in milliseconds.
 const MOMENT_INTERVAL_MS: u64 = 50;
 
-/// Most recorded moments: at their interval more than six seconds, longer than the maximum age of
-/// any view in use.
+/// Maximum number of recorded moments: at their interval they cover more than six seconds, longer
+/// than the maximum age of any view in use.
 const MAX_MOMENTS: usize = 128;
 
 /// The maximum age of the records from which a node counts waiting jobs or plans for the fleet, in
@@ -32,12 +32,12 @@
 /// within 1.2 s, which leaves time for a slow store.
 pub(crate) const MAX_RECORDS_AGE_MS: u64 = 2_000;
 
-/// The maximum age of the records by which a job is reported as not ended, in milliseconds: beyond
-/// that the store is read, as by nodes that do not mirror jobs.
+/// The maximum age of the records by which a job is reported as not ended, in milliseconds: if they
+/// are older, the store is read, as on nodes that do not mirror jobs.
 pub(crate) const MAX_STATE_AGE_MS: u64 = 1_000;
 
 /// The maximum age of an owner's report of waiting jobs that is counted, in milliseconds: owners
-/// renew it each second, and it is received within another half.
+/// renew it each second, and it is received within another half second.
 pub(crate) const MAX_REPORT_AGE_MS: u64 = 2_000;
 
 /// The maximum age of the revision up to which an owner's report of waiting jobs is complete, in
@@ -77,15 +77,15 @@
 pub(crate) enum Extent {
     /// It has all changes up to a revision.
     Changes(Revision),
-    /// The same, but later changes may have been left out for their number: it gives no point in
-    /// time.
+    /// It has all changes up to a revision. There may be more than fit into one answer, so it shows
+    /// nothing about a moment.
     Truncated(Revision),
     /// Nothing has changed up to a revision, nor until a moment.
     Unchanged(Revision, Steady),
 }
 
 impl Extent {
-    /// How far the answer of a watch reaches that could wait for a change for `wait`.
+    /// How far the answer of a watch reaches. `wait` is how long the watch was to wait for a change.
     pub(crate) fn of_watch(
         call: CallStart,
         wait: Duration,
@@ -180,7 +180,8 @@
         reached.as_of.max(self.last_moment(reached.at))
     }
 
-    /// How long ago that was, in milliseconds.
+    /// The age of the view of a prefix, in milliseconds: the time since the moment of
+    /// [`Ages::as_of`].
     pub(crate) fn age_ms(&self, prefix: &str, now: Steady) -> Option<u64> {
         Some(now.since(self.as_of(prefix)?))
     }
