--- a/src/scheduler/tests.rs
+++ b/src/scheduler/tests.rs
@@ -33,7 +33,7 @@
     scheduler::{control_loop::json, keys, view::View},
 };
 
-/// How long a test waits for a condition. No test passes or fails by time otherwise.
+/// How long a test waits for a condition. Tests depend on elapsed time only through this limit.
 const TIMEOUT: Duration = Duration::from_secs(60);
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -60,8 +60,8 @@
     Change { key, revision: Revision(revision), value: Some(value.into()) }
 }
 
-/// A prefix that is read in pages is watched from its first page on: the watch repeats changes that
-/// a later page has shown already, older ones first.
+/// A prefix that is read in pages is watched from the revision of its first page: the watch repeats
+/// changes that a later page has already shown, older ones first.
 #[test]
 fn repeated_older_changes_do_not_revert_progress() {
     let mut view = View::default();
--- a/src/scheduler/tests/demand.rs
+++ b/src/scheduler/tests/demand.rs
@@ -91,7 +91,7 @@
     assert_eq!((demand.cpu, demand.late_cpu, demand.finite), (40_000, 0, false));
 }
 
-/// A view with so many jobs of two steps.
+/// A view with `jobs` jobs of two steps each.
 fn view_of(jobs: u64) -> View {
     let mut view = View::default();
     for number in 0..jobs {
@@ -236,7 +236,7 @@
     });
 }
 
-/// The demand of each pool, by going through each step of each job.
+/// The demand of each pool, computed anew from each step of each job.
 fn recomputed(view: &View, config: &QueueConfig, wall: Time) -> BTreeMap<PoolId, Demand> {
     let mut demands: BTreeMap<PoolId, Demand> =
         config.pools.keys().map(|pool| (pool.clone(), Demand::default())).collect();
--- a/src/scheduler/tests/link_failures.rs
+++ b/src/scheduler/tests/link_failures.rs
@@ -26,7 +26,8 @@
 /// Results of orders as the owner gets them: of a start with its run, of a poll with 0.
 type Results = mpsc::UnboundedReceiver<(u32, &'static str)>;
 
-/// Repetitions of a race between two events, in either order of which the test must hold.
+/// How often a race between two events is repeated. The test must pass in whichever order they
+/// happen.
 const TRIES: u32 = 30;
 
 fn to() -> Addressee {
@@ -139,8 +140,8 @@
     );
 }
 
-/// While a link is backing off, and after, no order that was reported as unsent reaches the
-/// delegate.
+/// No order that was reported as unsent reaches the delegate, neither while its link is backing off
+/// nor afterwards.
 #[tokio::test]
 async fn a_start_over_a_link_that_is_backing_off_is_never_read() {
     let (listener, mut owner) = delegate().await;
@@ -158,7 +159,8 @@
     assert_eq!(read(&mut link, &mut WorkerTable::default()).await, Some(vec![3]));
 }
 
-/// The delegate is paused after the link was opened, is given up, and resumes.
+/// The delegate is paused after the link was opened. Its owner gives up waiting for it, and then it
+/// resumes.
 #[tokio::test]
 async fn a_start_that_a_paused_delegate_reads_later_is_unknown() {
     let (listener, mut owner) = delegate().await;
--- a/src/scheduler/tests/links.rs
+++ b/src/scheduler/tests/links.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Orders that waited for a link to open were sent even if their ownership had ended meanwhile: it
-/// was checked before sending only for calls that a node makes itself.
+/// Orders that waited for a link to open were sent even if their ownership had ended meanwhile: the
+/// ownership was checked before sending only for calls that a node makes itself.
 #[tokio::test]
 async fn an_order_that_waits_for_its_link_is_not_sent_once_its_ownership_has_ended() {
     let (tokens, mut received) = mpsc::unbounded_channel();
--- a/src/scheduler/tests/plan_interval.rs
+++ b/src/scheduler/tests/plan_interval.rs
@@ -11,8 +11,8 @@
     next_plan(PLAN_START, Duration::from_millis(took)).since(PLAN_START)
 }
 
-/// Plans that took 100 ms were made ten times a second: the node that also answered callers and
-/// applied the store's changes did nothing else, and its view was 6 to 9 s old.
+/// Plans that took 100 ms were made ten times a second. The node had no time left to answer callers
+/// and to apply the store's changes, and its view was 6 to 9 s old.
 #[test]
 fn plans_take_at_most_a_quarter_of_the_time_whatever_one_takes() {
     for took in [30, 100, 400, 3_000] {
