--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -64,7 +64,7 @@
     }
 }
 
-/// Priority of a write when there are more than the store accepts.
+/// Priority of a write when there are more writes than the store accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Priority {
     /// Claims of requests: other writes wait for at most one claim of each bucket.
@@ -145,7 +145,7 @@
 type WatchFn =
     dyn Fn(String, Revision) -> BoxFuture<'static, Result<WatchStream, StoreError>> + Send + Sync;
 
-/// The store as two functions, all that an implementation for another store has to provide.
+/// The store as two functions. An implementation for another store has to provide only these.
 #[derive(Clone)]
 pub(crate) struct Store {
     call: Arc<CallFn>,
--- a/src/platform/worker_client.rs
+++ b/src/platform/worker_client.rs
@@ -24,8 +24,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of an order. Workers answer within milliseconds, and a node that has used up its
-/// processor time is paused for at most 100 ms. A run is not started elsewhere until the result of
-/// its order is known, so a job waits for this timeout.
+/// processor time is paused for at most 100 ms. A longer timeout would delay jobs: a run is not
+/// started elsewhere until the result of its order is known.
 pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of a poll beyond its own wait, for the same reasons.
@@ -123,7 +123,7 @@
         WorkerClient { connections, call_limits: CallLimits::default(), timeout }
     }
 
-    /// Starts a run. Succeeds also if the run already exists.
+    /// Starts a run. Also succeeds if the run already exists.
     pub(crate) async fn start(&self, to: &Addressee, start: &Start) -> OrderResult<u64> {
         let body = WireStart {
             task: start.task.to_string(),
@@ -137,7 +137,7 @@
         clock_result(self.order(to, "run-start", &body, self.timeout).await)
     }
 
-    /// Stops a run. If the run has not arrived yet, the worker will refuse it.
+    /// Stops a run. If the order that starts it arrives later, the worker refuses that order.
     pub(crate) async fn stop(&self, to: &Addressee, task: TaskId, run: u32) -> OrderResult<u64> {
         let body = WireStop { task: task.to_string(), run, fencing_token: to.token };
         clock_result(self.order(to, "run-stop", &body, self.timeout).await)
--- a/src/preset.rs
+++ b/src/preset.rs
@@ -39,7 +39,7 @@
 const TASK: Resources =
     Resources { cores: Millicores(8_000), memory: Megabytes(24 * 1024), accelerators: 0 };
 
-/// Returns a user's preset by its name.
+/// The preset of a user's fleet, by its name.
 pub(crate) fn by_name(name: &str) -> Option<Preset> {
     match name {
         "tyrehub" => Some(tyrehub()),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -48,7 +48,7 @@
 
 impl std::error::Error for Problems {}
 
-/// Parses a file's text with `read`, which receives its outermost object.
+/// Parses a file's text with `read`, which receives the outermost object.
 pub(super) fn read<T>(
     file: &str,
     text: &str,
