--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -28,8 +28,8 @@
     platform::store::Entry,
 };
 
-/// Maximum number of messages queued for a slow link. More are dropped; the peer then receives the
-/// missing records because of its heartbeats.
+/// Maximum number of messages queued for a slow link. Further ones are dropped; the peer's
+/// heartbeats then show which records it lacks, and it is sent those.
 const LINK_QUEUE_LEN: usize = 64;
 const MAX_MESSAGE_BYTES: usize = 64 << 20;
 /// Timeout for opening a link.
@@ -54,19 +54,19 @@
     pub(crate) through: u64,
     /// Time since the view was compared with the store.
     pub(crate) age: Duration,
-    /// Hosts that do not serve according to the view of this node, with its requests in flight
-    /// there.
+    /// Hosts that do not serve according to the view of the node, with the node's requests in
+    /// flight there.
     pub(crate) leaving: Vec<LeaveAck>,
     /// Requests in flight by service and class.
     pub(crate) busy: Vec<(ServiceId, [u32; 3])>,
     /// Recent demand in requests per second, by team.
     pub(crate) demand: Vec<(TeamId, u32)>,
-    /// Recent demand in writes of the store per second.
+    /// Recent demand in writes to the store per second.
     pub(crate) writes: u32,
 }
 
 impl Heartbeat {
-    /// Whether it contains nothing that other nodes currently depend on.
+    /// Whether the heartbeat contains nothing that other nodes currently depend on.
     fn is_idle(&self) -> bool {
         self.leaving.is_empty() && self.busy.is_empty() && self.demand.is_empty()
     }
@@ -168,7 +168,7 @@
         counts.flatten().sum()
     }
 
-    /// Demand of other nodes in writes of the store per second.
+    /// Demand of other nodes in writes to the store per second.
     fn write_demand(&self, now: Time) -> u32 {
         let state = self.lock();
         let live = state.peers.values().filter(|peer| now.since(peer.received_at) < IDLE_TIMEOUT);
@@ -185,7 +185,8 @@
     fn send(&self, to: &[SocketAddr], message: &Message) {
         let state = self.lock();
         for link in to.iter().filter_map(|address| state.links.get(address)) {
-            // A full queue belongs to a slow link: the peer's heartbeats show what it lacks.
+            // A message that does not fit into the queue of a slow link is dropped: the peer's
+            // heartbeats show what it lacks.
             let _ = link.try_send(message.clone());
         }
     }
@@ -221,7 +222,7 @@
             }
         }
         let heartbeat = heartbeat(&node, now);
-        // Nodes that are not registered yet also write.
+        // Nodes that are not registered yet write to the store as well.
         let nodes = node.view().fleet.nodes.len().max(addresses.len() + 1) as u32;
         node.write_limiter.set_peer_demand(nodes, node.peers.write_demand(now));
         node.peers.note_in_force(node.id(), heartbeat.through, now);
@@ -380,7 +381,7 @@
         let mut state = node.peers.lock();
         let before = state.peers.get(&id).map_or(0, |peer| peer.stale_count);
         let stale = if peer_revision < own_revision { before + 1 } else { 0 };
-        // A node without any records must not wait.
+        // A node without any records is sent them at its first heartbeat.
         let due = peer_revision < own_revision
             && (STALE_HEARTBEATS <= stale || peer_revision == Revision(0));
         let counted = if due { 0 } else { stale };
--- a/src/node/plans.rs
+++ b/src/node/plans.rs
@@ -22,7 +22,8 @@
     platform::store::StoreError,
 };
 
-/// Maximum number of steps in one round, so that a long wave leaves store capacity for others.
+/// Maximum number of steps of a plan in one round, so that a long wave leaves store capacity for
+/// other writes.
 const MAX_STEPS: usize = 24;
 
 /// Carries out the next steps of every plan that this node owns.
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -12,8 +12,9 @@
     platform::store::Entry,
 };
 
-/// Maximum number of remembered deletions, so that peers with older views do not restore records.
-const TOMBSTONES: usize = 10_000;
+/// Maximum number of remembered deletions. They prevent peers with older views from restoring
+/// deleted records.
+const MAX_TOMBSTONES: usize = 10_000;
 
 /// The records that a node holds.
 #[derive(Debug, Default)]
@@ -32,7 +33,7 @@
 }
 
 impl View {
-    /// Applies an entry if it is newer than the held one. Returns whether it was.
+    /// Applies an entry if it is newer than the held one. Returns whether it was applied.
     pub(crate) fn apply(&mut self, entry: Entry) -> bool {
         let held = self.entries.get(&entry.key).map(|held| held.revision);
         if entry.revision <= held.unwrap_or(self.floor) {
@@ -75,7 +76,8 @@
         for key in deleted {
             self.apply(Entry { key, revision, value: None });
         }
-        // By the order of keys, the base is applied before the changes that were folded into it.
+        // The entries are sorted by key, so the base is applied before the changes that were folded
+        // into it.
         for entry in entries {
             self.apply(entry);
         }
@@ -94,8 +96,8 @@
         changed
     }
 
-    /// Every change after a revision, with the revision that they start from: 0 if deletions after
-    /// the given revision are forgotten.
+    /// Every change after a revision, with the revision after which they start: the given one, or 0
+    /// if deletions after it have been forgotten.
     pub(crate) fn since(&self, from: Revision) -> (Revision, Vec<Entry>) {
         let from = if from < self.floor { Revision(0) } else { from };
         let after = self.by_revision.range((Revision(from.0 + 1), String::new())..);
@@ -116,7 +118,7 @@
     }
 
     fn forget_old_deletions(&mut self) {
-        while TOMBSTONES < self.tombstones.len() {
+        while MAX_TOMBSTONES < self.tombstones.len() {
             let Some((revision, key)) = self.tombstones.pop_first() else {
                 return;
             };
