--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,5 +1,6 @@
-//! The demo: the main job on embedded stand-ins, over real sockets. It checks invariants while it
-//! runs, and fails if any was violated.
+//! The demo: drains two racks of a fleet of embedded stand-ins, over real sockets, while another
+//! rack fails and a node is killed. It checks invariants while it runs, and fails if any was
+//! violated.
 
 mod callers;
 mod checks;
@@ -46,7 +47,7 @@
 /// Time limit of the wave.
 const WAVE_LIMIT: Duration = Duration::from_secs(40);
 /// How long callers run before the intent, and after the wave.
-const STEADY: Duration = Duration::from_secs(2);
+const STEADY_LOAD: Duration = Duration::from_secs(2);
 /// How long the demo waits between the plan and its confirmation, to check that nothing moves.
 const UNCONFIRMED_WAIT: Duration = Duration::from_millis(1500);
 /// Time limit until a change is in force on every node.
@@ -87,7 +88,7 @@
     wait_until_ready(&client, &preset.config).await?;
     let checks = Checks::start(&fleet, preset);
     let callers = Callers::start(&fleet, preset, CALLERS, options.seed);
-    tokio::time::sleep(STEADY).await;
+    tokio::time::sleep(STEADY_LOAD).await;
 
     let racks = draw_racks(preset, &mut rng);
     let (drained, failing) = racks.split_at(2);
@@ -114,7 +115,7 @@
     follow_plan(&client, &plan, &mut summary, started_at).await?;
     summary.record_phase(Phase::WaveEnded, started_at.elapsed());
     summary.in_force = in_force(&client, changed).await?;
-    tokio::time::sleep(STEADY).await;
+    tokio::time::sleep(STEADY_LOAD).await;
 
     let results = callers.stop().await;
     let rows: Rows = client.get("status", "status/services").await?;
@@ -127,7 +128,7 @@
     Ok(summary)
 }
 
-/// Applies a configuration, as soon as the node can, and returns the number of the change.
+/// Applies a configuration as soon as the node accepts it, and returns the number of the change.
 pub(crate) async fn apply_config(client: &Client, config: &Config) -> Result<u64, Error> {
     let by = "demo".to_owned();
     let request = ApplyRequest { config: config.clone(), by, dry: false };
--- a/src/demo/callers.rs
+++ b/src/demo/callers.rs
@@ -37,9 +37,9 @@
 /// The outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It ran, and the complete answer came.
+    /// It ran, and its complete answer arrived.
     Complete,
-    /// An answer came that is not the complete answer to this request.
+    /// An answer arrived that is not the complete answer to this request.
     Wrong,
     /// It did not run.
     NotRun,
@@ -88,8 +88,8 @@
     }
 }
 
-#[derive(Clone)]
 /// A service, as callers need to know it.
+#[derive(Clone)]
 struct Target {
     service: ServiceId,
     team: TeamId,
@@ -128,7 +128,7 @@
         Callers { tasks: tasks.collect(), shared }
     }
 
-    /// Ends the callers, each after its last answer, and returns their results.
+    /// Ends each caller once its last request has been answered, and returns the results of all.
     pub(crate) async fn stop(self) -> CallerResults {
         self.shared.stop.store(true, Ordering::Release);
         for task in self.tasks {
@@ -147,7 +147,7 @@
             return;
         };
         number += 1;
-        // A claim that is not batched costs a write: callers send few requests that need one.
+        // A claim that is not batched costs a write, so callers skip most requests that need one.
         if target.once && !rng.random_bool(0.1) {
             continue;
         }
--- a/src/standin/site.rs
+++ b/src/standin/site.rs
@@ -45,16 +45,16 @@
     /// Address of the store, the list of hosts and the faults; port 0 takes a free one.
     pub(crate) listen: String,
     pub(crate) workers: u32,
-    /// Number of pools that the workers are spread over: `work`, `work-1` and so on.
+    /// Number of pools over which the workers are spread: `work`, `work-1` and so on.
     pub(crate) pools: u32,
-    /// Run time of a task whose payload names none.
+    /// Run time of a task whose payload does not set one.
     pub(crate) work: Duration,
     /// Whether workers report their start time, and every other one keeps its identifier when it
     /// restarts.
     pub(crate) keep_ids: bool,
 }
 
-/// Faults of the store, switched over HTTP.
+/// Faults of the store, set over HTTP.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct Faults {
@@ -64,8 +64,8 @@
     store_lost: bool,
     /// Watches that have missed many changes get no answer, as if it were too long for the link.
     store_long_history: bool,
-    /// Watches receive nothing while all other calls are answered, and are cut once this is
-    /// switched off.
+    /// Watches receive nothing while all other calls are answered; their connections are cut once
+    /// this is switched off.
     store_watches_silent: bool,
     /// The history for watches is compacted, once.
     store_compact: bool,
@@ -73,7 +73,7 @@
     store_slow_ms: u64,
     /// Delay after which writes are executed, without an answer; off if 0.
     store_late_ms: u64,
-    /// If not 0, only one write in this many is late; the others are executed at once.
+    /// If not 0, only one write in this many is delayed; the others are executed at once.
     store_late_every: u64,
     /// Leases that end, once: all, or a single one.
     leases_over: Option<EndedLeases>,
--- a/src/standin/site/incarnation.rs
+++ b/src/standin/site/incarnation.rs
@@ -16,16 +16,17 @@
 /// One worker in this many has a clock that is 2 % slow.
 const SLOW_CLOCK_EVERY: u32 = 3;
 
-/// One incarnation in this many starts after the time of day has jumped back, and by how much, in
-/// milliseconds.
+/// One incarnation in this many starts after the time of day has jumped back.
 const JUMP_EVERY: u32 = 3;
+
+/// How far the time of day jumps back, in milliseconds.
 const JUMP_MS: u64 = 3_600_000;
 
 /// The state of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
     Up,
-    /// Unavailable until a time, under a state that the list of hosts shows.
+    /// Unavailable until a time, with the name of the state that the list of hosts shows.
     Unavailable(&'static str, u64),
 }
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Takes the keys of the reports that are to be removed by now.
+    /// Takes the keys of the reports that are due to be removed.
     pub(super) fn take_stale_reports(&mut self, now: u64) -> Vec<String> {
         let stale = self.stale_reports.extract_if(.., |(_, at)| *at <= now);
         stale.map(|(key, _)| key).collect()
--- a/src/standin/site/worker_faults.rs
+++ b/src/standin/site/worker_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of single workers, switched over HTTP.
+//! Faults of single workers, set over HTTP.
 
 use poem::{Request, Response, http::StatusCode};
 use serde::{Deserialize, Serialize};
@@ -6,16 +6,16 @@
 use super::{MAX_BODY_BYTES, Site};
 use crate::http;
 
-/// Which orders are lost, and the answers to them.
+/// Which orders are lost, together with the answers to them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum Cut {
     #[default]
     None,
     All,
-    /// Those with a token above the highest that the worker had seen when this was switched on.
+    /// Those with a token above the highest that the worker had seen when the faults were set.
     Newer,
-    /// Those with at most the highest token that the worker had seen when this was switched on.
+    /// Those with at most the highest token that the worker had seen when the faults were set.
     Older,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl WorkerFaults {
-    /// Whether an order with a token is lost, and the answer to it.
+    /// Whether an order with this token is lost, together with the answer to it.
     pub(super) fn loses(&self, token: u64) -> bool {
         match self.cut {
             Cut::None => false,
@@ -53,7 +53,8 @@
         self.mute
     }
 
-    /// The delay of the order with a number: different for each, so that some overtake others.
+    /// The delay of the order with this number. It differs between successive orders, so that some
+    /// overtake others.
     pub(super) fn delay_ms(&self, number: u64) -> u64 {
         number.wrapping_mul(7_919) % self.late_ms.max(1)
     }
