--- a/tests/common/ports.rs
+++ b/tests/common/ports.rs
@@ -12,8 +12,10 @@
 /// could be taken between its choice and its use.
 const FIRST_PORT: u32 = 10_000;
 
-/// Number of ports per test process, and number of such blocks.
+/// Number of ports per block. Each test process uses one block.
 const BLOCK_PORTS: u32 = 200;
+
+/// Number of blocks.
 const BLOCKS: u32 = 110;
 
 /// A loopback address on which nobody listens. A process gets no address twice until it has used up
--- a/tests/requests.rs
+++ b/tests/requests.rs
@@ -77,7 +77,7 @@
 #[tokio::test]
 async fn a_truncated_answer_is_never_passed_on() {
     let fleet = Fleet::start(1).await;
-    // Each endpoint truncates its next answer; a repeatable request may be retried elsewhere.
+    // Each endpoint truncates its next answer; a repeatable request may be retried at another one.
     fleet.all_worker_faults(json!({ "endpoint": { "die_mid_answer": 1 } })).await;
     let answer = send(fleet.request(0, "GET", "echo/x").header("x-request-id", "b-1")).await;
     assert!(matches!(answer.outcome.as_str(), "ran" | "unknown"), "{answer:?}");
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -4,12 +4,12 @@
 
 use serde::Deserialize;
 
-/// How long after a job is reported as succeeded one of its tasks may still start, in milliseconds.
+/// How long after its job is reported as succeeded a task may still start, in milliseconds.
 const START_SLACK_MS: u64 = 1_000;
 
 /// Number of worker crashes by a task after which its starts are counted.
 const CRASH_LIMIT: usize = 3;
-/// Number of starts after these crashes that is a violation.
+/// A task that is started this often after these crashes violates a guarantee.
 const RESTART_LIMIT: usize = 3;
 
 /// Age from which a waiting job must be counted, in milliseconds: an accepted job is known to all
@@ -63,7 +63,7 @@
     pub replies: Vec<(u64, String)>,
 }
 
-/// How many waiting jobs of a pool a node reported. Times as in [`JobHistory`].
+/// How many waiting jobs of a pool a node reported. Times are as in [`JobHistory`].
 #[derive(Debug, Clone)]
 pub struct Count {
     pub node: String,
@@ -92,7 +92,8 @@
 ) -> Vec<Violation> {
     let mut violations = Vec::new();
     let acknowledged = acknowledged_ends(log);
-    // By task: the workers that run it, and the index of its first acknowledged end.
+    // By task: the workers that run it, the index of its first acknowledged end, when it was first
+    // done, and its numbers of crashes and of starts after `CRASH_LIMIT` crashes.
     let mut running: HashMap<&str, Vec<&str>> = HashMap::new();
     let mut confirmed: HashMap<&str, usize> = HashMap::new();
     let mut done: HashMap<&str, u64> = HashMap::new();
@@ -183,8 +184,8 @@
     violations
 }
 
-/// Violations by nodes that counted fewer than half of the jobs that had waited for long. The log
-/// must have been read after the last count.
+/// Violations by nodes that counted fewer than half of the jobs that had waited for more than
+/// `MIN_AGE_MS`. The log must have been read after the last count.
 pub fn check_counts(
     log: &[Entry],
     histories: &BTreeMap<String, JobHistory>,
--- a/tests/soak/tests.rs
+++ b/tests/soak/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the checks and of the plan: violations must be found, and nothing else.
+//! Tests of the checks, which must find each violation and report nothing else, and of the plan.
 
 use std::collections::BTreeMap;
 
