--- a/src/measure/mirror.rs
+++ b/src/measure/mirror.rs
@@ -42,8 +42,10 @@
 /// Jobs submitted per second.
 const JOBS_PER_SECOND: f64 = 160.0;
 
-/// Answers of the watch per second, and how many are applied for each row.
+/// Answers of the watch per second.
 const ANSWERS_PER_SECOND: usize = 10;
+
+/// Answers that are applied for each row.
 const ANSWERS_PER_ROW: usize = 10 * ANSWERS_PER_SECOND;
 
 /// Shares of a core for which the sustainable rate of jobs is computed.
--- a/src/measure/owner.rs
+++ b/src/measure/owner.rs
@@ -34,7 +34,7 @@
 /// How long a task runs, in milliseconds.
 const TASK_MS: u64 = 800;
 
-/// Tasks of a job: one step.
+/// Tasks of a job, all in one step.
 const TASKS_PER_JOB: u32 = 8;
 
 /// Processor time that a task needs: seven fit on a worker.
--- a/src/measure/route.rs
+++ b/src/measure/route.rs
@@ -1,7 +1,7 @@
 //! The choice of endpoints and the scope of refusals, compared with simple baselines. Requests of
-//! several nodes arrive at random times at endpoints with slots, one of which is slow for a while,
-//! one refuses for a while, and one is dead for a while. An event loop calls the routing decision
-//! itself.
+//! several nodes arrive at random times at endpoints with a limited number of slots. For a while,
+//! one endpoint is slow, one refuses all requests, and one is dead. An event loop simulates the
+//! requests and calls the program's own routing decision.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -270,7 +270,7 @@
                 self.round_robin += 1;
                 Some(self.round_robin % ENDPOINTS)
             }
-            // After a refusal, the same endpoint again.
+            // After a refusal, the same endpoint is chosen again.
             Policy::RetryInPlace if !request.tried.is_empty() => request.tried.first().copied(),
             _ => {
                 let load = |state: &EndpointState| Load {
--- a/src/measure/waves.rs
+++ b/src/measure/waves.rs
@@ -29,7 +29,7 @@
 /// Policies that are compared.
 pub(crate) const POLICIES: [&str; 4] = ["ours", "one-at-a-time", "rack-by-rack", "random"];
 
-/// Share of the hosts that fail individually during a wave.
+/// Share of the hosts that fail individually during a wave, besides the hosts of one failing rack.
 const FAILING_SHARE: f64 = 0.06;
 /// Time from the failure of a host until it is back.
 const REPAIR_TIME: Duration = Duration::from_secs(1200);
@@ -55,9 +55,10 @@
     decisions: Vec<f64>,
 }
 
-/// A failure of a host, and the time from the start of the wave until it.
+/// A failure of a host.
 struct Failure {
     host: HostId,
+    /// The time from the start of the wave until the failure.
     after: Duration,
 }
 
