--- a/src/jobs/fleet/calls.rs
+++ b/src/jobs/fleet/calls.rs
@@ -13,7 +13,7 @@
 /// repeated call as done if the first one was carried out.
 const CALL_RETRY_MS: u64 = 300;
 
-/// The most calls in flight at one time: what the platform may allow per second.
+/// The most calls in flight at one time: as many as the platform may allow per second.
 const MAX_CALLS_IN_FLIGHT: usize = 64;
 
 /// How long no call is made after the platform has rejected one, in milliseconds: a quarter of the
--- a/src/jobs/owner/plan.rs
+++ b/src/jobs/owner/plan.rs
@@ -196,10 +196,10 @@
             let index = index as u32;
             // If a run was taken over, the location of its task is known, but not how often the
             // task has failed.
-            let known = task.location_known && !job.may_have_failed(of, index);
-            let certain = known || !unconfirmed.covers(&TaskId { of, index });
-            let may = task.not_before <= now && certain && job.may_start(task);
-            (task.is_waiting() && may).then_some(index)
+            let is_known = task.location_known && !job.may_have_failed(of, index);
+            let is_confirmed = is_known || !unconfirmed.covers(&TaskId { of, index });
+            let may_start = task.not_before <= now && is_confirmed && job.may_start(task);
+            (task.is_waiting() && may_start).then_some(index)
         };
         tasks.tasks.iter().enumerate().filter_map(waits).collect()
     }
@@ -401,7 +401,8 @@
         out.push(Effect::Start { to, start });
     }
 
-    /// Stops runs on workers that leave and on hosts that are being drained.
+    /// Stops the runs that may be stopped on workers that are to leave and on hosts that are being
+    /// drained.
     pub(super) fn drain(&mut self, now: Steady, out: &mut Vec<Effect>) {
         let to_drain: Vec<Incarnation> = self
             .workers
@@ -426,7 +427,7 @@
         }
     }
 
-    /// Whether a run may be stopped so that its worker can leave.
+    /// Whether a run may be stopped so that its worker or host can leave.
     fn may_stop_for_leave(&self, task: TaskId, id: &Incarnation, now: Steady) -> bool {
         let Some(job) = self.jobs.get(&task.of.job) else {
             return false;
--- a/src/jobs/owner/throttle.rs
+++ b/src/jobs/owner/throttle.rs
@@ -17,7 +17,8 @@
 /// Speed that background tasks gain with each poll, in percent of full speed.
 const SPEED_UP_PERCENT: u32 = 20;
 
-/// How long a throttle change takes to show, in milliseconds: the gauge covers half a second.
+/// How long a change of the throttle takes to show in the tail latency, in milliseconds: the gauge
+/// covers half a second.
 const THROTTLE_SETTLE_MS: u64 = 500;
 
 /// A run of a background task.
--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -464,5 +464,5 @@
     fixture.demands.insert(pool("busy"), demand(100_000, 0));
     fleet.plan(&fixture.snapshot(), at(100));
     let called = count_moves(&fleet.plan(&fixture.snapshot(), at(200)));
-    assert_eq!(called, 0, "the pool's hosts have enough cores for a demand of 100");
+    assert_eq!(called, 0, "four hosts of 32 cores carry a demand of 100 cores");
 }
--- a/src/platform/worker_client.rs
+++ b/src/platform/worker_client.rs
@@ -24,8 +24,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of an order. Workers answer within milliseconds, and a node that has used up its
-/// processor time is paused for at most 100 ms. A longer timeout would delay jobs: a run is not
-/// started elsewhere until the result of its order is known.
+/// processor time is paused for at most 100 ms. A run is not started elsewhere until the result of
+/// its order is known, so its job may wait for this timeout.
 pub(crate) const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Timeout of a poll beyond its own wait, for the same reasons.
--- a/src/scheduler/control_loop.rs
+++ b/src/scheduler/control_loop.rs
@@ -68,7 +68,7 @@
 /// a core.
 const TICK_PAUSE_FACTOR: u32 = 3;
 
-/// Maximum pause between two iterations while inputs wait. When a task ends, its successor waits up
+/// Maximum pause between two iterations while inputs wait. When a task ends, the next one waits up
 /// to this long, and most tasks take only 0.8 s. A maximum of 250 ms limits decisions to a quarter
 /// of the time even at 80 ms per iteration, but a day of 1,100 hosts then scored 0.259, against
 /// 0.575 with 60 ms (one run each). Plans of the fleet can take longest and have a limit of their
@@ -290,7 +290,7 @@
     }
 
     /// Drops all ownerships whose lease has ended. Runs before anything else: another node may have
-    /// acquired them, and relies on this node not acting as the owner any longer.
+    /// acquired them, and relies on a limit for how long this node still acts as the owner.
     fn drop_expired(&mut self, now: Steady) {
         let is_valid = |name: &str, token: u64, tenure: &Tenure| {
             let is_valid = tenure.allows_orders(now);
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -56,8 +56,8 @@
     /// Gaps before renewals that came when the lease may have expired: another node may have
     /// acquired the work meanwhile.
     gaps: Vec<Gap>,
-    /// Ownership that was last confirmed before this time is over, even if the lease is renewed: the
-    /// grace period of a gap that ended at this time has passed.
+    /// Ownership that was last confirmed before this time is over, even if the lease is renewed:
+    /// the grace period of a gap that ended at this time has passed.
     barrier: Steady,
     /// Whether the last renewal failed.
     failing: bool,
--- a/src/scheduler/mirror.rs
+++ b/src/scheduler/mirror.rs
@@ -32,8 +32,8 @@
     /// The minimum time between two answers of its watch, so that many small changes come in few
     /// answers: each has a cost.
     pause: Duration,
-    /// The same at a node that owns work: each host that changes pools takes four successive updates
-    /// of the owners, and work that could still end in time waits meanwhile.
+    /// The same at a node that owns work: each host that changes pools takes four updates of the
+    /// owners, one after the other, and work that could still end in time waits meanwhile.
     owner_pause: Duration,
     /// How long a watch waits for a change: while nothing changes, the view of the prefix gets as
     /// old as this plus a pause.
@@ -101,8 +101,8 @@
 const OWNER_WATCH_PAUSE: Duration = Duration::from_millis(8);
 
 /// The minimum number of changes to apply at once, about as many as the store sends in one answer.
-/// The first read of a large deployment has 10,000 and more, which would lock the view for 25 ms of
-/// a whole core if they were applied in one step.
+/// A read of a large deployment has 10,000 and more, which lock the view for 25 ms on a whole core
+/// when they are applied in one step.
 pub(super) const MIN_SLICE: usize = 512;
 
 /// Delay after a failed call.
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -77,15 +77,15 @@
 pub(crate) enum Extent {
     /// It has all changes up to a revision.
     Changes(Revision),
-    /// It has all changes up to a revision. There may be more than fit into one answer, so it shows
-    /// nothing about a moment.
+    /// It has all changes up to a revision, but later ones may have been left out because there
+    /// were too many for one answer: it gives no point in time.
     Truncated(Revision),
     /// Nothing has changed up to a revision, nor until a moment.
     Unchanged(Revision, Steady),
 }
 
 impl Extent {
-    /// How far the answer of a watch reaches. `wait` is how long the watch was to wait for a change.
+    /// How far the answer of a watch reaches. `wait` is the time that it could wait for a change.
     pub(crate) fn of_watch(
         call: CallStart,
         wait: Duration,
