--- a/src/jobs/tests/fleet.rs
+++ b/src/jobs/tests/fleet.rs
@@ -452,8 +452,8 @@
     assert!(took.as_millis() < 150, "{took:?}");
 }
 
-/// Guards against taking the size of all hosts from the first one listed: one that had shrunk to a
-/// tenth made a pool ask for ten times the hosts.
+/// Guards against taking the capacity of all hosts from the first one listed: when that host had
+/// shrunk to a tenth, its pool asked for ten times the hosts.
 #[test]
 fn a_shrunken_host_does_not_make_its_pool_grow() {
     let mut fixture = Fixture::new();
--- a/src/model/worker.rs
+++ b/src/model/worker.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RunOutcome {
     Done,
-    /// Failed through its own fault or its worker's.
+    /// Failed because of the task itself or of its worker.
     Failed,
     /// Stopped by an order.
     Stopped,
--- a/src/preset.rs
+++ b/src/preset.rs
@@ -1,4 +1,4 @@
-//! Models of two users' fleets and of the target size, for the demo and the experiments.
+//! Model fleets for the demo and the experiments: those of two users, and one of the target size.
 
 use std::collections::BTreeMap;
 
--- a/src/scheduler/control_loop/acquire.rs
+++ b/src/scheduler/control_loop/acquire.rs
@@ -226,7 +226,7 @@
         let node = self.node.clone();
         let key = keys::node(node.settings.node.as_str());
         tokio::spawn(async move {
-            // Without the record of this node, other nodes acquire its work.
+            // Removes this node from the list of nodes, so that its work goes to nodes that stay.
             if let Err(error) = node.kv.commit(&Txn::default().remove(key)).await {
                 log::warn!("node {}: its record was not removed: {error}", node.settings.node);
             }
--- a/src/scheduler/lease.rs
+++ b/src/scheduler/lease.rs
@@ -53,8 +53,8 @@
 struct State {
     /// The lease and when it may expire, unless the store has reported it as expired.
     last: Option<(LeaseId, Steady)>,
-    /// Gaps before renewals that came when the lease may have expired: another node may have
-    /// acquired the work meanwhile.
+    /// Gaps, each ended by a renewal: the lease may have expired before it, and another node may
+    /// have acquired the work meanwhile.
     gaps: Vec<Gap>,
     /// Ownership that was last confirmed before this time is over, even if the lease is renewed:
     /// the grace period of a gap that ended at this time has passed.
--- a/src/scheduler/view/age.rs
+++ b/src/scheduler/view/age.rs
@@ -1,9 +1,9 @@
 //! The age of a node's view of each prefix of the store.
 //!
-//! Two facts hold for an answer of the store. Its revision is at least that of every write before
-//! the call was sent. And a source that has reported everything up to a revision misses nothing
-//! that was written before the store was known to be at that revision. So a prefix is known as of
-//! the last moment at which any answer showed the store at a revision that the prefix has reached.
+//! An answer of the store shows the store's revision, which is at least that of every write before
+//! the call was sent. A source that has reported everything up to that revision therefore misses no
+//! write from before the call. So a prefix is known as of the latest call whose answer showed a
+//! revision that the prefix has reached.
 //! In addition, an answered watch covers what was written before it was sent, unless its answer was
 //! cut short: then it ends below a revision that was known when it was sent.
 //!
