--- a/src/jobs/owner/throttle.rs
+++ b/src/jobs/owner/throttle.rs
@@ -17,7 +17,8 @@
 /// Speed that background tasks gain with each poll, in percent of full speed.
 const SPEED_UP_PERCENT: u32 = 20;
 
-/// How long a throttle change takes to show, in milliseconds: the gauge covers half a second.
+/// How long a change of the throttle takes to show in the tail latency, in milliseconds: the gauge
+/// covers half a second.
 const THROTTLE_SETTLE_MS: u64 = 500;
 
 /// A run of a background task.
@@ -134,7 +135,8 @@
         if matches!(end, OrderResult::Done(_)) {
             return;
         }
-        // It may or may not have taken effect: the next poll decides anew.
+        // It is unknown whether the order took effect. A percentage other than the ordered one is
+        // recorded, so that the next poll can order it again.
         log::info!(
             "job {}: task {task} at {id}: throttle to {percent} % not confirmed",
             task.of.job
--- a/src/jobs/urgency.rs
+++ b/src/jobs/urgency.rs
@@ -47,8 +47,8 @@
     priority: u32,
     /// 0: long-running or in time; 1: late, but still of value; 2: too late to be of value.
     lateness: u32,
-    /// How long the remaining work can be delayed so that the job ends in time, in milliseconds;
-    /// negative if it is late.
+    /// How long the remaining work can be delayed with the job still ending in time, in
+    /// milliseconds; negative if the job is late.
     slack: i64,
 }
 
--- a/src/preset.rs
+++ b/src/preset.rs
@@ -1,4 +1,4 @@
-//! Models of two users' fleets and of the target size, for the demo and the experiments.
+//! Model fleets for the demo and the experiments: those of two users, and one of the target size.
 
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 const TASK: Resources =
     Resources { cores: Millicores(8_000), memory: Megabytes(24 * 1024), accelerators: 0 };
 
-/// Returns a user's preset by its name.
+/// The preset of a user's fleet, by its name.
 pub(crate) fn by_name(name: &str) -> Option<Preset> {
     match name {
         "tyrehub" => Some(tyrehub()),
