--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -7,8 +7,8 @@
 //! - The end of a run is acknowledged to its worker only once the progress that counts it is
 //!   durable.
 //! - After a change of owner, tasks of earlier jobs wait until every worker that may run them has
-//!   seen the new owner's token, or everything that it may run has lapsed. The record of which
-//!   workers may run which tasks is persisted before that changes.
+//!   seen the new owner's token, or everything that it may run has lapsed. A change of
+//!   which workers may run which tasks is persisted before it takes effect.
 
 pub(crate) mod balance;
 pub(crate) mod delegates;
--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -74,8 +74,8 @@
     Lasting,
 }
 
-/// The loads of all hosts. A map, since a plan looks up each host: when the demand peak moved from
-/// one pool to another, searching lists took half a second for a thousand hosts.
+/// The loads of all hosts. A map, since a plan looks up each host: searching lists takes half a
+/// second for a thousand hosts when the demand peak moves from one pool to another.
 struct HostLoads<'a>(HashMap<&'a HostId, Load>);
 
 impl<'a> HostLoads<'a> {
@@ -353,9 +353,9 @@
 }
 
 /// Distributes `total` hosts over requests, one by one to the first request with the lowest rank,
-/// and returns the share of each. `visit` is called for each visit of a request. The ranks are in a
-/// heap: comparing all pools for each host would take 2.7 million visits for 6,800 hosts in 390
-/// pools.
+/// and returns the share of each. `visit` is called each time a request is examined. The ranks are
+/// in a heap: comparing all pools for each host would take 2.7 million visits for 6,800 hosts in
+/// 390 pools.
 pub(super) fn distribute(requests: &[HostRequest], total: usize, visit: impl Fn()) -> Vec<usize> {
     let mut shares = vec![0; requests.len()];
     let next = |n: usize, has: usize| {
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -15,8 +15,8 @@
     },
 };
 
-/// How long a task or worker gets no further order after a refusal, in milliseconds: the time of
-/// one poll.
+/// How long a task or worker gets no further order after a refusal, in milliseconds: about as long
+/// as one poll takes.
 const REFUSED_PAUSE_MS: u64 = 150;
 
 impl Owner {
@@ -134,14 +134,14 @@
                     task_run.since = now;
                     never_began = task_run.began.is_none();
                 }
-                // A run that never began lists no end.
+                // No end is listed for a run that never began.
                 if let Some(worker) = self.workers.get_mut(at).filter(|_| never_began) {
                     worker.urgent_poll = true;
                 }
             }
             OrderResult::Refused { why: Refusal::Fenced, .. } => {
-                // The next incarnation has a token of its own and refuses orders under the one
-                // before.
+                // The next incarnation has a token of its own and refuses orders with the previous
+                // one.
                 let worker = self.workers.get(at);
                 self.deposed |= match worker {
                     Some(worker) => {
@@ -164,8 +164,8 @@
                     self.poll_for_run(at, task, now);
                 }
             }
-            // Nothing was done, and a start on its way may still begin: the next poll stops it
-            // again.
+            // Nothing was stopped, and a start order in transit may still begin the run: if the
+            // next poll lists it, it is stopped again.
             OrderResult::Refused { why, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
             }
--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -46,9 +46,9 @@
         let mut lost: Vec<LostRun> = runs.map(|task| self.lost_run(worker, *task)).collect();
         let new = lost.iter().filter(|lost| lost.observed_ms < STABLE_MS).count();
         lost.iter_mut().for_each(|lost| lost.sole_suspect &= new == 1);
-        // If some had only begun, those that were stable are not the cause. Where many tasks crash
-        // their workers, up to eighteen other runs are lost with each, and a sound
-        // long-running task loses four such workers within seconds.
+        // If some runs had only just begun, those that were stable are not the cause. Where many
+        // tasks crash their workers, up to eighteen other runs are lost with each, and a sound
+        // long-running task may be on four such workers within seconds.
         lost.iter_mut().for_each(|lost| lost.cleared = new != 0 && STABLE_MS <= lost.observed_ms);
         for lost in lost.iter().filter(|lost| lost.observed_ms < STABLE_MS) {
             self.count_worker_loss(id, lost, false, now);
--- a/src/jobs/owner/polls.rs
+++ b/src/jobs/owner/polls.rs
@@ -27,8 +27,8 @@
 /// Delay after an unanswered poll until the next is sent, in milliseconds.
 const POLL_RETRY_MS: u64 = 150;
 
-/// The number of unanswered polls after which a worker that is not listed counts as departed: a
-/// single one may be a connection that was reset, and a second one its route through another node.
+/// The number of unanswered polls after which a worker that is not listed counts as departed: one
+/// may fail because a connection was reset, and a second because of its route through another node.
 const DEPARTED_MISSES: u32 = 3;
 
 /// Delay after an unanswered poll of such a worker until the next is sent, in milliseconds.
@@ -40,14 +40,14 @@
 const STOP_RETRY_MS: u64 = 900;
 
 /// Pause between polls of a worker whose ends cannot be acknowledged yet, in milliseconds: a poll
-/// would return at once, since the ends are still listed. Most often they are persisted within 20.
+/// would return at once, since the ends are still listed. Most ends are persisted within 20 ms.
 const UNSAVED_POLL_PAUSE_MS: u64 = 100;
 
 /// The highest end that a poll may acknowledge; none if the poll has to wait until it may.
 ///
 /// The next incarnation numbers its ends anew, and would discard those up to this number without
-/// listing them. So ends are acknowledged neither after a silence nor beside starts that the next
-/// incarnation may carry out.
+/// listing them. So no ends are acknowledged after an unanswered poll, nor while a start is
+/// unanswered that the next incarnation may carry out.
 fn acknowledgement(worker: &Worker, jobs: &BTreeMap<JobId, Job>) -> Option<u64> {
     if !worker.may_start_again() {
         return Some(worker.acknowledged);
@@ -155,8 +155,8 @@
             {
                 self.deposed = true;
             }
-            // At an address where this worker has never answered, another one proves nothing about
-            // it.
+            // If this worker has never answered at the address, the answer of another worker there
+            // proves nothing about it.
             OrderResult::Refused { why: Refusal::OtherLife, .. } if worker.has_answered => {
                 self.remove_ended_worker(
                     id,
@@ -419,7 +419,8 @@
     }
 
     /// Tasks whose unanswered start may still be carried out by the next incarnation of a silent
-    /// worker. Long-running tasks are not held back: callers miss them meanwhile.
+    /// worker. Long-running tasks are not held back, since callers would have to do without them
+    /// meanwhile.
     fn awaited_starts(&self, id: &Incarnation, confirmed: Steady) -> BTreeSet<TaskId> {
         let Some(worker) = self.workers.get(id).filter(|worker| worker.may_start_again()) else {
             return BTreeSet::new();
--- a/src/jobs/tests/crashes.rs
+++ b/src/jobs/tests/crashes.rs
@@ -1,8 +1,8 @@
 //! Tasks that crash the workers that start them.
 //!
-//! Such a task was started on worker after worker without end, across owners, and each crash ended
-//! all other runs there. A run that ends with its worker lists no end, and only listed ends counted
-//! as attempts.
+//! Guards against starting such a task on one worker after another without end, across owners,
+//! while each crash ends all other runs there. No end is listed for a run that ends with its
+//! worker, and only listed ends counted as attempts.
 
 mod isolated_retries;
 mod many;
--- a/src/jobs/tests/crashes/many.rs
+++ b/src/jobs/tests/crashes/many.rs
@@ -1,9 +1,10 @@
 //! Many tasks at once that crash the workers that start them.
 //!
-//! Jobs without such a task failed, long-running ones included: a tenth of a queue's jobs crashed
-//! four workers a second, each with up to eighteen runs, and a task was given up once four workers
-//! were lost with it, even if another run had just begun there each time. Runs also counted as just
-//! begun for too long, since answers to other orders than polls were not taken as signs of life.
+//! Guards against failing jobs without such a task, long-running ones included: a tenth of a
+//! queue's jobs crashed four workers per second, each with up to eighteen runs, and a task was
+//! given up once four workers were lost with it, even if another run had just begun there each
+//! time. Runs also counted as just begun for too long, since answers to other orders than polls
+//! were not taken as signs of life.
 
 use super::{MAX_STARTS_AFTER_THREE, pool::Pool};
 use crate::{
--- a/src/jobs/tests/plan_cost.rs
+++ b/src/jobs/tests/plan_cost.rs
@@ -1,10 +1,10 @@
 //! The cost of a plan of the fleet owner.
 //!
 //! Guards against a plan whose cost grows with hosts times marks. With 1,100 hosts and a wave of
-//! upkeep over half of them, it searched all marks for each host of the wave and for each
+//! upkeep over half of them, such a plan searched all marks for each host of the wave and for each
 //! comparison while sorting them, and all hosts for each candidate: 28 to 63 ms of a core, ten
-//! times per second, on a node with half a core. Its view fell behind, and pools were sized for the
-//! demand of 6 to 9 s before.
+//! times per second, on a node with half a core. The node's view fell behind, and pools were sized
+//! for the demand 6 to 9 s earlier.
 
 use crate::measure::fleet::run_plans;
 
--- a/src/jobs/worker.rs
+++ b/src/jobs/worker.rs
@@ -32,8 +32,8 @@
 /// lease.
 pub(crate) const POLL_TIMEOUT_MS: u64 = 1_000;
 
-/// The poll timeout at a worker that runs something while orders get lost: a lost poll hides the
-/// ends there for as long, and objectives allow only one to two seconds more than the work.
+/// The poll timeout at a worker with runs while orders get lost: after a lost poll, ends there stay
+/// unknown for this long, and objectives allow only one to two seconds more than the work.
 pub(crate) const SHORT_POLL_TIMEOUT_MS: u64 = 300;
 
 /// After how long a run is stable, by the worker's clock: it does not crash its worker on start.
--- a/src/model/job.rs
+++ b/src/model/job.rs
@@ -225,7 +225,8 @@
     /// Upper limit for the tail latency of a serving task, in milliseconds; 0 for none.
     #[serde(rename = "tg", default, skip_serializing_if = "is_default")]
     pub target_ms: u64,
-    /// The tasks run in the background on CPU time that others leave: theirs is not charged.
+    /// The tasks run in the background on CPU time that other tasks leave unused: they are not
+    /// charged for CPU time.
     #[serde(rename = "fi", default, skip_serializing_if = "is_default")]
     pub background: bool,
     /// A task of a long-running step is stopped only while fewer than this many are unavailable; 0
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -324,8 +324,9 @@
         let stored = store_plan(node, decided.map_err(plan_error)?, expect).await;
         let is_conflict =
             stored.as_ref().is_err_and(|refused| refused.status == StatusCode::CONFLICT);
-        // A confirmation at another node in the meantime can be cancelled as well. The view holds
-        // it now, so that each iteration handles a later state of the plan.
+        // If the plan was confirmed at another node in the meantime, it can be cancelled all the
+        // same. The view holds the confirmation by now, so that each iteration handles a later
+        // state of the plan.
         let newer = expect < node.view().fleet.revision(&Key::Plan(id.clone()));
         if !(is_conflict && newer) {
             return stored;
--- a/src/platform/call_limits.rs
+++ b/src/platform/call_limits.rs
@@ -9,9 +9,9 @@
 
 /// Maximum number of concurrent calls, and so of connections, of one node to one worker. A worker
 /// accepts 64 connections and keeps those of nodes that lost power: with one connection for each
-/// start of a burst, none was left for the next owner (594 were reset in one day). The connections
-/// of six earlier nodes and of a new one stay under that bound, and a burst of 40 starts takes 7
-/// rounds of some 3 ms.
+/// start of a burst, none would be left for the next owner (594 were reset in one day). The
+/// connections of six earlier nodes and of a new one stay under that bound, and a burst of 40
+/// starts takes 7 rounds of some 3 ms.
 pub(super) const MAX_CALLS_PER_WORKER: usize = 6;
 
 /// Number of known addresses from which on those without calls are dropped.
--- a/src/scheduler/control_loop/persist.rs
+++ b/src/scheduler/control_loop/persist.rs
@@ -18,8 +18,8 @@
 /// owner.
 const PROGRESS_BATCH: usize = (MAX_TXN_ENTRIES - 1) / 2;
 
-/// Maximum number of progress writes in flight per owner. A single one limited an owner to a
-/// thousand jobs a second, and more change at a peak.
+/// Maximum number of progress writes in flight per owner. A single one limits an owner to a
+/// thousand jobs per second, and more change at a peak.
 const MAX_PENDING_WRITES: usize = 4;
 
 /// Minimum time between two progress writes of one owner, in milliseconds: changes close together
@@ -34,8 +34,9 @@
 const ROSTER_PAUSE_MS: u64 = 20;
 
 /// Minimum time between two removals of ended jobs, in milliseconds: jobs that end close together
-/// share one. A node that starts in between reads some 70 more jobs at 145 a second. All 2,400 jobs
-/// of half a day were 3.3 MB, which nodes with 10 Mbit/s received with a delay of seconds.
+/// share one. At 145 jobs per second, a node that starts in between reads some 70 more. Without
+/// removals, the 2,400 jobs of half a day are 3.3 MB, which nodes with 10 Mbit/s receive with a
+/// delay of seconds.
 const REMOVAL_PAUSE_MS: u64 = 500;
 
 /// Worker records per transaction, in addition to two conditions and the record of silent workers.
--- a/src/scheduler/control_loop/updates.rs
+++ b/src/scheduler/control_loop/updates.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Updates the drain mark of one host. Rebuilding all marks for each change took 49 us a mark
-    /// while 600 hosts were marked at a demand peak (`measure mirror`).
+    /// Updates the drain mark of one host. Rebuilding all marks for each change takes 49 us per
+    /// mark while 600 hosts are marked at a demand peak (`measure mirror`).
     fn set_drain_mark(&mut self, host: &HostId) {
         let view = self.node.view();
         let stored_mark = view.drain_marks.get(host);
--- a/src/scheduler/fleet.rs
+++ b/src/scheduler/fleet.rs
@@ -33,8 +33,8 @@
 const PLAN_MS: u64 = 100;
 
 /// The pause after a plan, as a multiple of the time that it took: planning takes at most a quarter
-/// of the node's time. With ten plans a second of 100 ms each, a node processed nothing else and
-/// decided from a view 6 to 9 s old.
+/// of the node's time. With ten plans per second of 100 ms each, a node processes nothing else and
+/// decides from a view 6 to 9 s old.
 const PLAN_PAUSE_FACTOR: u64 = 3;
 
 /// How far the clocks of two nodes may differ.
--- a/src/scheduler/tests/catch_up.rs
+++ b/src/scheduler/tests/catch_up.rs
@@ -45,10 +45,10 @@
     now - received * 1_000 / CHANGES_PER_S
 }
 
-/// The store puts at most some 500 changes into one answer, without saying that there are more, and
-/// the node paused after each answer as after a complete one. From some 3,000 changes/s on its view
-/// became ever older: a node answered that no job waited where 36 did, and the fleet's owner
-/// decided on a state 6 to 9 s old.
+/// Guards against a pause after a truncated answer: the store puts at most some 500 changes into
+/// one answer, without saying that there are more, and the node paused as after a complete one.
+/// From some 3,000 changes/s on, its view became older and older: a node answered that no job was
+/// waiting when 36 were, and the fleet's owner decided on a state 6 to 9 s old.
 #[test]
 fn a_view_keeps_up_with_twice_the_load_when_answers_are_truncated() {
     for (prefix, owns) in [(RECORDS, false), (RECORDS, true), (WORKERS, false), (WORKERS, true)] {
--- a/src/scheduler/tests/lease_fuzz.rs
+++ b/src/scheduler/tests/lease_fuzz.rs
@@ -1,6 +1,6 @@
 //! Fuzzing of how long an ownership lasts: a node's lease and the ownerships acquired under it,
 //! with a store that answers late or not at all, and pauses of the process at any moment. The
-//! oracle knows when the store has ended which lease: from then on another node could have acquired
+//! oracle knows when the store has ended each lease: from then on another node could have acquired
 //! the pool.
 
 use std::{cell::Cell, collections::BTreeMap, sync::Arc, time::Duration};
--- a/src/scheduler/tests/overwritten.rs
+++ b/src/scheduler/tests/overwritten.rs
@@ -69,8 +69,8 @@
     view.apply(Change { key: key.to_owned(), revision: Revision(revision), value })
 }
 
-/// Such an entry was only logged, and the report before it stayed in force: the worker was still
-/// given work.
+/// Guards against merely logging such an entry: the previous report stayed in force, and the worker
+/// was still given work.
 #[test]
 fn an_unreadable_entry_withdraws_its_worker_and_no_other() {
     for (what, value) in unreadable() {
@@ -105,8 +105,8 @@
     }
 }
 
-/// The progress of an ended job was overwritten, and a later owner took the job for one that had
-/// not begun: all of it ran twice.
+/// Guards against running an ended job again: its progress was overwritten, and a later owner took
+/// the job for one that had not begun, so that all of it ran twice.
 #[test]
 fn a_job_with_unreadable_progress_is_not_reported_as_new() {
     let mut view = View::default();
@@ -138,7 +138,8 @@
     assert_eq!(roster.iter().map(|report| &report.id).collect::<Vec<_>>(), [&worker("w1")]);
 }
 
-/// No node could acquire the pool: its key existed, and the revision to overwrite was not known.
+/// Guards against a pool that no node can acquire: its key existed, and the revision to overwrite
+/// was not known.
 #[test]
 fn an_unreadable_owner_record_can_be_replaced() {
     let mut view = View::default();
@@ -148,10 +149,10 @@
     assert!(!view.owns("pool-a", 9), "the previous owner has lost it");
 }
 
-/// A node that had just started knew a worker only by an entry, written by another writer, that
-/// named the node's own pool. Its owner would have polled a worker that runs another pool's tasks:
-/// ends of jobs that an owner does not know are acknowledged at once, and the pool's own owner
-/// would have started these tasks again.
+/// Guards against polling a worker of another pool: a node that had just started knew a worker only
+/// by an entry, written by another writer, that named the node's own pool. Its owner would have
+/// polled a worker that runs another pool's tasks: ends of jobs that an owner does not know are
+/// acknowledged at once, and the pool's own owner would have started these tasks again.
 #[test]
 fn a_worker_in_the_roster_of_another_pool_does_not_join_the_pool_in_its_entry() {
     let mut view = View::default();
