--- a/src/jobs/fleet/size.rs
+++ b/src/jobs/fleet/size.rs
@@ -126,8 +126,8 @@
 }
 
 impl FleetOwner {
-    /// Sets the processor time of a host to the median of the list. A single host may have shrunk,
-    /// or be of another kind.
+    /// Sets the assumed processor time of a host to the median of all hosts. A single host may have
+    /// shrunk, or be of another kind.
     pub(super) fn update_host_cpu(&mut self) {
         let mut host_cpus: Vec<u32> = self.hosts.values().map(|host| host.capacity.cpu.0).collect();
         host_cpus.sort_unstable();
--- a/src/jobs/owner/answers.rs
+++ b/src/jobs/owner/answers.rs
@@ -164,8 +164,8 @@
                     self.poll_for_run(at, task, now);
                 }
             }
-            // Nothing was stopped, and a start order in transit may still begin the run: if the
-            // next poll lists it, it is stopped again.
+            // Nothing was stopped, and a start order in transit may still begin the run: once a
+            // poll lists it, it is stopped again.
             OrderResult::Refused { why, .. } => {
                 log::info!("job {}: task {task} at {at}: stop refused: {why:?}", task.of.job);
             }
--- a/src/jobs/owner/polls.rs
+++ b/src/jobs/owner/polls.rs
@@ -87,7 +87,7 @@
                 continue;
             }
             let acknowledged = acknowledgement.unwrap_or(0);
-            // It should be answered soon: nothing starts there meanwhile.
+            // This poll should be answered soon, since nothing starts at the worker until then.
             let exclusive = acknowledged != 0 && worker.may_start_again();
             let waits = worker.has_reported && worker.missed_polls == 0 && !worker.urgent_poll;
             let wait = match waits && !unsaved && !exclusive {
--- a/src/logging/budget.rs
+++ b/src/logging/budget.rs
@@ -32,7 +32,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Decision {
     Write,
-    /// Drops the first line of its kind; its text becomes the summary's example.
+    /// Drops the line, the first of its kind in the window to be dropped; its text becomes the
+    /// summary's example.
     DropFirst,
     /// Drops and counts the line.
     Drop,
@@ -65,7 +66,7 @@
         Budget { started: now, written: 0, kinds: HashMap::new() }
     }
 
-    /// Decides on a line. A finished window must be closed before by [`Budget::roll_over`].
+    /// Decides on a line. [`Budget::roll_over`] must be called before, to close a finished window.
     pub(super) fn admit(&mut self, kind: Kind, level: Level) -> Decision {
         let guaranteed = if level <= Level::Warn { GUARANTEED_WARNINGS } else { GUARANTEED_LINES };
         let usage = self.kinds.entry(kind).or_insert(KindUsage { written: 0, dropped: None });
