--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -129,7 +129,7 @@
     response
 }
 
-/// Accepts a configuration by one write, whose number is its position in the sequence of changes.
+/// Accepts a configuration with a single write, under the next number in the sequence of changes.
 async fn apply(node: &Node, request: &mut Request, now: Time) -> Result<ApplyAnswer, ApiError> {
     let body: ApplyRequest = read(request).await?;
     let (change, next) = {
--- a/src/scheduler/control_loop/orders.rs
+++ b/src/scheduler/control_loop/orders.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns a check whether an order of this owner may still be sent. The process may be
+    /// Returns a check of whether an order of this owner may still be sent. The process may be
     /// suspended between the decision and the send, and another node may become the owner
     /// meanwhile: after a suspension nothing is sent until the store has confirmed the owner again.
     pub(super) fn send_check(&self, name: &str) -> impl Fn() -> bool + Send + 'static {
--- a/src/scheduler/control_loop/persist.rs
+++ b/src/scheduler/control_loop/persist.rs
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Removes the records of ended jobs, except their ends, once these are durable. The accepted
-    /// requests are most of what a node reads when it starts, and no answer to callers needs them.
+    /// Removes the accepted requests of ended jobs once the ends are durable. They are most of what
+    /// a node reads when it starts, and no answer to callers needs them.
     pub(super) fn remove_ended_jobs(&mut self, name: &str, now: Now) {
         let Some(owned) = self.owned.get_mut(name) else {
             return;
--- a/src/standin/endpoint.rs
+++ b/src/standin/endpoint.rs
@@ -42,11 +42,11 @@
     pub(crate) slow_ms: u64,
     /// Every request is refused before it runs.
     pub(crate) refuse: bool,
-    /// Number of next answers that break off in the middle.
+    /// How many of the next answers break off in the middle.
     pub(crate) die_mid_answer: u32,
-    /// Number of next answers that are for another request.
+    /// How many of the next answers are for another request.
     pub(crate) wrong_id: u32,
-    /// Number of next requests that run and then end with status 500.
+    /// How many of the next requests run and then end with status 500.
     pub(crate) fail: u32,
 }
 
@@ -154,7 +154,7 @@
         self.inner.in_flight.load(Ordering::Acquire)
     }
 
-    /// Sets whether new requests are accepted. The others are refused as not run.
+    /// Sets whether new requests are accepted; if not, they are refused before they run.
     pub(crate) fn set_accept(&self, accept: bool) {
         let was = self.inner.accept.swap(accept, Ordering::AcqRel);
         if was != accept {
