--- a/src/jobs/owner/crashes.rs
+++ b/src/jobs/owner/crashes.rs
@@ -201,8 +201,8 @@
         );
     }
 
-    /// Gives up a task that has crashed the worker of its isolated retry, unless that was the
-    /// first.
+    /// Gives up a task that has crashed the worker of its isolated retry, unless that was its first
+    /// crash.
     fn judge_isolated_retry(&mut self, lost: &LostRun) {
         let job = self.jobs.get(&lost.task.of.job);
         let entry = job.and_then(|job| job.task(lost.task.of, lost.task.index));
--- a/src/scheduler/keys.rs
+++ b/src/scheduler/keys.rs
@@ -36,11 +36,11 @@
 pub(crate) enum Key {
     /// A job, as it was accepted.
     Job(JobId),
-    /// The name of a job is in use, in whichever pool.
+    /// Marks the name of a job as in use, in whichever pool.
     Id(JobId),
     /// The progress of a job that has begun.
     Progress(JobId),
-    /// The caller has cancelled the job.
+    /// Marks a job as cancelled by its caller.
     Cancel(JobId),
     /// The node that owns a pool's jobs, or the work of all pools.
     Owner(String),
